--- a/wagtaildale/admission/limits.py
+++ b/wagtaildale/admission/limits.py
@@ -1,8 +1,8 @@
-"""The limit of what runs at once: it follows what is observed.
+"""Adjusts the concurrency limit of a backend server to observed run times.
 
-The published number of slots bounds it from above. Health and load
-endpoints are not asked: they lag or mislead. What counts is how long
-requests took and whether the backend server refused or failed them.
+The published number of slots is the upper bound. Health and load endpoints
+are not used, since they lag or mislead. The limit depends on how long
+requests took and on whether the backend server refused or failed them.
 """
 
 from __future__ import annotations
@@ -10,23 +10,33 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Final, final
 
-from wagtaildale.admission.usual import UsualTime
+from wagtaildale.admission.run_times import RunTimes
 
 if TYPE_CHECKING:
     from wagtaildale.admission.state import AdmissionState
 
-FAST: Final = 0.1
-SLOW: Final = 0.005
-SLOWED: Final = 4.0
-NOTICEABLE_SECONDS: Final = 0.005
-SHRINK_FAILED: Final = 0.8
-SHRINK_SLOWED: Final = 0.95
+# Weights of a run in the smoothed run time and in its baseline.
+FAST_GAIN: Final = 0.1
+SLOW_GAIN: Final = 0.005
+# A server is slow at this multiple of its baseline. Shorter run times than
+# the minimum never count as slow.
+SLOWDOWN_RATIO: Final = 4.0
+MIN_SLOW_SECONDS: Final = 0.005
+FAILURE_FACTOR: Final = 0.8
+SLOWDOWN_FACTOR: Final = 0.95
+# Minimum time between two decreases of the limit.
 COOLDOWN_SECONDS: Final = 0.1
 
 
 @final
 class Ending(Enum):
-    """How a request at the backend server ended."""
+    """How a request ended at the backend server.
+
+    Attributes:
+        good: it was answered.
+        failed: the backend server shed or failed it.
+        abandoned: it ended for another reason, such as a disconnected caller.
+    """
 
     good = 'good'
     failed = 'failed'
@@ -41,68 +51,69 @@
     now: float,
     work_class: str = '',
 ) -> None:
-    """Note the time of a request and move the limit.
+    """Record the run time of a request and adjust the limit.
 
-    Multiplicative decrease when the backend server sheds, fails or has
-    become several times slower than it was; additive increase while the
-    limit is used up.
+    The limit decreases multiplicatively when the backend server sheds or
+    fails a request, or is several times slower than its baseline. It
+    increases additively while it is fully used.
 
     Args:
-        state: the gate; moved forward in place.
-        ending: how the request ended.
-        seconds: it spent at the backend server.
-        now: seconds.
-        work_class: service and class.
+        state: state of the gate; updated in place.
+        ending: how the request ended at the backend server.
+        seconds: time that the request spent at the backend server.
+        now: current time, seconds.
+        work_class: the request's service and class.
     """
     if ending is not Ending.failed:
-        _note_times(state, ending, seconds, work_class)
+        _record_run_time(state, ending, seconds, work_class)
     if ending is Ending.abandoned:
         return
     if ending is Ending.failed:
         if state.adaptive:
-            _shrink(state, SHRINK_FAILED, now)
+            _lower_limit(state, FAILURE_FACTOR, now)
         return
-    if not state.usual_seconds:
-        # Failure: the usual time starts from a guess, every answer looks
-        # slow beside it, and a healthy server is held to one slot.
-        state.usual_seconds = seconds
+    if not state.baseline_seconds:
+        # The baseline starts from the first run. If it started from an
+        # assumed value, every run could look slow next to it, which would
+        # reduce a healthy server to one slot.
+        state.baseline_seconds = seconds
         state.service_seconds = seconds
-    state.service_seconds += (seconds - state.service_seconds) * FAST
-    state.usual_seconds += (seconds - state.usual_seconds) * SLOW
+    state.service_seconds += (seconds - state.service_seconds) * FAST_GAIN
+    state.baseline_seconds += (seconds - state.baseline_seconds) * SLOW_GAIN
     known = state.class_seconds.get(work_class, seconds)
-    state.class_seconds[work_class] = known + (seconds - known) * FAST
+    state.class_seconds[work_class] = known + (seconds - known) * FAST_GAIN
     if not state.adaptive:
         return
     if _is_slowed(state):
-        _shrink(state, SHRINK_SLOWED, now)
+        _lower_limit(state, SLOWDOWN_FACTOR, now)
     elif len(state.running) + 1 >= int(state.limit):
         state.limit = min(state.slots, state.limit + 1 / state.limit)
 
 
-def _note_times(
+def _record_run_time(
     state: AdmissionState,
     ending: Ending,
     seconds: float,
     work_class: str,
 ) -> None:
-    usual = state.class_usual.setdefault(work_class, UsualTime())
-    ratio = seconds / usual.told if usual.told else 0
+    usual = state.class_run_times.setdefault(work_class, RunTimes())
+    ratio = seconds / usual.reliable_mean if usual.reliable_mean else 0
     if ending is Ending.abandoned:
         usual.note_abandoned(seconds)
-        state.condition.note_abandoned(ratio)
+        state.slowness.note_abandoned(ratio)
         return
     usual.note(seconds)
     if ratio:
-        state.condition.note(ratio)
+        state.slowness.note(ratio)
 
 
 def _is_slowed(state: AdmissionState) -> bool:
-    slowed = state.service_seconds > SLOWED * state.usual_seconds
-    return slowed and state.service_seconds > NOTICEABLE_SECONDS
+    slowed = state.service_seconds > SLOWDOWN_RATIO * state.baseline_seconds
+    return slowed and state.service_seconds > MIN_SLOW_SECONDS
 
 
-def _shrink(state: AdmissionState, factor: float, now: float) -> None:
-    if now - state.shrunk_at < COOLDOWN_SECONDS:
+def _lower_limit(state: AdmissionState, factor: float, now: float) -> None:
+    if now - state.lowered_at < COOLDOWN_SECONDS:
         return
     state.limit = max(1, state.limit * factor)
-    state.shrunk_at = now
+    state.lowered_at = now
--- a/wagtaildale/admission/queue.py
+++ b/wagtaildale/admission/queue.py
@@ -1,13 +1,12 @@
-"""Who waits at the gate, in which order, and how long.
-
-Load pattern answered: more requests than the server can carry, for seconds
-or for good. Served in the order they came, all of them wait until all of
-them are late, and the slots run what nobody is glad of any more. So a
-request that cannot be answered by its target is refused at once, while
-going elsewhere or coming back is still of use, and a free slot goes to the
-first request that can still be in time. One that cannot runs when nothing
-else of its rank waits, and is refused when a tenth of its time is over: its
-caller can still do something with the refusal then.
+"""Queues requests at the gate: which ones wait, in which order, how long.
+
+Under overload, first-in first-out order makes every request wait until it is
+late, and slots run requests whose responses are no longer of use. Therefore a
+request that cannot be answered by its target is refused at once, while a
+retry elsewhere or later can still succeed. A free slot goes to the first
+request that can still meet its target. A request that cannot meet it runs if
+no other request of its rank waits, and is refused after a tenth of its time,
+while its caller can still act on the refusal.
 """
 
 from __future__ import annotations
@@ -17,140 +16,144 @@
 
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
     Refused,
+    RequestArrived,
     Verdict,
 )
-from wagtaildale.admission.refusals import refuse_late, shed
-from wagtaildale.admission.state import AdmissionState, Waiting
+from wagtaildale.admission.refusals import refuse_overdue, refuse_overloaded
+from wagtaildale.admission.state import AdmissionState, QueuedRequest
 from wagtaildale.errors.codes import Code
 
 MILLISECONDS: Final = 1000
-# Of the time that a request has: how long it is held without a slot. Under
-# overload no slot is idle, and whoever was held for a quarter comes back with
-# the target missed, only to be refused again.
-HELD_SHARE: Final = 0.1
+# Share of its time that a request may wait for a slot past its target. Under
+# overload no slot is idle: after waiting a quarter of its time, a caller
+# retries with its target missed and is refused again.
+MAX_HOLD_SHARE: Final = 0.1
 
 
-def judge(
+def decide_arrival(
     state: AdmissionState,
-    message: Arrived,
+    message: RequestArrived,
     now: float,
 ) -> list[Verdict]:
-    """Decide on a request that has come.
+    """Decide on a request that has arrived.
 
     Args:
-        state: the gate; moved forward in place.
+        state: state of the gate; updated in place.
         message: the request.
-        now: seconds.
+        now: current time, seconds.
 
     Returns:
-        The verdict on it, or on one that it takes the place of; none while
-        it waits.
+        The verdict on the request, or on a queued one that it displaces;
+        empty if it waits and displaces none.
     """
     code = Code.draining if state.draining else Code.past_deadline
     if state.draining or message.deadline <= now:
         return [Refused(ticket=message.ticket, code=code)]
-    waiting = _make_waiting(state, message, now)
+    waiting = _build_queued(state, message, now)
     ahead = _count_ahead(state, waiting, now)
-    state.note_target(message.within_ms / MILLISECONDS)
-    state.rate.note_rank(message.rank, now=now)
+    state.note_target_seconds(message.within_ms / MILLISECONDS)
+    state.rate.note_request(message.rank, now=now)
     state.demand.note(
         message.pass_rank,
         stands_for=message.stands_for,
         now=now,
     )
-    if state.has_room_for(waiting, now) and not ahead:
+    if state.can_run(waiting, now) and not ahead:
         return [_admit(state, waiting, now)]
     return _enqueue(state, waiting, patient=message.patient, now=now)
 
 
-def _make_waiting(
+def _build_queued(
     state: AdmissionState,
-    message: Arrived,
+    message: RequestArrived,
     now: float,
-) -> Waiting:
-    seconds = state.find_seconds(message.work_class)
+) -> QueuedRequest:
+    seconds = state.estimate_run_seconds(message.work_class)
     within = message.within_ms / MILLISECONDS
-    due = now + within
-    latest = due - seconds
+    target_at = now + within
+    start_by = target_at - seconds
     if message.patient:
-        held = HELD_SHARE * (message.deadline - now)
-        latest = max(latest, now + held)
-    return Waiting(
+        held = MAX_HOLD_SHARE * (message.deadline - now)
+        start_by = max(start_by, now + held)
+    return QueuedRequest(
         rank=message.rank,
-        due=due,
+        target_at=target_at,
         ticket=message.ticket,
         deadline=message.deadline,
-        latest=min(latest, message.deadline),
-        seconds=seconds,
+        start_by=min(start_by, message.deadline),
+        run_seconds=seconds,
     )
 
 
 def _enqueue(
     state: AdmissionState,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     *,
     patient: bool,
     now: float,
 ) -> list[Verdict]:
     ahead = _count_ahead(state, waiting, now)
     start = now + state.estimate_wait(ahead, rank=waiting.rank, now=now)
-    if not _can_wait(waiting, start, patient=patient):
-        # An answer that cannot be in time is refused now, not late.
-        return [shed(state, waiting, now)]
+    if not _may_queue(waiting, start, patient=patient):
+        # Refused at once, not after a useless wait.
+        return [refuse_overloaded(state, waiting, now)]
     insort(state.queue, waiting)
-    if len(state.queue) <= state.queue_most:
+    if len(state.queue) <= state.max_queue_length:
         return []
-    # What can wait longest is shed first: the last of the queue.
-    return [shed(state, state.queue.pop(), now)]
+    # Shed the last in the queue, which can wait longest.
+    return [refuse_overloaded(state, state.queue.pop(), now)]
 
 
-def _can_wait(waiting: Waiting, start: float, *, patient: bool) -> bool:
+def _may_queue(waiting: QueuedRequest, start: float, *, patient: bool) -> bool:
     if waiting.is_in_time(start):
-        return start + waiting.seconds <= waiting.deadline
-    if not patient or start > waiting.latest:
+        return start + waiting.run_seconds <= waiting.deadline
+    if not patient or start > waiting.start_by:
         return False
-    return start + waiting.seconds <= waiting.deadline
+    return start + waiting.run_seconds <= waiting.deadline
 
 
-def _count_ahead(state: AdmissionState, waiting: Waiting, now: float) -> int:
+def _count_ahead(
+    state: AdmissionState, waiting: QueuedRequest, now: float
+) -> int:
     in_time = waiting.is_in_time(now)
     return sum(
-        _goes_first(other, waiting, now, in_time) for other in state.queue
+        _runs_before(other, waiting, now, in_time) for other in state.queue
     )
 
 
-def _goes_first(
-    other: Waiting,
-    waiting: Waiting,
+def _runs_before(
+    other: QueuedRequest,
+    waiting: QueuedRequest,
     now: float,
     in_time: bool,
 ) -> bool:
     if other.rank != waiting.rank:
         return other.rank < waiting.rank
-    # Of one rank those go first that can still be in time.
+    # Within a rank, requests that can still meet their target run first.
     other_in_time = other.is_in_time(now)
     if other_in_time != in_time:
         return other_in_time
-    return other.due < waiting.due
+    return other.target_at < waiting.target_at
 
 
-def _admit(state: AdmissionState, waiting: Waiting, now: float) -> Admitted:
+def _admit(
+    state: AdmissionState, waiting: QueuedRequest, now: float
+) -> Admitted:
     state.running[waiting.ticket] = now
-    state.rate.take(now=now)
+    state.rate.take_token(now=now)
     return Admitted(ticket=waiting.ticket)
 
 
-def end_leases(state: AdmissionState, now: float) -> list[Verdict]:
-    """Give back the slots whose run message did not come in time.
+def expire_leases(state: AdmissionState, now: float) -> list[Verdict]:
+    """Free the slots of leases that have expired without a run message.
 
     Args:
-        state: the gate; moved forward in place.
-        now: seconds.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Verdicts on requests that waited.
+        Verdicts on queued requests.
     """
     ended = [
         ticket for ticket, ends_at in state.leases.items() if ends_at <= now
@@ -162,16 +165,16 @@
 
 
 def admit_waiting(state: AdmissionState, now: float) -> list[Verdict]:
-    """Let those in the queue run that may now, and refuse those held too long.
+    """Admit queued requests that may run, and refuse those that are overdue.
 
     Args:
-        state: the gate; moved forward in place.
-        now: seconds.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Verdicts on requests that waited.
+        Verdicts on queued requests.
     """
-    verdicts = _refuse_held(state, now)
+    verdicts = _refuse_overdue(state, now)
     following = _find_next(state, now)
     while following is not None:
         state.queue.remove(following)
@@ -180,25 +183,25 @@
     return verdicts
 
 
-def _refuse_held(state: AdmissionState, now: float) -> list[Verdict]:
-    held = [waiting for waiting in state.queue if waiting.latest <= now]
+def _refuse_overdue(state: AdmissionState, now: float) -> list[Verdict]:
+    overdue = [waiting for waiting in state.queue if waiting.start_by <= now]
     verdicts: list[Verdict] = []
-    for waiting in held:
+    for waiting in overdue:
         state.queue.remove(waiting)
-        # With a slot free now it runs after all, though late.
-        if waiting.deadline > now and state.has_room_for(waiting, now):
+        # It still runs, though late, if a slot is free now.
+        if waiting.deadline > now and state.can_run(waiting, now):
             verdicts.append(_admit(state, waiting, now))
         else:
-            verdicts.append(refuse_late(state, waiting, now))
+            verdicts.append(refuse_overdue(state, waiting, now))
     return verdicts
 
 
-def _find_next(state: AdmissionState, now: float) -> Waiting | None:
-    late: Waiting | None = None
+def _find_next(state: AdmissionState, now: float) -> QueuedRequest | None:
+    late: QueuedRequest | None = None
     for waiting in state.queue:
         if late is not None and waiting.rank > late.rank:
             return late
-        if not state.has_room_for(waiting, now):
+        if not state.can_run(waiting, now):
             continue
         if waiting.is_in_time(now):
             return waiting
--- a/wagtaildale/admission/refusals.py
+++ b/wagtaildale/admission/refusals.py
@@ -1,4 +1,4 @@
-"""Why a request does not run, and when to ask again."""
+"""Builds refusals with their reason and the time after which to retry."""
 
 from __future__ import annotations
 
@@ -9,44 +9,47 @@
 
 if TYPE_CHECKING:
     from wagtaildale.admission.messages import Verdict
-    from wagtaildale.admission.state import AdmissionState, Waiting
+    from wagtaildale.admission.state import AdmissionState, QueuedRequest
 
 
-def refuse_late(
+def refuse_overdue(
     state: AdmissionState,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     now: float,
 ) -> Refused:
-    """Refuse a request that was held for too long.
+    """Refuse a request that has waited past its latest start.
 
     Args:
-        state: the gate.
-        waiting: the request.
-        now: seconds.
+        state: state of the gate.
+        waiting: the request to refuse.
+        now: current time, seconds.
 
     Returns:
         The refusal.
     """
     if state.rate.has_token(waiting.rank, now=now):
-        return refuse(state, waiting, Code.past_deadline, now)
-    return refuse(state, waiting, Code.rate_limited, now)
+        return build_refusal(state, waiting, Code.past_deadline, now)
+    return build_refusal(state, waiting, Code.rate_limited, now)
 
 
-def shed(state: AdmissionState, waiting: Waiting, now: float) -> Refused:
-    """Refuse a request that there is no room for.
+def refuse_overloaded(
+    state: AdmissionState, waiting: QueuedRequest, now: float
+) -> Refused:
+    """Refuse a request that the backend server has no capacity for.
 
     Args:
-        state: the gate.
-        waiting: the request.
-        now: seconds.
+        state: state of the gate.
+        waiting: the request to refuse.
+        now: current time, seconds.
 
     Returns:
-        The refusal; its code says whether slots or a rate are short.
+        The refusal; its code tells whether slots or the rate limit are the
+        cause.
     """
     ahead = len(state.queue)
     slot_wait = state.estimate_slot_wait(ahead)
     if state.rate.find_wait(waiting.rank, ahead=ahead, now=now) > slot_wait:
-        return refuse(state, waiting, Code.rate_limited, now)
+        return build_refusal(state, waiting, Code.rate_limited, now)
     return Refused(
         ticket=waiting.ticket,
         code=Code.overloaded,
@@ -54,19 +57,19 @@
     )
 
 
-def refuse(
+def build_refusal(
     state: AdmissionState,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     code: Code,
     now: float,
 ) -> Refused:
-    """Refuse a request that waits.
+    """Build the refusal of a request, with its estimated wait.
 
     Args:
-        state: the gate.
-        waiting: the request.
-        code: why.
-        now: seconds.
+        state: state of the gate.
+        waiting: the request to refuse.
+        code: reason of the refusal.
+        now: current time, seconds.
 
     Returns:
         The refusal.
@@ -80,11 +83,11 @@
 
 
 def refuse_all(state: AdmissionState, code: Code) -> list[Verdict]:
-    """Refuse those in the queue.
+    """Refuse all queued requests.
 
     Args:
-        state: the gate; moved forward in place.
-        code: why.
+        state: state of the gate; updated in place.
+        code: reason of the refusals.
 
     Returns:
         The refusals.
@@ -94,27 +97,29 @@
     return [Refused(ticket=each.ticket, code=code) for each in waiting]
 
 
-def refuse_hopeless(state: AdmissionState, now: float) -> list[Verdict]:
-    """Refuse those in the queue that a named rate leaves no time for.
+def refuse_rate_limited(state: AdmissionState, now: float) -> list[Verdict]:
+    """Refuse queued requests that the rate limit delays past their start time.
 
-    Failure guarded here: a limit is named or falls, and requests that were
-    to run in some milliseconds are held until they are late, only to be
-    refused.
+    When a server names or lowers a limit, requests that expected to run
+    within milliseconds would otherwise wait until they are late and be
+    refused then.
 
     Args:
-        state: the gate; moved forward in place.
-        now: seconds.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
         The refusals.
     """
-    kept: list[Waiting] = []
+    kept: list[QueuedRequest] = []
     verdicts: list[Verdict] = []
     for waiting in state.queue:
         wait = state.rate.find_wait(waiting.rank, ahead=len(kept), now=now)
-        if now + wait <= waiting.latest:
+        if now + wait <= waiting.start_by:
             kept.append(waiting)
         else:
-            verdicts.append(refuse(state, waiting, Code.rate_limited, now))
+            verdicts.append(
+                build_refusal(state, waiting, Code.rate_limited, now)
+            )
     state.queue = kept
     return verdicts
--- a/wagtaildale/admission/server_messages.py
+++ b/wagtaildale/admission/server_messages.py
@@ -1,26 +1,27 @@
-"""What the gate is told of the backend server behind it."""
+"""Messages that inform the gate about its backend server."""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
 
-class SlotsTold(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has published how many requests it runs at once.
+class SlotsPublished(Struct, frozen=True, kw_only=True, gc=False):
+    """The backend server has published its number of slots.
 
     Attributes:
-        slots: the number; it then bounds what runs, and nothing is guessed.
-            0 if it does not tell.
+        slots: concurrent requests that it accepts, which becomes the fixed
+            limit instead of an adaptive one; 0 if it does not publish any.
     """
 
     slots: int
 
 
-class RateTold(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has answered, and perhaps named a rate.
+class RateReported(Struct, frozen=True, kw_only=True, gc=False):
+    """The backend server has responded, with or without a rate limit.
 
     Attributes:
-        per_second: requests that it takes; nothing if it names no limit.
+        per_second: requests per second that it accepts; None if the response
+            names no limit.
         begun_at: when the request was sent to it, seconds.
     """
 
@@ -28,33 +29,33 @@
     begun_at: float
 
 
-class RateBrought(Struct, frozen=True, kw_only=True, gc=False):
-    """An entry has heard of a rate from an earlier owner of the server.
+class RateForwarded(Struct, frozen=True, kw_only=True, gc=False):
+    """An entry has forwarded a rate limit from an earlier owner.
 
     Attributes:
-        per_second: requests that the server takes.
+        per_second: requests per second that the backend server accepts.
     """
 
     per_second: float
 
 
-class ServerStarted(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has ended; the next one has named nothing."""
+class ServerRestarted(Struct, frozen=True, kw_only=True, gc=False):
+    """The backend server has ended; its successor has named no limit yet."""
 
 
-class ServerLeaves(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has said that it leaves: nobody waits for it."""
+class LeavingReported(Struct, frozen=True, kw_only=True, gc=False):
+    """The backend server is leaving: queued requests are refused."""
 
 
 class ProbeSent(Struct, frozen=True, kw_only=True, gc=False):
-    """The node has sent the backend server a request of its own."""
+    """The node has sent its own request, such as a health check."""
 
 
 ServerMessage = (
-    SlotsTold
-    | RateTold
-    | RateBrought
-    | ServerStarted
-    | ServerLeaves
+    SlotsPublished
+    | RateReported
+    | RateForwarded
+    | ServerRestarted
+    | LeavingReported
     | ProbeSent
 )
--- a/wagtaildale/suspects/board.py
+++ b/wagtaildale/suspects/snapshots.py
@@ -1,4 +1,4 @@
-"""What calls read of suspected requests, and tell of them."""
+"""Snapshots of the suspected requests, as calls read them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     Record,
     Standing,
     Suspicion,
-    find_wait,
-    judge,
+    find_retry_after,
+    find_standing,
 )
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import InstanceId
@@ -27,55 +27,55 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
 
-    from wagtaildale.suspects.messages import Told
+    from wagtaildale.suspects.messages import SuspectMessage
 
 NOTHING_KNOWN = Record()
 
 
 class Judgement(Struct, frozen=True, kw_only=True):
-    """Whether a request may run.
+    """Decision whether and where a request may run.
 
     Attributes:
-        standing: whether it may.
-        ends: servers that ended one after the other under it.
-        wait_seconds: what its caller is told to wait where it may not.
-        places: nodes whose servers' end was the last of them.
-        age_seconds: since that was known here.
-        is_confined: whether it runs like others, but there alone.
+        standing: whether it may run.
+        ends: servers that ended under it, one after the other.
+        wait_seconds: retry delay for its caller if it may not run.
+        nodes: nodes beside the servers that ended last.
+        age_seconds: seconds since this node learned of the last end.
+        is_confined: whether it runs without a trial, but only at ``nodes``.
     """
 
     standing: Standing
     ends: int
     wait_seconds: float
-    places: tuple[InstanceId, ...] = ()
+    nodes: tuple[InstanceId, ...] = ()
     age_seconds: float = 0
     is_confined: bool = False
 
 
 class Suspects(Struct, frozen=True):
-    """The suspected requests at one moment; never changed.
+    """Immutable snapshot of the suspected requests.
 
     Attributes:
-        records: by fingerprint.
-        worst: of what is asked for, whoever asks, the gravest record of
-            those who were never answered.
+        records: records by fingerprint.
+        worst: record with the most ends of each subject, among callers that
+            were never answered.
     """
 
     records: Mapping[Fingerprint, Record] = {}
     worst: Mapping[Subject, Record] = {}
 
     def find(self, fingerprint: Fingerprint) -> Record:
-        """Find what is known of a request.
+        """Find the record that applies to a request.
 
-        Whether a request ends servers may depend on who sends it, or may
-        not. Until a caller has got an answer, what others with the same
-        request have done counts against it.
+        Whether a request ends servers may depend on its caller. Until a
+        caller was answered, ends under the same request of other callers
+        count for it as well.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
 
         Returns:
-            What is held of it.
+            The record; ``NOTHING_KNOWN`` if the request is not suspected.
         """
         if not self.records:
             return NOTHING_KNOWN
@@ -85,14 +85,16 @@
         shared = self.worst.get(find_subject(fingerprint), NOTHING_KNOWN)
         return max(own, shared, key=_read_ends)
 
-    def list_alike(self, fingerprint: Fingerprint) -> dict[Fingerprint, Record]:
-        """List what is known of the same request, whoever sends it.
+    def list_same_subject(
+        self, fingerprint: Fingerprint
+    ) -> dict[Fingerprint, Record]:
+        """List the records of a request for all of its callers.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
 
         Returns:
-            The records by fingerprint.
+            Records by fingerprint.
         """
         subject = find_subject(fingerprint)
         return {
@@ -102,11 +104,11 @@
         }
 
 
-def show_suspects(records: Mapping[Fingerprint, Record]) -> Suspects:
-    """Make the snapshot that calls read.
+def build_suspects(records: Mapping[Fingerprint, Record]) -> Suspects:
+    """Build the snapshot that calls read.
 
     Args:
-        records: all that are held.
+        records: all records of the node, by fingerprint.
 
     Returns:
         The snapshot.
@@ -120,69 +122,74 @@
     return Suspects(dict(records), worst)
 
 
-class SuspectBoard:
-    """Holds the reference that every call reads and one task swaps.
+class SuspectsHolder:
+    """Holds the current snapshot, which calls read and one task replaces.
 
     Attributes:
-        current: what calls go by.
-        listeners: are told in the thread of that task when it was swapped.
+        current: snapshot that calls read.
+        listeners: called in the thread of that task after each replacement.
     """
 
-    def __init__(self, post: Callable[[Told], None]) -> None:
-        """Begin with nothing known.
+    def __init__(self, post: Callable[[SuspectMessage], None]) -> None:
+        """Start with an empty snapshot.
 
         Args:
-            post: takes what calls learn to the task that swaps.
+            post: sends what calls learn to the task that replaces snapshots.
         """
         self.current = Suspects()
         self.listeners: list[Callable[[], None]] = []
         self._post = post
 
-    def show(self, suspects: Suspects) -> None:
-        """Swap in what is known now.
+    def publish(self, suspects: Suspects) -> None:
+        """Replace the snapshot and call the listeners.
 
         Args:
-            suspects: a later snapshot.
+            suspects: the new snapshot.
         """
         self.current = suspects
-        for tell in self.listeners:
-            tell()
+        for notify in self.listeners:
+            notify()
 
-    def judge(self, fingerprint: Fingerprint, *, told: int) -> Judgement:
-        """Judge whether a request may run now; note a harmful one.
+    def judge(
+        self,
+        fingerprint: Fingerprint,
+        *,
+        reported_ends: int,
+    ) -> Judgement:
+        """Decide whether a request may run now, and report a harmful one.
 
         Args:
-            fingerprint: of the request.
-            told: servers that ended under it, as far as came with its call.
+            fingerprint: fingerprint of the request.
+            reported_ends: servers that ended under it, as its call reports.
 
         Returns:
             The judgement.
         """
         record = self.current.find(fingerprint)
         now = read_clock()
-        ends = max(told, record.ends)
-        since = now if told > record.ends else record.since
-        standing = judge(ends, since=since, now=now)
-        is_new = told > record.ends
+        ends = max(reported_ends, record.ends)
+        since = now if reported_ends > record.ends else record.since
+        standing = find_standing(ends, since=since, now=now)
+        is_new = reported_ends > record.ends
         is_fresh = now - since < CONFINED_SECONDS
         if standing is Standing.harmful:
             self._post(RequestRefused(fingerprint))
         return Judgement(
             standing=standing,
             ends=ends,
-            wait_seconds=find_wait(ends, since=since, now=now),
-            places=() if is_new else record.places,
+            wait_seconds=find_retry_after(ends, since=since, now=now),
+            nodes=() if is_new else record.nodes,
             age_seconds=now - since,
             is_confined=0 < ends < TRIAL_ENDS
             and is_fresh
-            and (is_new or bool(record.places)),
+            and (is_new or bool(record.nodes)),
         )
 
-    def count_grave(self) -> int:
-        """Count the requests that are run alone, or not at all.
+    def count_restricted(self) -> int:
+        """Count the requests that run only as a trial, or not at all.
 
         Returns:
-            How many there are.
+            Their number.
         """
         records = self.current.records.values()
         return sum(record.ends >= TRIAL_ENDS for record in records)
@@ -191,13 +198,14 @@
         self,
         ends: Iterable[tuple[Fingerprint, int]],
         *,
-        places: tuple[InstanceId, ...],
+        nodes: tuple[InstanceId, ...],
     ) -> None:
-        """Tell that a server ended while it ran requests.
+        """Report that a server ended while it ran requests.
 
         Args:
-            ends: of each request, how many in series that makes.
-            places: this node, if the requests are to run there alone.
+            ends: fingerprint of each request, with the number of servers that
+                ended under it one after the other, this one included.
+            nodes: this node if the requests are confined to it, else empty.
         """
         known = self.current.records
         self._post(
@@ -207,7 +215,7 @@
                         fingerprint,
                         known.get(fingerprint, NOTHING_KNOWN).clearings,
                         count,
-                        places=places,
+                        nodes=nodes,
                     )
                     for fingerprint, count in ends
                 ),
@@ -215,10 +223,10 @@
         )
 
     def note_answered(self, fingerprint: Fingerprint) -> None:
-        """Tell that a server has run a request to its end.
+        """Report that a server has answered a request.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
         """
         if self.current.find(fingerprint).ends:
             self._post(RequestAnswered(fingerprint))
--- a/wagtaildale/suspects/table.py
+++ b/wagtaildale/suspects/table.py
@@ -1,8 +1,8 @@
-"""The suspected requests as one node knows them.
+"""Table of the suspected requests that one node knows.
 
-What is known of a request is ordered by how often it was cleared, then by
-how many servers ended since. Merging takes the greater, so word of it may
-come late, twice or crossed.
+Records of a request are ordered by the number of clearings, then by the ends
+since the last clearing. A merge keeps the greater record, so suspicions may
+arrive late, repeatedly or out of order.
 """
 
 from __future__ import annotations
@@ -12,127 +12,132 @@
 
 from msgspec import Struct, field, structs
 
-from wagtaildale.suspects.board import NOTHING_KNOWN, Suspects, show_suspects
 from wagtaildale.suspects.fingerprints import Fingerprint
 from wagtaildale.suspects.records import (
     TRIAL_ENDS,
     Record,
     Suspicion,
-    join_places,
+    merge_nodes,
+)
+from wagtaildale.suspects.snapshots import (
+    NOTHING_KNOWN,
+    Suspects,
+    build_suspects,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# A server that ends brings as many as it has slots; some hundred bytes each.
-CAPACITY: Final = 2048
-# Between two changes of when a request came last.
-SHOWN_SECONDS: Final = 1.0
+# A server that ends adds as many records as it has slots, of some hundred
+# bytes each.
+MAX_RECORDS: Final = 2048
+# Minimum time between two updates of ``seen_at``.
+SEEN_UPDATE_SECONDS: Final = 1.0
 
 
 class SuspectTable(Struct, kw_only=True):
-    """Suspected requests, the least grave given up where there is no room.
+    """Suspected requests; if full, those with the fewest ends are evicted.
 
     Attributes:
-        records: by fingerprint.
-        current: the snapshot of them, until they change.
+        records: records by fingerprint.
+        current: cached snapshot of the records; None after a change.
     """
 
     records: dict[Fingerprint, Record] = field(default_factory=dict)
     current: Suspects | None = None
 
     def merge(self, suspicion: Suspicion, *, now: float) -> bool:
-        """Take what somebody has learned of a request.
+        """Merge a suspicion into the table.
 
         Args:
-            suspicion: what was learned.
-            now: seconds.
+            suspicion: suspicion of this node or of another one.
+            now: current time, seconds.
 
         Returns:
-            Whether that is news here.
+            Whether the table has changed.
         """
         held = self.records.get(suspicion.fingerprint, NOTHING_KNOWN)
         record = Record(
             clearings=suspicion.clearings,
             ends=suspicion.ends,
             since=now,
-            seen_at=max(held.seen_at, now - suspicion.age_s),
-            places=join_places(suspicion.places, ()),
+            seen_at=max(held.seen_at, now - suspicion.age_seconds),
+            nodes=merge_nodes(suspicion.nodes, ()),
         )
-        over = now - record.seen_at > record.kept_seconds
-        if over or record.order < held.order:
+        is_expired = now - record.seen_at > record.retention_seconds
+        if is_expired or record.order < held.order:
             return False
         if record.order == held.order:
-            places = join_places(record.places, held.places)
-            if places == held.places:
+            nodes = merge_nodes(record.nodes, held.nodes)
+            if nodes == held.nodes:
                 return False
-            record = structs.replace(record, since=held.since, places=places)
-        self._keep(suspicion.fingerprint, record)
+            record = structs.replace(record, since=held.since, nodes=nodes)
+        self._store(suspicion.fingerprint, record)
         return True
 
     def is_behind(self, suspicion: Suspicion) -> bool:
-        """Tell whether whoever told of a request knows less than this node.
+        """Tell whether a suspicion is older than this node's record.
 
         Args:
-            suspicion: what was told.
+            suspicion: suspicion that another node sent.
 
         Returns:
-            Whether to tell it what is held here.
+            Whether its sender should get the record of this node.
         """
         held = self.records.get(suspicion.fingerprint, NOTHING_KNOWN)
-        told = (suspicion.clearings, suspicion.ends)
-        if held.order == told:
-            return not set(held.places) <= set(suspicion.places)
-        return held.order > told
+        received = (suspicion.clearings, suspicion.ends)
+        if held.order == received:
+            return not set(held.nodes) <= set(suspicion.nodes)
+        return held.order > received
 
     def clear(self, fingerprint: Fingerprint, *, now: float) -> Record:
-        """Note that a suspected request was run to its end.
+        """Clear a suspected request that was answered.
 
         Args:
-            fingerprint: of the request.
-            now: seconds.
+            fingerprint: fingerprint of the request.
+            now: current time, seconds.
 
         Returns:
-            What was held of it before.
+            Its record before the call.
         """
         held = self.records.get(fingerprint, NOTHING_KNOWN)
         record = Record(clearings=held.clearings + 1, since=now, seen_at=now)
-        self._keep(fingerprint, record)
+        self._store(fingerprint, record)
         return held
 
     def note_seen(self, fingerprint: Fingerprint, *, now: float) -> bool:
-        """Note that a request has come again and was not run.
+        """Record that a request was received again and was not run.
 
-        Failure guarded here: a request comes for hours, each time refused,
-        is forgotten while it still comes, and ends servers anew.
+        Without this, the record of a request that is received and refused for
+        hours would expire meanwhile, and the request would end servers again.
 
         Args:
-            fingerprint: of the request.
-            now: seconds.
+            fingerprint: fingerprint of the request.
+            now: current time, seconds.
 
         Returns:
-            Whether that is worth showing: once a second.
+            Whether the record has changed, at most once a second.
         """
         held = self.records.get(fingerprint)
-        if held is None or now - held.seen_at < SHOWN_SECONDS:
+        if held is None or now - held.seen_at < SEEN_UPDATE_SECONDS:
             return False
         self.records[fingerprint] = structs.replace(held, seen_at=now)
         self.current = None
         return True
 
     def forget_old(self, *, now: float) -> bool:
-        """Forget what has not come for long.
+        """Remove records of requests that were not received for long.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Whether anything was forgotten.
+            Whether any record was removed.
         """
         old = [
             fingerprint
             for fingerprint, record in self.records.items()
-            if now - record.seen_at > record.kept_seconds
+            if now - record.seen_at > record.retention_seconds
         ]
         for fingerprint in old:
             self.records.pop(fingerprint)
@@ -140,14 +145,14 @@
             self.current = None
         return bool(old)
 
-    def show(self) -> Suspects:
-        """Give the snapshot that calls read.
+    def get_snapshot(self) -> Suspects:
+        """Return the snapshot that calls read.
 
         Returns:
-            All that are held, as they stand.
+            Snapshot of all current records.
         """
         if self.current is None:
-            self.current = show_suspects(self.records)
+            self.current = build_suspects(self.records)
         return self.current
 
     def describe(
@@ -156,14 +161,14 @@
         *,
         now: float,
     ) -> tuple[Suspicion, ...]:
-        """Describe records to other nodes.
+        """Build the suspicions to send to other nodes.
 
         Args:
-            fingerprints: of those held here.
-            now: seconds.
+            fingerprints: fingerprints of records in this table.
+            now: current time, seconds.
 
         Returns:
-            One suspicion each.
+            One suspicion for each fingerprint.
         """
         records = ((name, self.records[name]) for name in fingerprints)
         return tuple(
@@ -172,16 +177,18 @@
                 record.clearings,
                 record.ends,
                 max(0, int(now - record.seen_at)),
-                record.places,
+                record.nodes,
             )
             for name, record in records
         )
 
-    def list_grave(self) -> list[Fingerprint]:
-        """List the requests that all nodes are to know of.
+    def list_restricted(self) -> list[Fingerprint]:
+        """List the requests that run only as a trial, or not at all.
+
+        All nodes have to know them.
 
         Returns:
-            Those that are not run like others.
+            Their fingerprints, sorted.
         """
         return sorted(
             fingerprint
@@ -189,27 +196,27 @@
             if record.ends >= TRIAL_ENDS
         )
 
-    def sum_up(self) -> int:
-        """Sum up what all nodes are to know.
+    def compute_checksum(self) -> int:
+        """Compute a checksum of the records that all nodes have to know.
 
         Returns:
-            A number that is alike at two nodes that know the same; 0 for
-            nothing.
+            Checksum that is equal at two nodes with the same such records; 0
+            if there are none.
         """
         total = 0
-        for fingerprint in self.list_grave():
+        for fingerprint in self.list_restricted():
             record = self.records[fingerprint]
             total = crc32(b'%b%d.%d' % (fingerprint, *record.order), total)
-            total = crc32(' '.join(record.places).encode(), total)
+            total = crc32(' '.join(record.nodes).encode(), total)
         return total
 
-    def _keep(self, fingerprint: Fingerprint, record: Record) -> None:
+    def _store(self, fingerprint: Fingerprint, record: Record) -> None:
         self.records[fingerprint] = record
         self.current = None
-        if len(self.records) > CAPACITY:
-            least = min(self.records, key=self._weigh)
+        if len(self.records) > MAX_RECORDS:
+            least = min(self.records, key=self._rank_for_eviction)
             self.records.pop(least)
 
-    def _weigh(self, fingerprint: Fingerprint) -> tuple[int, float]:
+    def _rank_for_eviction(self, fingerprint: Fingerprint) -> tuple[int, float]:
         record = self.records[fingerprint]
         return (record.ends, record.seen_at)
--- a/wagtaildale/timers/alarms.py
+++ b/wagtaildale/timers/alarms.py
@@ -2,7 +2,8 @@
 
 ``TimerService`` sends ticks to other tasks' inboxes. A task that owns sockets
 needs thousands of short deadlines, one or two for each call, most of which
-are cancelled: those ring inside its own loop, without a hand-over.
+are cancelled. These alarms fire inside the task's own loop, without messages
+between threads.
 """
 
 from __future__ import annotations
@@ -15,39 +16,39 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LONGEST_WAIT: Final = 1.0
+MAX_WAIT_SECONDS: Final = 1.0
 
 
 class Alarm:
-    """Something to do at a time, unless it is cancelled before.
+    """Calls a function at a given time unless it is cancelled before.
 
     Attributes:
-        at: seconds on the clock.
+        at: time on the clock, seconds.
     """
 
     __slots__ = ('_action', 'at')
 
     def __init__(self, at: float, action: Callable[[], None]) -> None:
-        """Set the time.
+        """Set the alarm.
 
         Args:
-            at: seconds on the clock.
-            action: what to do then.
+            at: time on the clock, seconds.
+            action: function that is called at that time.
         """
         self.at = at
         self._action: Callable[[], None] | None = action
 
     @property
     def is_set(self) -> bool:
-        """Whether it has neither rung nor been cancelled."""
+        """Whether the alarm has neither fired nor been cancelled."""
         return self._action is not None
 
     def cancel(self) -> None:
-        """Do nothing at that time."""
+        """Cancel the alarm."""
         self._action = None
 
-    def ring(self) -> None:
-        """Do what was set, once."""
+    def fire(self) -> None:
+        """Call the function, unless the alarm was cancelled or has fired."""
         action = self._action
         self._action = None
         if action is not None:
@@ -60,12 +61,12 @@
     Example:
         >>> alarms = Alarms()
         >>> alarm = alarms.set(0, lambda: print('now'))
-        >>> alarms.ring(alarm.at)
+        >>> alarms.fire_due(alarm.at)
         now
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty set of alarms."""
         self._heap: list[tuple[float, int, Alarm]] = []
         self._sequence = 0
 
@@ -73,23 +74,23 @@
         """Set an alarm.
 
         Args:
-            seconds: from now.
-            action: what to do then.
+            seconds: time from now.
+            action: function that is called at that time.
 
         Returns:
-            The alarm, to cancel it.
+            The alarm, which can be cancelled.
         """
         return self.set_at(read_clock() + seconds, action)
 
     def set_at(self, at: float, action: Callable[[], None]) -> Alarm:
-        """Set an alarm for a time on the clock.
+        """Set an alarm at a given time.
 
         Args:
-            at: seconds on the clock.
-            action: what to do then.
+            at: time on the clock, seconds.
+            action: function that is called at that time.
 
         Returns:
-            The alarm, to cancel it.
+            The alarm, which can be cancelled.
         """
         alarm = Alarm(at, action)
         self._sequence += 1
@@ -97,25 +98,25 @@
         return alarm
 
     def find_delay(self, now: float) -> float:
-        """Find how long the task may wait.
+        """Compute how long the task may wait.
 
         Args:
-            now: seconds on the clock.
+            now: current time on the clock, seconds.
 
         Returns:
-            Seconds until the next alarm, ``LONGEST_WAIT`` at most.
+            Seconds until the next alarm, at most ``MAX_WAIT_SECONDS``.
         """
         while self._heap and not self._heap[0][2].is_set:
             heapq.heappop(self._heap)
         if not self._heap:
-            return LONGEST_WAIT
-        return min(LONGEST_WAIT, max(0, self._heap[0][0] - now))
+            return MAX_WAIT_SECONDS
+        return min(MAX_WAIT_SECONDS, max(0, self._heap[0][0] - now))
 
-    def ring(self, now: float) -> None:
-        """Ring every alarm whose time has come.
+    def fire_due(self, now: float) -> None:
+        """Fire every alarm that is due.
 
         Args:
-            now: seconds on the clock.
+            now: current time on the clock, seconds.
         """
         while self._heap and self._heap[0][0] <= now:
-            heapq.heappop(self._heap)[2].ring()
+            heapq.heappop(self._heap)[2].fire()
