--- a/properties/test_attempts.py
+++ b/properties/test_attempts.py
@@ -55,7 +55,7 @@
         failure = CallFailed(code, outcome=outcome)
         self.may_have_run = self.may_have_run or ran
         self.attempts.tried.append(InstanceId(str(self.sent)))
-        if self.attempts.may_retry(
+        if self.attempts.take_retry(
             failure,
             now=self.now,
             replayable=replayable,
--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -282,7 +282,7 @@
         Args:
             frame: how much the owner has passed on.
         """
-        self._window.note_taken(frame.count)
+        self._window.add_credit(frame.count)
         self.send_body()
 
     def on_cut(self) -> None:
--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -100,7 +100,7 @@
         elif code is Code.rate_limited:
             self.was_limited = True
 
-    def list_useless(self) -> frozenset[InstanceId]:
+    def list_excluded(self) -> frozenset[InstanceId]:
         """List the upstreams that need not be asked again.
 
         Returns:
@@ -111,7 +111,7 @@
             return frozenset(self.tried)
         return frozenset(self.tried).difference(self.busy)
 
-    def may_retry(
+    def take_retry(
         self,
         failure: CallFailed,
         *,
@@ -141,7 +141,7 @@
         self.retries_left -= 1
         return True
 
-    def may_ask_elsewhere(self, failure: CallFailed, *, now: float) -> bool:
+    def take_redirect(self, failure: CallFailed, *, now: float) -> bool:
         """Decide after an owner refused the call unrun.
 
         Where no backend server has seen the request, asking another owner
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -105,7 +105,7 @@
     def begin(self) -> None:
         """Send the request, or give the answer kept for its key."""
         owner = self._owner
-        if owner.trials.may_end(self._run):
+        if owner.trials.is_suspected(self._run):
             # The server that ended under it may be back in a moment.
             owner.pool.watch.wait_up(self._begin)
         else:
@@ -130,7 +130,7 @@
             count: bytes that the entry has passed on.
         """
         if self._response is not None:
-            self._response.window.note_taken(count)
+            self._response.window.add_credit(count)
             self._pass_on()
 
     def close(self) -> None:
@@ -201,7 +201,7 @@
             owner.trials.ends.hold(
                 CutRun(
                     instance=self._target,
-                    fingerprint=owner.trials.identify(self._run),
+                    fingerprint=owner.trials.find_fingerprint(self._run),
                     ends=self._ends,
                     is_leaving=owner.server.leaving.is_leaving(self._target),
                     conclude=partial(self._conclude_cut, failure),
--- a/wagtaildale/calls/budgets.py
+++ b/wagtaildale/calls/budgets.py
@@ -34,19 +34,19 @@
     """What repeats an entry may make of its requests to a service.
 
     Attributes:
-        per_request: earned by each request.
-        kept_seconds: after which what was earned is forgotten.
+        tokens_per_request: earned by each request.
+        token_lifetime_seconds: after which what was earned is forgotten.
         slack: repeats beyond those earned.
-        slack_seconds: after which the slack is given anew.
+        slack_period_seconds: after which the slack is given anew.
     """
 
-    per_request: float
-    kept_seconds: float
+    tokens_per_request: float
+    token_lifetime_seconds: float
     slack: float
-    slack_seconds: float
+    slack_period_seconds: float
 
 
-def share_retries(bounds: BoundSettings, *, entries: int) -> RetryShare:
+def compute_retry_share(bounds: BoundSettings, *, entries: int) -> RetryShare:
     """Find this entry's share of the repeats that operators allow.
 
     Args:
@@ -57,10 +57,10 @@
         What one may spend.
     """
     return RetryShare(
-        per_request=SHARE_USED * bounds.retry_share,
-        kept_seconds=WINDOW_KEPT * bounds.retry_window_seconds,
+        tokens_per_request=SHARE_USED * bounds.retry_share,
+        token_lifetime_seconds=WINDOW_KEPT * bounds.retry_window_seconds,
         slack=SLACK_USED * bounds.retry_slack / max(1, entries),
-        slack_seconds=bounds.retry_window_seconds,
+        slack_period_seconds=bounds.retry_window_seconds,
     )
 
 
@@ -107,10 +107,10 @@
             now: seconds.
         """
         self._pass_time(now)
-        self._part += self.share.per_request
+        self._part += self.share.tokens_per_request
         if self._part >= 1:
             self._part -= 1
-            self._earned.append(now + self.share.kept_seconds)
+            self._earned.append(now + self.share.token_lifetime_seconds)
 
     def spend(self, *, now: float) -> bool:
         """Spend one repeat.
@@ -134,5 +134,5 @@
         while self._earned and self._earned[0] < now:
             self._earned.popleft()
         if self._slack_until <= now:
-            self._slack_until = now + self.share.slack_seconds
+            self._slack_until = now + self.share.slack_period_seconds
             self._slack = int(self.share.slack + random.random())
--- a/wagtaildale/calls/time_given.py
+++ b/wagtaildale/calls/caller_timeouts.py
@@ -16,20 +16,22 @@
 KEPT: Final = 0.999
 
 
-class TimesGiven:
+class CallerTimeouts:
     """The longest time that callers of each class give.
 
     Example:
-        >>> times = TimesGiven()
-        >>> times.find_used_ms('a/b', 1000), times.find_used_ms('a/b', 700)
-        (0, 290)
+        >>> timeouts = CallerTimeouts()
+        >>> timeouts.estimate_elapsed_ms('a/b', 1000)
+        0
+        >>> timeouts.estimate_elapsed_ms('a/b', 700)
+        290
     """
 
     def __init__(self) -> None:
         """Begin with none."""
         self._longest: dict[str, float] = {}
 
-    def find_used_ms(self, work_class: str, given_ms: int) -> int:
+    def estimate_elapsed_ms(self, work_class: str, given_ms: int) -> int:
         """Find how much time a request has used.
 
         Args:
--- a/wagtaildale/calls/descriptions.py
+++ b/wagtaildale/calls/descriptions.py
@@ -22,7 +22,7 @@
     from wagtaildale.calls.attempts import Attempts
     from wagtaildale.calls.fields import AnswerFields
     from wagtaildale.calls.frames import Load
-    from wagtaildale.calls.routed import Routed
+    from wagtaildale.calls.routed_call import RoutedCall
 
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
@@ -88,7 +88,7 @@
     )
 
 
-def name_class(routed: Routed) -> str:
+def name_class(routed: RoutedCall) -> str:
     """Name the class of a call.
 
     Args:
@@ -101,7 +101,7 @@
 
 
 def describe_call(
-    routed: Routed,
+    routed: RoutedCall,
     upstream: UpstreamStatistics,
     attempts: Attempts,
     sending: Sending,
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -7,13 +7,13 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.budgets import RetryBudget
 from wagtaildale.calls.entry_call import EntryCall
-from wagtaildale.calls.hedges import HedgeClocks
+from wagtaildale.calls.hedges import HedgeDelays
 from wagtaildale.calls.targets import Targets
 from wagtaildale.timers.service import read_clock
 
 if TYPE_CHECKING:
     from wagtaildale.calls.exchanges import Exchange
-    from wagtaildale.calls.routed import EntryParts
+    from wagtaildale.calls.routed_call import EntryParts
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.types import ServiceName
 
@@ -28,7 +28,7 @@
     Attributes:
         parts: of the node.
         targets: chooses upstreams.
-        clocks: tell when an attempt is slow.
+        hedge_delays: tell when an attempt is slow.
     """
 
     def __init__(self, parts: EntryParts) -> None:
@@ -39,7 +39,7 @@
         """
         self.parts = parts
         self.targets = Targets(parts)
-        self.clocks = HedgeClocks()
+        self.hedge_delays = HedgeDelays()
         self._budgets: dict[ServiceName, RetryBudget] = {}
 
     def answer(self, exchange: Exchange) -> None:
@@ -52,7 +52,7 @@
         exchange.receiver = call
         call.start()
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Keep connections, notes and budgets in step with the view."""
         parts = self.parts
         now = read_clock()
@@ -70,10 +70,10 @@
                 if self._is_wanted(record, now)
             },
         )
-        share = self.parts.read_retries()
+        share = self.parts.read_retry_share()
         for budget in self._budgets.values():
             budget.share = share
-        self.parts.loop.alarms.set(LOOK_SECONDS, self.look)
+        self.parts.loop.alarms.set(LOOK_SECONDS, self.refresh)
 
     def find_budget(self, service: ServiceName) -> RetryBudget:
         """Find the retries that may be spent on a service.
@@ -87,7 +87,7 @@
         budget = self._budgets.get(service)
         if budget is None:
             budget = RetryBudget(
-                self.parts.read_retries(),
+                self.parts.read_retry_share(),
                 now=read_clock(),
             )
             self._budgets[service] = budget
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -11,7 +11,7 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.report import CallReport
 from wagtaildale.calls.responses import ResponseHead
-from wagtaildale.calls.routed import Routed, route_call
+from wagtaildale.calls.routed_call import RoutedCall, route_call
 from wagtaildale.calls.suspected_call import name_harm, review_suspect
 from wagtaildale.errors.codes import Code
 from wagtaildale.timers.service import read_clock
@@ -47,7 +47,7 @@
         self._entry = entry
         self._exchange = exchange
         self._report = CallReport(entry.parts.tallies, entry.parts.recorder)
-        self._routed: Routed | None = None
+        self._routed: RoutedCall | None = None
         self._request: RequestParts | None = None
         self._attempts: Attempts | None = None
         self._running: list[Attempt] = []
@@ -65,7 +65,7 @@
         return self._request
 
     @property
-    def routed(self) -> Routed:
+    def routed(self) -> RoutedCall:
         """The call with its class."""
         assert self._routed is not None
         return self._routed
@@ -147,8 +147,8 @@
         if self._is_over:
             return
         self._drop(attempt)
-        clock = self._entry.clocks.find(attempt.target.fields.work_class)
-        clock.note(read_clock() - attempt.started_at)
+        clock = self._entry.hedge_delays.find(attempt.target.fields.work_class)
+        clock.add_sample(read_clock() - attempt.started_at)
         self._has_run = True
         if not self._try_after_error(attempt, frame):
             self._respond(attempt, frame)
@@ -269,7 +269,7 @@
         replayable = self.request.body.is_replayable
         attempts = self.attempts
         attempts.note_refusal(attempt.target.fields.instance, failure.code)
-        if attempts.may_ask_elsewhere(failure, now=now) and replayable:
+        if attempts.take_redirect(failure, now=now) and replayable:
             self._report.note_refusal(failure)
             self._try()
         elif self._may_retry(failure):
@@ -281,7 +281,7 @@
             self._fail_if_last(failure)
 
     def _may_retry(self, failure: CallFailed) -> bool:
-        return self.attempts.may_retry(
+        return self.attempts.take_retry(
             failure,
             now=read_clock(),
             replayable=self.request.body.is_replayable,
@@ -311,7 +311,7 @@
     def _plan_hedge(self, attempt: Attempt) -> None:
         if not self._entry.parts.hedges or len(self._running) > 1:
             return
-        clock = self._entry.clocks.find(attempt.target.fields.work_class)
+        clock = self._entry.hedge_delays.find(attempt.target.fields.work_class)
         within = self.routed.match.work_class.within_ms
         delay = clock.find_delay(within_ms=within)
         if delay is None or not self.attempts.may_hedge(read_clock() + delay):
--- a/wagtaildale/calls/hedges.py
+++ b/wagtaildale/calls/hedges.py
@@ -19,11 +19,11 @@
 MILLISECONDS: Final = 1000
 
 
-class HedgeClock:
+class HedgeDelay:
     """Estimates the time of one class's answers.
 
     Example:
-        >>> clock = HedgeClock()
+        >>> clock = HedgeDelay()
         >>> clock.find_delay() is None
         True
     """
@@ -36,7 +36,7 @@
         self._deviation = float(0)
         self._samples = 0
 
-    def note(self, seconds: float) -> None:
+    def add_sample(self, seconds: float) -> None:
         """Note how long an answer took.
 
         Args:
@@ -72,14 +72,14 @@
         return max(LEAST_DELAY, min(delay, within_ms / MILLISECONDS))
 
 
-class HedgeClocks:
+class HedgeDelays:
     """The clocks of all classes of an entry."""
 
     def __init__(self) -> None:
         """Begin with none."""
-        self._clocks: dict[str, HedgeClock] = {}
+        self._clocks: dict[str, HedgeDelay] = {}
 
-    def find(self, work_class: str) -> HedgeClock:
+    def find(self, work_class: str) -> HedgeDelay:
         """Find the clock of a class.
 
         Args:
@@ -90,6 +90,6 @@
         """
         clock = self._clocks.get(work_class)
         if clock is None:
-            clock = HedgeClock()
+            clock = HedgeDelay()
             self._clocks[work_class] = clock
         return clock
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -34,7 +34,7 @@
 
     from wagtaildale.admission.gate import Gate
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.trials import Trials
+    from wagtaildale.calls.suspect_trials import SuspectTrials
     from wagtaildale.invariants import Invariants
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.reactor.loop import Loop
@@ -80,7 +80,7 @@
         recorder: EventRecorder,
         dialect: Dialect = OWN_DIALECT,
         find_record: Callable[[InstanceId], InstanceRecord | None],
-        trials: Trials,
+        trials: SuspectTrials,
     ) -> None:
         """Take charge of a backend server.
 
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -16,7 +16,7 @@
     from wagtaildale.calls.failures import CallFailed
     from wagtaildale.calls.fields import AnswerFields
     from wagtaildale.calls.parsing import Header
-    from wagtaildale.calls.routed import Routed
+    from wagtaildale.calls.routed_call import RoutedCall
     from wagtaildale.calls.targets import Target
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.telemetry.tallies import Tallies
@@ -52,7 +52,7 @@
         self._outcome = Outcome.answered
         self._answer: AnswerFields | None = None
 
-    def name_call(self, routed: Routed) -> None:
+    def name_call(self, routed: RoutedCall) -> None:
         """Note the request and its class.
 
         Args:
--- a/wagtaildale/calls/routed.py
+++ b/wagtaildale/calls/routed_call.py
@@ -15,7 +15,7 @@
 from wagtaildale.calls.heads import KEY_FIELD, pass_on
 from wagtaildale.calls.owner import Owner
 from wagtaildale.calls.owner_listener import OwnerListener
-from wagtaildale.calls.time_given import TimesGiven
+from wagtaildale.calls.caller_timeouts import CallerTimeouts
 from wagtaildale.calls.peer_pool import PeerPool
 from wagtaildale.calls.peers import LocalPeer
 from wagtaildale.errors.codes import Code
@@ -63,9 +63,9 @@
         recorder: gets events.
         placement: chooses upstreams.
         dialect: how callers are spoken to.
-        times: that callers give.
+        caller_timeouts: that callers give.
         read_limits: gives what callers may send.
-        read_retries: gives how many retries the entry may make.
+        read_retry_share: gives how many retries the entry may make.
         reserves: whether a non-idempotent request reserves a slot first.
         hedges: whether slow idempotent requests get a second attempt.
         suspects: requests under which servers have ended.
@@ -84,15 +84,15 @@
     recorder: EventRecorder
     placement: Placement
     dialect: Dialect
-    times: TimesGiven
+    caller_timeouts: CallerTimeouts
     suspects: SuspectBoard
     read_limits: Callable[[], CallerLimits]
-    read_retries: Callable[[], RetryShare]
+    read_retry_share: Callable[[], RetryShare]
     reserves: bool = True
     hedges: bool = True
 
 
-class Routed(Struct, frozen=True, kw_only=True):
+class RoutedCall(Struct, frozen=True, kw_only=True):
     """A call with its class.
 
     Attributes:
@@ -120,7 +120,7 @@
     retries: int = RETRIES_MOST
 
 
-def route_call(parts: EntryParts, message: Message) -> Routed:
+def route_call(parts: EntryParts, message: Message) -> RoutedCall:
     """Find the class of a request and prepare its call.
 
     Args:
@@ -149,7 +149,7 @@
     )
     within_ms = _find_within(parts, match, service, given_ms)
     now = read_clock()
-    return Routed(
+    return RoutedCall(
         match=match,
         service=service,
         view=view,
@@ -185,7 +185,7 @@
     within = match.work_class.within_ms
     if parts.dialect.counts_tries:
         name = f'{service}/{match.work_class.name}'
-        within -= parts.times.find_used_ms(name, given_ms)
+        within -= parts.caller_timeouts.estimate_elapsed_ms(name, given_ms)
     return max(0, within)
 
 
--- a/wagtaildale/calls/trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -37,7 +37,7 @@
 Begun = tuple['Run', Callable[[CallFailed], None]]
 
 
-class Trials:
+class SuspectTrials:
     """Lets one suspected request through at a time.
 
     Failure guarded here: a request ends every server that runs it, an
@@ -83,7 +83,7 @@
         self._turns = Turns()
         self._begun: dict[int, Begun] = {}
 
-    def may_end(self, run: Run) -> bool:
+    def is_suspected(self, run: Run) -> bool:
         """Tell whether servers have ended under a request.
 
         Args:
@@ -96,7 +96,7 @@
             return True
         if not self.board.current.records:
             return False
-        return bool(self.board.current.find(self.identify(run)).ends)
+        return bool(self.board.current.find(self.find_fingerprint(run)).ends)
 
     def admit(
         self,
@@ -122,7 +122,7 @@
         told = run.fields.ends
         if not told and not self.board.current.records:
             return 0
-        fingerprint = self.identify(run)
+        fingerprint = self.find_fingerprint(run)
         judgement = self.board.judge(fingerprint, told=told)
         ends = judgement.ends
         if judgement.standing is Standing.harmful:
@@ -161,11 +161,11 @@
         if run.fields.idempotent:
             self._begun[id(run)] = (run, give_up)
 
-    def review(self) -> None:
+    def abandon_suspected_runs(self) -> None:
         """Give up the runs of requests under which other servers ended."""
         known = self.board.current
         for run, give_up in tuple(self._begun.values()):
-            fingerprint = self.identify(run)
+            fingerprint = self.find_fingerprint(run)
             record = known.find(fingerprint)
             if record.places and not self.answered.has(fingerprint):
                 failure = refuse_suspect(
@@ -193,12 +193,12 @@
         Args:
             run: the request.
         """
-        fingerprint = self.identify(run)
+        fingerprint = self.find_fingerprint(run)
         self.answered.note(fingerprint)
         if self.board.current.records:
             self.board.note_answered(fingerprint)
 
-    def identify(self, run: Run) -> Fingerprint:
+    def find_fingerprint(self, run: Run) -> Fingerprint:
         """Give the fingerprint of a request.
 
         Args:
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.calls.trials import refuse_suspect
+from wagtaildale.calls.suspect_trials import refuse_suspect
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.placement import Placed
 from wagtaildale.routing.trials import list_places
@@ -29,7 +29,7 @@
     from wagtaildale.calls.failures import CallFailed
     from wagtaildale.calls.attempt import RequestParts
     from wagtaildale.calls.attempts import Attempts
-    from wagtaildale.calls.routed import EntryParts, Routed
+    from wagtaildale.calls.routed_call import EntryParts, RoutedCall
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.routing.view import FleetView
     from wagtaildale.types import InstanceId
@@ -52,7 +52,7 @@
 
 def review_suspect(
     parts: EntryParts,
-    routed: Routed,
+    routed: RoutedCall,
     request: RequestParts,
     attempts: Attempts,
 ) -> Suspect | None:
@@ -98,7 +98,7 @@
 
 def place_suspect(
     view: FleetView,
-    routed: Routed,
+    routed: RoutedCall,
     attempts: Attempts,
     *,
     suspect: Suspect,
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -30,7 +30,7 @@
     from wagtaildale.calls.attempts import Attempts
     from wagtaildale.calls.fields import AnswerFields
     from wagtaildale.calls.peers import Peer
-    from wagtaildale.calls.routed import EntryParts, Routed
+    from wagtaildale.calls.routed_call import EntryParts, RoutedCall
     from wagtaildale.calls.suspected_call import Suspect
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.routing.placement import Placed
@@ -72,7 +72,7 @@
 
     def pick(
         self,
-        routed: Routed,
+        routed: RoutedCall,
         attempts: Attempts,
         *,
         spare: bool = False,
@@ -156,7 +156,7 @@
                 now=read_clock(),
             )
 
-    def has_another(self, routed: Routed, attempts: Attempts) -> bool:
+    def has_another(self, routed: RoutedCall, attempts: Attempts) -> bool:
         """Tell whether an upstream with room to spare was not tried yet.
 
         Args:
@@ -272,7 +272,7 @@
 
     def _place(
         self,
-        routed: Routed,
+        routed: RoutedCall,
         attempts: Attempts,
         suspect: Suspect | None,
         *,
@@ -290,7 +290,7 @@
             )
             if placed is not None:
                 return placed
-        useless = attempts.list_useless()
+        useless = attempts.list_excluded()
         if routed.idempotency_key:
             return parts.placement.choose_by_key(
                 view,
@@ -316,7 +316,7 @@
         )
 
 
-def _find_need_rank(routed: Routed, statistics: FleetStatistics) -> int:
+def _find_need_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
     return find_need_rank(
         routed.match.work_class.rank,
         work_class=name_class(routed),
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -12,7 +12,7 @@
 from wagtaildale.admission.server_messages import SlotsTold
 from wagtaildale.admission.state import make_admission
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.budgets import RetryShare, share_retries
+from wagtaildale.calls.budgets import RetryShare, compute_retry_share
 from wagtaildale.calls.callers import CallerLimits, CallerPort
 from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
@@ -22,10 +22,10 @@
 from wagtaildale.calls.peer_pool import PeerPool
 from wagtaildale.calls.peers import LocalPeer
 from wagtaildale.calls.ready import ReadyAnswerer
-from wagtaildale.calls.routed import EntryParts
+from wagtaildale.calls.routed_call import EntryParts
 from wagtaildale.calls.sessions import PeerPort
-from wagtaildale.calls.time_given import TimesGiven
-from wagtaildale.calls.trials import Trials
+from wagtaildale.calls.caller_timeouts import CallerTimeouts
+from wagtaildale.calls.suspect_trials import SuspectTrials
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariants
 from wagtaildale.reactor.loop import Loop
@@ -156,7 +156,7 @@
             recorder=around.recorder,
             dialect=figures.dialect,
             find_record=self._find_record,
-            trials=Trials(
+            trials=SuspectTrials(
                 around.suspects,
                 node=around.identity.instance,
                 dialect=figures.dialect,
@@ -277,7 +277,9 @@
             asked.result()
 
     def _review_runs(self) -> None:
-        self.loop.submit(self.owner.trials.review).add_done_callback(
+        self.loop.submit(
+            self.owner.trials.abandon_suspected_runs
+        ).add_done_callback(
             self._note_outcome,
         )
 
@@ -291,7 +293,7 @@
         self.nodes.start()
         if self._figures.ready is not None:
             self._ready.start()
-        self.entry.look()
+        self.entry.refresh()
         self._look()
 
     def _drain(self) -> None:
@@ -343,16 +345,16 @@
                 statistics=statistics,
             ),
             dialect=figures.dialect,
-            times=TimesGiven(),
+            caller_timeouts=CallerTimeouts(),
             suspects=around.suspects,
             read_limits=self.read_limits,
-            read_retries=self._share_retries,
+            read_retry_share=self._share_retries,
             reserves=figures.reserves,
             hedges=figures.hedges,
         )
 
     def _share_retries(self) -> RetryShare:
-        return share_retries(
+        return compute_retry_share(
             self._figures.bounds,
             entries=self._around.view.current.count_nodes(),
         )
--- a/wagtaildale/calls/tests/test_budgets.py
+++ b/wagtaildale/calls/tests/test_budgets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wagtaildale.calls.budgets import RetryBudget, share_retries
+from wagtaildale.calls.budgets import RetryBudget, compute_retry_share
 from wagtaildale.settings.model import BoundSettings
 
 BOUNDS = BoundSettings(
@@ -23,7 +23,7 @@
 ) -> list[int]:
     """Let every request want a repeat; give the repeats of each step."""
     random.seed(SEED)
-    share = share_retries(BOUNDS, entries=entries)
+    share = compute_retry_share(BOUNDS, entries=entries)
     budgets = [RetryBudget(share, now=0) for _entry in range(entries)]
     each = requests_a_second * STEP_SECONDS / entries
     owed = float(0)
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -128,7 +128,7 @@
     assert pair.far.calls.nodes.open == 1
     pair.far.calls.drain()
     wait_until(lambda: not pair.far.calls.nodes.open)
-    calls.loop.submit(calls.entry.look).result(PATIENCE)
+    calls.loop.submit(calls.entry.refresh).result(PATIENCE)
     # The owner accepts in order: an earlier connection would show by now.
     entry = EntryLine(pair)
     entry.tell(Ping())
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -13,7 +13,7 @@
 from wagtaildale.calls.budgets import RetryBudget
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.frames import Failed
-from wagtaildale.calls.hedges import HedgeClock
+from wagtaildale.calls.hedges import HedgeDelay
 from wagtaildale.calls.tests.pairs import (
     OUTCOME,
     Pair,
@@ -55,16 +55,16 @@
 ) -> None:
     attempts = build_attempts(idempotent=idempotent)
     failure = CallFailed(code, outcome=outcome)
-    assert attempts.may_retry(failure, now=1, replayable=True) is expected
-    assert not attempts.may_retry(failure, now=11, replayable=True)
-    assert not attempts.may_retry(failure, now=1, replayable=False)
+    assert attempts.take_retry(failure, now=1, replayable=True) is expected
+    assert not attempts.take_retry(failure, now=11, replayable=True)
+    assert not attempts.take_retry(failure, now=1, replayable=False)
 
 
 def test_retries_are_bounded_along_the_call() -> None:
     attempts = build_attempts(idempotent=True)
     failure = CallFailed(Code.draining)
     granted = [
-        attempts.may_retry(failure, now=1, replayable=True)
+        attempts.take_retry(failure, now=1, replayable=True)
         for _attempt in range(RETRIES_MOST + 1)
     ]
     assert granted == [*(RETRIES_MOST * (True,)), False]
@@ -84,9 +84,9 @@
 
 
 def test_hedge_waits_for_usual_time_and_deviation() -> None:
-    clock = HedgeClock()
+    clock = HedgeDelay()
     for _sample in range(50):
-        clock.note(0.01)
+        clock.add_sample(0.01)
     delay = clock.find_delay()
     assert delay is not None
     assert 0.01 <= delay < 0.02
--- a/wagtaildale/calls/windows.py
+++ b/wagtaildale/calls/windows.py
@@ -22,7 +22,7 @@
         >>> window.note_sent(WINDOW_BYTES)
         >>> window.is_open
         False
-        >>> window.note_taken(1)
+        >>> window.add_credit(1)
         >>> window.is_open
         True
     """
@@ -46,7 +46,7 @@
         """
         self._left -= size
 
-    def note_taken(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """Note that the other side passed something on.
 
         Args:
--- a/wagtaildale/testing/builders.py
+++ b/wagtaildale/testing/builders.py
@@ -223,10 +223,10 @@
         A share that earns a repeat with every fifth request.
     """
     return RetryShare(
-        per_request=0.2,
-        kept_seconds=10.0,
+        tokens_per_request=0.2,
+        token_lifetime_seconds=10.0,
         slack=slack,
-        slack_seconds=100.0,
+        slack_period_seconds=100.0,
     )
 
 
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -151,7 +151,7 @@
         return self._entry.placement.choose(
             self._entry.mesh.view.current,
             asked.work_class.service,
-            useless=attempts.list_useless(),
+            useless=attempts.list_excluded(),
             need=Need(
                 data_centre=self._entry.data_centre,
                 work_class=asked.work_class.name,
@@ -216,8 +216,8 @@
         now = self._clock.now
         failure = CallFailed(refused.code, retry_after=refused.retry_after)
         attempts.note_refusal(sent.server.record.instance, refused.code)
-        may_ask = attempts.may_ask_elsewhere(failure, now=now)
-        if may_ask or attempts.may_retry(failure, now=now, replayable=True):
+        may_ask = attempts.take_redirect(failure, now=now)
+        if may_ask or attempts.take_retry(failure, now=now, replayable=True):
             self.attempt()
         else:
             self._fail_if_last(failure)
@@ -230,7 +230,7 @@
         work_class = self._asked.work_class.name
         self._note(sent, Code.ok, run_seconds=seconds)
         self._end(sent)
-        entry.clocks.find(work_class).note(now - sent.since)
+        entry.hedge_delays.find(work_class).add_sample(now - sent.since)
         if not self._is_over:
             self._note_overtaken()
             self._close()
@@ -275,7 +275,7 @@
 
     def _plan_hedge(self, sent: Sent) -> None:
         within = self._asked.work_class.within * MILLISECONDS
-        clock = self._entry.clocks.find(self._asked.work_class.name)
+        clock = self._entry.hedge_delays.find(self._asked.work_class.name)
         delay = clock.find_delay(within_ms=within)
         if delay is None or len(self._running) > 1:
             return
--- a/wagtaildale/testing/replay/entries.py
+++ b/wagtaildale/testing/replay/entries.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from wagtaildale.calls.budgets import RetryBudget
-from wagtaildale.calls.hedges import HedgeClocks
+from wagtaildale.calls.hedges import HedgeDelays
 from wagtaildale.routing.choice import ChoiceName
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.placement import Placement
@@ -56,7 +56,7 @@
         data_centre: where it stands.
         mesh: that it is in.
         placement: chooses upstreams.
-        clocks: say when a second attempt is due.
+        hedge_delays: say when a second attempt is due.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self.instance = instance
         self.data_centre = data_centre
         self.mesh = mesh
-        self.clocks = HedgeClocks()
+        self.hedge_delays = HedgeDelays()
         self.placement = Placement(
             instance,
             data_centre=data_centre,
