--- a/properties/test_attempts.py
+++ b/properties/test_attempts.py
@@ -12,7 +12,7 @@
     rule,
 )
 
-from wagtaildale.calls.attempts import Attempts, conclude
+from wagtaildale.calls.attempts import Attempts, find_final_code
 from wagtaildale.calls.budgets import RetryBudget
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
@@ -65,7 +65,7 @@
             self._send()
         else:
             idempotent = self.attempts.idempotent
-            self.final = conclude(failure, idempotent=idempotent)
+            self.final = find_final_code(failure, idempotent=idempotent)
 
     @precondition(lambda self: self.final is None)
     @rule()
--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a call at one upstream, as its entry sees it."""
+"""One attempt of a call at one upstream, from the entry's side."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @final
 class AttemptState(Enum):
-    """Where an attempt stands."""
+    """Stage of an attempt."""
 
     reserving = 'reserving'
     running = 'running'
@@ -44,58 +44,60 @@
     over = 'over'
 
 
-class AttemptOwner(Protocol):
-    """The call that an attempt belongs to."""
+class AttemptReceiver(Protocol):
+    """The call that an attempt belongs to, as the attempt uses it."""
 
     deadline: float
 
     @property
-    def request(self) -> RequestParts:
-        """What is sent."""
+    def request(self) -> OutgoingRequest:
+        """The request that the attempt sends."""
 
     def note_answer(self, attempt: Attempt, answer: AnswerFields) -> None:
-        """Take what an owner says of itself with an answer.
+        """Record the state that an owner reports with an answer.
 
         Args:
-            attempt: that was answered.
-            answer: the owner's word.
+            attempt: attempt that was answered.
+            answer: fields of the answer.
         """
 
     def on_answer(self, attempt: Attempt, frame: Answered) -> None:
-        """Take the upstream's response.
+        """Handle the upstream's response.
 
         Args:
-            attempt: whose.
-            frame: head and body, or its beginning.
+            attempt: attempt that was answered.
+            frame: response head with the whole body or its first piece.
         """
 
     def on_piece(self, attempt: Attempt, frame: Piece) -> None:
-        """Take more of the response's body.
+        """Handle a further piece of the response body.
 
         Args:
-            attempt: whose.
+            attempt: attempt that was answered.
             frame: the piece.
         """
 
     def on_attempt_silent(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Learn that nothing is heard of an owner that was sent the request.
+        """Handle the silence of an owner that was sent the request.
 
         Args:
-            attempt: which; it goes on.
-            failure: that it has if it is given up now.
+            attempt: the attempt; it continues.
+            failure: failure that the attempt would have if it were cancelled
+                now.
         """
 
     def on_attempt_failed(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Learn that an attempt ends without a whole response.
+        """Handle the end of an attempt without a complete response.
 
         Args:
-            attempt: which.
-            failure: with outcome ``not_run`` only where that is certain.
+            attempt: the failed attempt.
+            failure: failure of the attempt; its outcome is ``not_run`` only
+                if that is certain.
         """
 
 
-class RequestParts:
-    """What every attempt of a call sends."""
+class OutgoingRequest:
+    """The request that every attempt of a call sends."""
 
     def __init__(
         self,
@@ -106,13 +108,13 @@
         body: RequestBody,
         reserves: bool,
     ) -> None:
-        """Gather the parts.
+        """Create the request.
 
         Args:
             method: HTTP method.
-            target: path and query as they came.
-            headers: those that go on.
-            body: of the request.
+            target: path and query as received.
+            headers: headers that are forwarded.
+            body: request body.
             reserves: whether a slot is reserved before the request runs.
         """
         self.method = method
@@ -123,38 +125,39 @@
 
 
 class Attempt:
-    """Speaks to one owner for one call; a ``PeerReceiver``.
+    """Sends one call to one owner; a ``PeerReceiver``.
 
-    While only a reservation is out, giving up is safe and the request has
-    not run. The run message goes out once. Whatever ends the attempt after
-    it leaves the outcome unknown, unless the owner says that nothing ran.
+    While only a reservation is pending, cancelling is safe: the request has
+    not run. The run message is sent once. Any end of the attempt after that
+    leaves the outcome unknown, unless the owner states that the request did
+    not run.
 
     Attributes:
-        target: where it goes.
-        state: where it stands.
-        started_at: seconds on the clock.
-        was_run: whether the run message went out.
-        is_silent: whether nothing was heard of the owner for a while.
+        target: upstream of the attempt.
+        state: stage of the attempt.
+        started_at: start time, seconds on the monotonic clock.
+        is_run_sent: whether the run message was sent.
+        is_silent: whether the owner has sent nothing for a while.
     """
 
     def __init__(
         self,
-        call: AttemptOwner,
+        call: AttemptReceiver,
         *,
         target: Target,
         peer: Peer,
     ) -> None:
-        """Prepare.
+        """Open a call to the owner; ``start`` sends the first message.
 
         Args:
-            call: that it belongs to.
-            target: where it goes.
-            peer: the owner there.
+            call: call that the attempt belongs to.
+            target: upstream of the attempt.
+            peer: connection to the owner at the target.
         """
         self.target = target
         self.state = AttemptState.running
         self.started_at = read_clock()
-        self.was_run = False
+        self.is_run_sent = False
         self.is_silent = False
         self._call = call
         self._peer = peer
@@ -162,7 +165,7 @@
         self._window = SendWindow()
         self._has_sent_all = False
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Send the first message."""
         self.target.upstream.note_begun(read_clock())
         if self._call.request.reserves:
@@ -172,11 +175,11 @@
             self._run(self.target.fields)
 
     def cancel(self) -> None:
-        """Give up: the owner stops what it does for the call."""
+        """Cancel the attempt; the owner stops work on the call."""
         self._end(cancelled=True)
 
     def send_body(self) -> None:
-        """Send what has come of the body, as far as the owner takes it."""
+        """Send the available body pieces that the send window allows."""
         body = self._call.request.body
         if self.state is not AttemptState.running or body.is_replayable:
             return
@@ -189,52 +192,52 @@
             more = not self._has_sent_all
             self._peer.send(Piece(self._number, piece, more))
 
-    def note_taken(self, size: int) -> None:
-        """Tell the owner that the caller has taken a part of the response.
+    def send_credit(self, size: int) -> None:
+        """Allow the owner to send more of the response body.
 
         Args:
-            size: of it, bytes.
+            size: number of response bytes that the caller has accepted.
         """
         if self.state is AttemptState.answering:
             self._peer.send(Taken(self._number, size))
 
     def on_frame(self, frame: ToEntry) -> None:
-        """Take a message of the owner; see ``PeerReceiver``.
+        """Handle a message from the owner; see ``PeerReceiver``.
 
         Args:
             frame: the message.
         """
-        take_frame(frame, self)
+        dispatch_frame(frame, self)
 
     def on_granted(self, frame: Granted) -> None:
-        """Send the run message: a slot is held for it.
+        """Send the run message, now that a slot is reserved.
 
         Args:
-            frame: with the lease.
+            frame: message with the lease.
         """
         if self.state is not AttemptState.reserving:
             return
-        if not self._is_mine(frame.answer):
+        if not self._matches_attempt(frame.answer):
             return
         self._call.note_answer(self, frame.answer)
-        # A lease holds in the process that gave it, in no other: the run
-        # message names its incarnation.
+        # A lease is valid only in the process that granted it, so the run
+        # message names the incarnation.
         self._run(
             structs.replace(
                 self.target.fields,
                 lease=frame.answer.lease,
                 incarnation=frame.answer.incarnation,
-                remaining_ms=self._find_remaining(),
+                remaining_ms=self._find_remaining_ms(),
             ),
         )
 
     def on_failed(self, frame: Failed) -> None:
-        """End without a response.
+        """Fail the attempt: the owner rejected or failed the request.
 
         Args:
-            frame: why, and whether the request has run.
+            frame: message with the failure and the outcome.
         """
-        if not self._is_mine(frame.answer):
+        if not self._matches_attempt(frame.answer):
             return
         answer = frame.answer
         self._call.note_answer(self, answer)
@@ -249,14 +252,14 @@
         self._fail(failure, cancelled=False)
 
     def on_answered(self, frame: Answered) -> None:
-        """Pass the response on.
+        """Forward the response.
 
         Args:
-            frame: head and body, or its beginning.
+            frame: response head with the whole body or its first piece.
         """
         if self.state is not AttemptState.running:
             return
-        if not self._is_mine(frame.answer):
+        if not self._matches_attempt(frame.answer):
             return
         self._call.note_answer(self, frame.answer)
         self.state = AttemptState.answering
@@ -265,7 +268,7 @@
         self._call.on_answer(self, frame)
 
     def on_piece(self, frame: Piece) -> None:
-        """Pass more of the response on.
+        """Forward a further piece of the response body.
 
         Args:
             frame: the piece.
@@ -277,24 +280,26 @@
         self._call.on_piece(self, frame)
 
     def on_taken(self, frame: Taken) -> None:
-        """Send more of the request's body.
+        """Send more of the request body.
 
         Args:
-            frame: how much the owner has passed on.
+            frame: message with the number of bytes that the owner has
+                forwarded.
         """
         self._window.add_credit(frame.count)
         self.send_body()
 
     def on_cut(self) -> None:
-        """End: the response broke off."""
+        """Fail the attempt: the response ended before it was complete."""
         failure = CallFailed(Code.backend_cut, outcome=Outcome.unknown)
         self._fail(failure, cancelled=False)
 
     def on_peer_silent(self, failure: CallFailed) -> None:
-        """Learn that nothing was heard for a while; see ``PeerReceiver``.
+        """Handle a silent connection; see ``PeerReceiver``.
 
         Args:
-            failure: that the attempt has if it is given up now.
+            failure: failure that the attempt would have if it were cancelled
+                now.
         """
         if self.state is AttemptState.reserving:
             failure.outcome = Outcome.not_run
@@ -303,15 +308,16 @@
             self.is_silent = True
             self._call.on_attempt_silent(self, failure)
         elif read_clock() >= self._call.deadline:
-            # Failure: an owner stands still after it has begun an answer,
-            # and nothing ever ends the call, nor a stop that waits for it.
+            # The call's own timeout no longer applies once a response has
+            # started. If the owner hangs then, nothing else would end the
+            # call, or a stop of the node that waits for it.
             self._fail(failure, cancelled=True)
 
     def on_peer_lost(self, failure: CallFailed) -> None:
-        """Learn that no further message comes; see ``PeerReceiver``.
+        """Handle a lost connection; see ``PeerReceiver``.
 
         Args:
-            failure: why.
+            failure: reason for the loss.
         """
         if self.state is AttemptState.reserving:
             failure.outcome = Outcome.not_run
@@ -320,7 +326,7 @@
     def _run(self, fields: CallFields) -> None:
         request = self._call.request
         self.state = AttemptState.running
-        self.was_run = True
+        self.is_run_sent = True
         body = request.body.take()
         self._window.note_sent(len(body))
         self._has_sent_all = request.body.is_replayable or request.body.is_given
@@ -338,9 +344,10 @@
         )
         self.send_body()
 
-    def _is_mine(self, answer: AnswerFields) -> bool:
-        # Failure: answers come late or crossed, and a caller gets another's.
-        # An answer counts only if it names this request and this attempt.
+    def _matches_attempt(self, answer: AnswerFields) -> bool:
+        # Answers may arrive late or mixed up. One is accepted only if it names
+        # this request and this attempt, so that no caller gets the response
+        # to another caller's request.
         fields = self.target.fields
         if answer.request_id == fields.request_id:
             if answer.attempt == fields.attempt:
@@ -353,9 +360,9 @@
         self._fail(failure, cancelled=True)
         return False
 
-    def _find_remaining(self) -> int:
-        rest = self._call.deadline - read_clock()
-        return max(0, int(rest * MILLISECONDS))
+    def _find_remaining_ms(self) -> int:
+        remaining = self._call.deadline - read_clock()
+        return max(0, int(remaining * MILLISECONDS))
 
     def _fail(self, failure: CallFailed, *, cancelled: bool) -> None:
         if self.state is AttemptState.over:
@@ -372,44 +379,44 @@
 
 
 @singledispatch
-def take_frame(frame: object, attempt: Attempt) -> None:
-    """Give an attempt a message of its owner.
+def dispatch_frame(frame: object, attempt: Attempt) -> None:
+    """Dispatch an owner's message to the handler of an attempt.
 
     Args:
         frame: the message.
-        attempt: that it is for.
+        attempt: attempt that the message is addressed to.
 
     Raises:
-        TypeError: for a message that no attempt knows.
+        TypeError: if no handler exists for the type of the message.
     """
-    raise TypeError(f'got {frame!r}, expected a message of an owner')
+    raise TypeError(f'got {frame!r}, expected a message from an owner')
 
 
-@take_frame.register
-def _take_granted(frame: Granted, attempt: Attempt) -> None:
+@dispatch_frame.register
+def _dispatch_granted(frame: Granted, attempt: Attempt) -> None:
     attempt.on_granted(frame)
 
 
-@take_frame.register
-def _take_failed(frame: Failed, attempt: Attempt) -> None:
+@dispatch_frame.register
+def _dispatch_failed(frame: Failed, attempt: Attempt) -> None:
     attempt.on_failed(frame)
 
 
-@take_frame.register
-def _take_answered(frame: Answered, attempt: Attempt) -> None:
+@dispatch_frame.register
+def _dispatch_answered(frame: Answered, attempt: Attempt) -> None:
     attempt.on_answered(frame)
 
 
-@take_frame.register
-def _take_piece(frame: Piece, attempt: Attempt) -> None:
+@dispatch_frame.register
+def _dispatch_piece(frame: Piece, attempt: Attempt) -> None:
     attempt.on_piece(frame)
 
 
-@take_frame.register
-def _take_taken(frame: Taken, attempt: Attempt) -> None:
+@dispatch_frame.register
+def _dispatch_taken(frame: Taken, attempt: Attempt) -> None:
     attempt.on_taken(frame)
 
 
-@take_frame.register
-def _take_cut(frame: Cut, attempt: Attempt) -> None:
+@dispatch_frame.register
+def _dispatch_cut(frame: Cut, attempt: Attempt) -> None:
     attempt.on_cut()
--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -1,4 +1,4 @@
-"""Decides whether a call that failed is tried again."""
+"""Decides whether a failed call is retried, redirected or hedged."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from wagtaildale.calls.failures import CallFailed
 
-# Upstreams that a call may be refused by, unrun, before it waits at one: with
-# the least loaded asked first, a third one seldom has room.
-REFUSALS_MOST: Final = 2
-# What may be met by any upstream of a sound service: the call is only steered
-# elsewhere.
-STEERED: Final = frozenset(
+# Upstreams that may reject a call before it waits at one of them. Attempts go
+# to the least loaded upstream first, so a third one rarely has a free slot.
+MAX_REFUSALS: Final = 2
+# Failures that also occur in a healthy service; the call is redirected to
+# another upstream.
+REDIRECTED_CODES: Final = frozenset(
     (
         Code.wrong_instance,
         Code.draining,
@@ -31,7 +31,7 @@
         Code.request_on_trial,
     ),
 )
-RETRIED: Final = STEERED | frozenset(
+RETRYABLE_CODES: Final = REDIRECTED_CODES | frozenset(
     (
         Code.overloaded,
         Code.backend_shed,
@@ -42,13 +42,16 @@
         Code.service_error,
     ),
 )
-# Refusals by the owner itself: nothing has reached a backend server.
-BY_OWNER: Final = STEERED | {Code.overloaded, Code.rate_limited}
+# Rejections by the owner itself: no backend server received the request.
+OWNER_REJECTION_CODES: Final = REDIRECTED_CODES | {
+    Code.overloaded,
+    Code.rate_limited,
+}
 
 
 @final
 class Obstacle(Enum):
-    """Why a call that failed is not tried again."""
+    """Reason why a failed call is not retried."""
 
     none = ''
     body_given = 'body-given'
@@ -61,27 +64,32 @@
 
 
 class Attempts(Struct, kw_only=True):
-    """The attempts of one call.
+    """The attempts of one call and the limits on further ones.
 
     Attributes:
-        idempotent: whether running it twice does no harm.
-        deadline: seconds on the clock.
-        budget: of the service.
-        retries_left: attempts beyond the first that the call, and the
-            calls that it leads to, may still make.
-        refusals_left: upstreams that may yet refuse the call unrun.
-        tried: the upstreams that attempts went to.
-        busy: of these, those that refused for want of room.
-        was_limited: whether one refused for the rate that its server names.
-        obstacle: why the last failure was not retried.
-        ends: servers that ended under the request, one after the other.
+        idempotent: whether the request may safely run more than once.
+        deadline: time at which the call fails, seconds on the monotonic
+            clock.
+        budget: retry budget of the service.
+        retries_left: attempts beyond the first that are left to the call and
+            to the calls that it causes downstream.
+        refusals_left: number of upstreams that may still reject the call
+            before it waits at one of them.
+        tried: upstreams that attempts were sent to, in order.
+        busy: upstreams of these that rejected the call because they were
+            overloaded.
+        was_limited: whether an upstream rejected the call because of its
+            server's rate limit.
+        obstacle: reason why the last failure was not retried.
+        ends: number of servers that crashed in succession while running the
+            request.
     """
 
     idempotent: bool
     deadline: float
     budget: RetryBudget
     retries_left: int = RETRIES_MOST
-    refusals_left: int = REFUSALS_MOST
+    refusals_left: int = MAX_REFUSALS
     tried: list[InstanceId] = field(default_factory=list)
     busy: list[InstanceId] = field(default_factory=list)
     was_limited: bool = False
@@ -89,11 +97,11 @@
     ends: int = 0
 
     def note_refusal(self, instance: InstanceId, code: Code) -> None:
-        """Note who refused the call for want of room.
+        """Record whether an upstream was overloaded or rate limited.
 
         Args:
-            instance: that was asked.
-            code: why it did not answer.
+            instance: upstream of the failed attempt.
+            code: result code of the attempt.
         """
         if code is Code.overloaded:
             self.busy.append(instance)
@@ -101,11 +109,11 @@
             self.was_limited = True
 
     def list_excluded(self) -> frozenset[InstanceId]:
-        """List the upstreams that need not be asked again.
+        """List the upstreams that the next attempt avoids.
 
         Returns:
-            Those tried; once no more refusals are left, without the busy
-            ones: the request then waits at one of them.
+            Upstreams already tried. Once no refusals are left, overloaded
+            ones are allowed again: the request then waits at one of them.
         """
         if self.refusals_left:
             return frozenset(self.tried)
@@ -118,12 +126,14 @@
         now: float,
         replayable: bool,
     ) -> bool:
-        """Decide after a failed attempt.
+        """Spend a retry after a failed attempt, if one is allowed.
+
+        Sets ``obstacle``.
 
         Args:
-            failure: how it ended.
-            now: seconds.
-            replayable: whether the body can be sent again.
+            failure: failure of the attempt.
+            now: current time, seconds.
+            replayable: whether the request body can be sent again.
 
         Returns:
             Whether another attempt may be made.
@@ -142,51 +152,57 @@
         return True
 
     def take_redirect(self, failure: CallFailed, *, now: float) -> bool:
-        """Decide after an owner refused the call unrun.
+        """Use up a refusal after an owner rejected the call, if allowed.
 
-        Where no backend server has seen the request, asking another owner
-        repeats nothing and costs no retry.
+        If no backend server received the request, sending it to another
+        owner repeats no work and costs no retry.
 
         Args:
-            failure: the refusal.
-            now: seconds.
+            failure: failure of the attempt.
+            now: current time, seconds.
 
         Returns:
-            Whether another owner may be asked.
+            Whether the call may be sent to another owner.
         """
-        unrun = failure.outcome is Outcome.not_run
-        if not unrun or failure.code not in BY_OWNER or now >= self.deadline:
+        not_run = failure.outcome is Outcome.not_run
+        if (
+            not not_run
+            or failure.code not in OWNER_REJECTION_CODES
+            or now >= self.deadline
+        ):
             return False
-        # Failure: servers that were replaced turn away what names those
-        # before them, and each request is taken to every one of them.
+        # Replaced servers reject requests that name their predecessors.
+        # Redirecting those would send each request to all of them.
         if failure.has_arrived or not self.refusals_left:
             return False
         self.refusals_left -= 1
         return True
 
     def may_hedge(self, at: float) -> bool:
-        """Decide whether a second attempt may be begun beside the first.
+        """Check whether the call may be hedged.
 
         Args:
-            at: when it would begin, seconds.
+            at: time at which the hedge would start, seconds.
 
         Returns:
-            Whether the call may be run twice and there is time for it.
+            Whether the request may run twice, a retry is left and the hedge
+            would start before the deadline.
         """
         left = self.retries_left > 0 and not self.ends
         return self.idempotent and left and at < self.deadline
 
     def take_hedge(self, *, now: float) -> bool:
-        """Take a second attempt beside the first, if one may be begun now.
+        """Spend a retry and a budget token on a hedge, if one is allowed.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Whether it may; a retry and a repeat of the budget are spent.
+            Whether the hedge may start.
         """
-        # Failure: retries are spent while a silent attempt goes on, its
-        # hedge comes due, and more upstreams are asked than the route allows.
+        # Checked again when the hedge is due: retries may have been spent
+        # meanwhile on a silent attempt, and the hedge would then exceed the
+        # route's limit on attempts.
         if not self.may_hedge(now) or not self.budget.spend(now=now):
             return False
         self.retries_left -= 1
@@ -203,34 +219,41 @@
         checks = (
             (not replayable, Obstacle.body_given),
             (now >= self.deadline, Obstacle.past_deadline),
-            (failure.code not in RETRIED, Obstacle.final_failure),
-            # A non-idempotent request that may have run is never sent again.
+            (failure.code not in RETRYABLE_CODES, Obstacle.final_failure),
+            # A non-idempotent request that may have run is never retried.
             (ran and not self.idempotent, Obstacle.may_have_run),
-            # Failure: a request ends every server that runs it, and is
-            # taken to the next one before anybody has heard of it.
+            # Keeps a request that crashes every server that runs it from
+            # being sent to the next one before other nodes know of it.
             (self.ends >= TRIAL_ENDS, Obstacle.ends_servers),
             (not self.retries_left, Obstacle.no_retries_left),
         )
-        stand = (obstacle for stands, obstacle in checks if stands)
-        return next(stand, Obstacle.none)
+        found = (obstacle for applies, obstacle in checks if applies)
+        return next(found, Obstacle.none)
 
 
 def _has_arrived(failure: CallFailed) -> bool:
-    # A backend server that got the request and turned it away has had the
-    # work of it, and operators count it.
-    unrun = failure.outcome is Outcome.not_run
-    return failure.has_arrived or not unrun or failure.code not in STEERED
+    # A backend server that received and rejected the request spent work on it,
+    # and operators count the retry against their limits.
+    not_run = failure.outcome is Outcome.not_run
+    return (
+        failure.has_arrived
+        or not not_run
+        or failure.code not in REDIRECTED_CODES
+    )
 
 
-def conclude(failure: CallFailed, *, idempotent: bool) -> Code:
-    """Find the code that the caller is given in the end.
+def find_final_code(failure: CallFailed, *, idempotent: bool) -> Code:
+    """Find the result code for the caller after the last attempt.
 
     Args:
-        failure: of the last attempt.
-        idempotent: whether running it twice does no harm.
+        failure: failure of the last attempt.
+        idempotent: whether the request may safely run more than once.
 
     Returns:
-        ``outcome_unknown`` where a non-idempotent request may have run.
+        ``outcome_unknown`` if a non-idempotent request may have run,
+        otherwise the code of the failure.
     """
-    lost = failure.outcome is Outcome.unknown and failure.code in RETRIED
+    lost = (
+        failure.outcome is Outcome.unknown and failure.code in RETRYABLE_CODES
+    )
     return Code.outcome_unknown if lost and not idempotent else failure.code
--- a/wagtaildale/calls/budgets.py
+++ b/wagtaildale/calls/budgets.py
@@ -1,10 +1,10 @@
-"""How many attempts beyond the first an entry may make to a service.
+"""Budgets for the retries and hedges that an entry sends to a service.
 
-Load pattern answered: every server of a service refuses or loses part of its
-requests, or they all turn slow, and repeats and second attempts would add to
-what they cannot carry. The operators bound repeats over the whole fleet, in
-every window of some seconds; an entry knows only its own requests and how
-many entries there are.
+When all servers of a service reject or lose part of their requests, or all
+become slow, retries and hedges would add to a load that they cannot handle.
+Operators limit retries across the whole fleet, in every window of some
+seconds. An entry knows only its own requests and the number of entries, so
+each one spends a share of that limit.
 """
 
 from __future__ import annotations
@@ -18,26 +18,28 @@
 if TYPE_CHECKING:
     from wagtaildale.settings.model import BoundSettings
 
-# Of the share that operators allow. The rest is for repeats that no entry
-# sees as such: the calls of a request that was itself repeated count as
-# repeats too, at each service that it calls.
+# Part of the operators' retry share that entries spend. The rest is left for
+# retries that no entry recognises: if a request is retried, the calls that it
+# makes count as retries too, at each service that it calls.
 SHARE_USED: Final = 0.5
-# What requests earn is kept for this part of the window: what was earned
-# before a window began and is spent in it then stays within the rest.
-WINDOW_KEPT: Final = 0.2
-# Of the slack. It is given anew once a window, so that in some windows it
-# can be spent twice.
+# Lifetime of earned tokens, as a part of the window. Tokens that are earned
+# before a window and spent within it then stay within the unused part of the
+# share.
+TOKEN_LIFETIME_SHARE: Final = 0.2
+# Part of the operators' slack that entries spend. The slack is renewed once
+# per window, so it can be spent twice within some windows.
 SLACK_USED: Final = 0.3
 
 
 class RetryShare(Struct, frozen=True, kw_only=True):
-    """What repeats an entry may make of its requests to a service.
+    """Retries and hedges that one entry may send to a service.
 
     Attributes:
-        tokens_per_request: earned by each request.
-        token_lifetime_seconds: after which what was earned is forgotten.
-        slack: repeats beyond those earned.
-        slack_period_seconds: after which the slack is given anew.
+        tokens_per_request: tokens earned by each request; one token pays for
+            one retry or hedge.
+        token_lifetime_seconds: time after which an earned token expires.
+        slack: tokens beyond the earned ones, per slack period.
+        slack_period_seconds: time after which the slack is renewed.
     """
 
     tokens_per_request: float
@@ -47,92 +49,93 @@
 
 
 def compute_retry_share(bounds: BoundSettings, *, entries: int) -> RetryShare:
-    """Find this entry's share of the repeats that operators allow.
+    """Compute one entry's share of the retries that operators allow.
 
     Args:
-        bounds: what is allowed to all entries together.
-        entries: how many there are.
+        bounds: limits for all entries together.
+        entries: number of entries.
 
     Returns:
-        What one may spend.
+        The share of one entry.
     """
     return RetryShare(
         tokens_per_request=SHARE_USED * bounds.retry_share,
-        token_lifetime_seconds=WINDOW_KEPT * bounds.retry_window_seconds,
+        token_lifetime_seconds=TOKEN_LIFETIME_SHARE
+        * bounds.retry_window_seconds,
         slack=SLACK_USED * bounds.retry_slack / max(1, entries),
         slack_period_seconds=bounds.retry_window_seconds,
     )
 
 
 class RetryBudget:
-    """The repeats that may be spent on a service now.
+    """Token budget for an entry's retries and hedges to one service.
 
-    Failure guarded here: a brownout makes calls fail, the repeats double
-    the load and the brownout. The guard holds since in any window there are
-    never more repeats than a share of the requests and a few.
+    Keeps retries from amplifying a brownout: calls fail, and their retries
+    would double the load that made them fail. In any window there are never
+    more retries than a share of the requests plus the slack.
 
-    An entry's share of either may be far less than one repeat. So the first
-    part of one, and the part left over of the slack, are drawn by lot, and
-    all entries together get what they are allowed.
+    The part of one entry may be far less than one token. So the initial
+    fraction of a token and the rounding of the slack are random, and all
+    entries together get what they are allowed.
 
     Attributes:
-        share: that it goes by; may be changed at any time.
+        share: limits of this entry; may be replaced at any time.
     """
 
-    __slots__ = ('_earned', '_part', '_slack', '_slack_until', 'share')
+    __slots__ = ('_expiries', '_fraction', '_slack', '_slack_until', 'share')
 
     def __init__(self, share: RetryShare, *, now: float) -> None:
-        """Begin with the slack of one window.
+        """Create a budget with the slack of one period.
 
         Args:
-            share: that it goes by.
-            now: seconds.
+            share: limits of this entry.
+            now: current time, seconds.
         """
         self.share = share
-        self._earned: deque[float] = deque()
-        self._part = random.random()
+        self._expiries: deque[float] = deque()
+        self._fraction = random.random()
         self._slack = 0
         self._slack_until = now
-        self._pass_time(now)
+        self._expire_tokens(now)
 
     @property
     def tokens(self) -> int:
-        """Repeats that may be spent, as last counted."""
-        return len(self._earned) + self._slack
+        """Number of tokens, as of the last update."""
+        return len(self._expiries) + self._slack
 
     def earn(self, *, now: float) -> None:
-        """Count a request.
+        """Add the tokens that a request earns.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
         """
-        self._pass_time(now)
-        self._part += self.share.tokens_per_request
-        if self._part >= 1:
-            self._part -= 1
-            self._earned.append(now + self.share.token_lifetime_seconds)
+        self._expire_tokens(now)
+        self._fraction += self.share.tokens_per_request
+        if self._fraction >= 1:
+            self._fraction -= 1
+            self._expiries.append(now + self.share.token_lifetime_seconds)
 
     def spend(self, *, now: float) -> bool:
-        """Spend one repeat.
+        """Spend a token on a retry or hedge.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Whether there was one left.
+            Whether a token was left.
         """
-        self._pass_time(now)
-        if self._earned:
-            self._earned.popleft()
+        self._expire_tokens(now)
+        if self._expiries:
+            self._expiries.popleft()
         elif self._slack:
             self._slack -= 1
         else:
             return False
         return True
 
-    def _pass_time(self, now: float) -> None:
-        while self._earned and self._earned[0] < now:
-            self._earned.popleft()
+    def _expire_tokens(self, now: float) -> None:
+        while self._expiries and self._expiries[0] < now:
+            self._expiries.popleft()
         if self._slack_until <= now:
             self._slack_until = now + self.share.slack_period_seconds
             self._slack = int(self.share.slack + random.random())
--- a/wagtaildale/calls/caller_timeouts.py
+++ b/wagtaildale/calls/caller_timeouts.py
@@ -1,23 +1,25 @@
-"""How much of its time a request has used before it came.
+"""Estimates the time that passed since a caller's first try.
 
-A caller that was refused comes back with less time left, and its target
-counts from its first try. The longest time that callers of a class give is
-what a first try has; what a request has less was used up before.
+A rejected caller retries with less time left, and the latency target counts
+from its first try. The longest timeout that callers of a class send is taken
+as the timeout of a first try; the difference to it has passed before the
+request arrived.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Callers' clocks and the way to the entry take a few milliseconds.
+# Tolerates a few milliseconds for callers' clocks and the network path to the
+# entry.
 SLACK_MS: Final = 10
-# The longest time is forgotten slowly, so that a class whose callers begin
-# to give less is judged by that within some hundred requests.
-KEPT: Final = 0.999
+# Factor by which the longest timeout decays with each request, so that it
+# follows shorter timeouts of a class's callers within a few hundred requests.
+DECAY: Final = 0.999
 
 
 class CallerTimeouts:
-    """The longest time that callers of each class give.
+    """The longest timeout that callers of each class send.
 
     Example:
         >>> timeouts = CallerTimeouts()
@@ -28,19 +30,19 @@
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an estimator without observations."""
         self._longest: dict[str, float] = {}
 
     def estimate_elapsed_ms(self, work_class: str, given_ms: int) -> int:
-        """Find how much time a request has used.
+        """Estimate the time since the first try of a request's caller.
 
         Args:
-            work_class: service and class.
-            given_ms: milliseconds that its caller still waits.
+            work_class: qualified name of the class, ``service/class``.
+            given_ms: time that the caller still waits, milliseconds.
 
         Returns:
-            Milliseconds since its caller's first try, about.
+            Estimated time since the first try, milliseconds.
         """
-        longest = self._longest.get(work_class, 0) * KEPT
+        longest = self._longest.get(work_class, 0) * DECAY
         self._longest[work_class] = max(longest, given_ms)
         return max(0, round(longest) - given_ms - SLACK_MS)
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests to upstreams of their classes."""
+"""The entry: forwards callers' requests to upstreams of their service."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.types import ServiceName
 
-# How soon after a change of the list connections follow; a call that comes
-# before opens its own.
-LOOK_SECONDS: Final = 0.5
+# Interval at which connections are adjusted to the instance list. A call that
+# needs a connection before the next refresh opens it itself.
+REFRESH_SECONDS: Final = 0.5
 
 
 class Entry:
     """Answers callers' requests.
 
     Attributes:
-        parts: of the node.
-        targets: chooses upstreams.
-        hedge_delays: tell when an attempt is slow.
+        parts: components of the node that the entry uses.
+        targets: selects the upstream of each attempt.
+        hedge_delays: delay before a hedge, estimated for each class.
     """
 
     def __init__(self, parts: EntryParts) -> None:
-        """Prepare.
+        """Create an entry without retry budgets.
 
         Args:
-            parts: of the node.
+            parts: components of the node that the entry uses.
         """
         self.parts = parts
         self.targets = Targets(parts)
@@ -43,17 +43,20 @@
         self._budgets: dict[ServiceName, RetryBudget] = {}
 
     def answer(self, exchange: Exchange) -> None:
-        """Begin to answer a request; see ``Answerer``.
+        """Start to answer a request; see ``Answerer``.
 
         Args:
-            exchange: the request.
+            exchange: request and the response to be written.
         """
         call = EntryCall(self, exchange)
         exchange.receiver = call
         call.start()
 
     def refresh(self) -> None:
-        """Keep connections, notes and budgets in step with the view."""
+        """Update connections, statistics and budgets from the current view.
+
+        Schedules itself again after ``REFRESH_SECONDS``.
+        """
         parts = self.parts
         now = read_clock()
         view = parts.view.current
@@ -63,7 +66,9 @@
         statistics.keep_only(view.records)
         parts.peers.keep_only(
             {
-                Address(record.host, record.owner_port): self.targets.is_far(
+                Address(
+                    record.host, record.owner_port
+                ): self.targets.is_in_other_data_centre(
                     record,
                 )
                 for record in self.targets.list_subset()
@@ -73,16 +78,16 @@
         share = self.parts.read_retry_share()
         for budget in self._budgets.values():
             budget.share = share
-        self.parts.loop.alarms.set(LOOK_SECONDS, self.refresh)
+        self.parts.loop.alarms.set(REFRESH_SECONDS, self.refresh)
 
     def find_budget(self, service: ServiceName) -> RetryBudget:
-        """Find the retries that may be spent on a service.
+        """Return the retry budget of a service, created on first use.
 
         Args:
-            service: that is called.
+            service: service that is called.
 
         Returns:
-            Its budget.
+            The budget for retries and hedges of calls to the service.
         """
         budget = self._budgets.get(service)
         if budget is None:
@@ -94,7 +99,7 @@
         return budget
 
     def _is_wanted(self, record: InstanceRecord, now: float) -> bool:
-        # One that leaves would take the connection only to have it closed.
+        # A leaving owner would only close a new connection.
         upstream = self.parts.placement.statistics.find(
             record.instance, now=now
         )
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -1,18 +1,18 @@
-"""One caller's request at the entry, from its head to its answer."""
+"""One caller's request at the entry, from its head to its response."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.answers import describe_problem
-from wagtaildale.calls.attempt import Attempt, AttemptState, RequestParts
-from wagtaildale.calls.attempts import Attempts, Obstacle, conclude
+from wagtaildale.calls.attempt import Attempt, AttemptState, OutgoingRequest
+from wagtaildale.calls.attempts import Attempts, Obstacle, find_final_code
 from wagtaildale.calls.bodies import RequestBody
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.report import CallReport
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.calls.routed_call import RoutedCall, route_call
-from wagtaildale.calls.suspected_call import name_harm, review_suspect
+from wagtaildale.calls.suspected_call import mark_harmful, check_suspect
 from wagtaildale.errors.codes import Code
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import Outcome
@@ -30,54 +30,54 @@
 
 
 class EntryCall:
-    """Carries one request through its attempts.
+    """Answers one request by way of its attempts.
 
-    An ``ExchangeReceiver`` towards the caller and an ``AttemptOwner``
-    towards its attempts.
+    Acts as ``ExchangeReceiver`` for the caller and as ``AttemptReceiver``
+    for the attempts.
     """
 
     def __init__(self, entry: Entry, exchange: Exchange) -> None:
-        """Take a request.
+        """Create the call; ``start`` routes it.
 
         Args:
-            entry: that it came to.
-            exchange: the request, and the place of its answer.
+            entry: entry that received the request.
+            exchange: request and the response to be written.
         """
         self.deadline = float(0)
         self._entry = entry
         self._exchange = exchange
         self._report = CallReport(entry.parts.tallies, entry.parts.recorder)
         self._routed: RoutedCall | None = None
-        self._request: RequestParts | None = None
+        self._request: OutgoingRequest | None = None
         self._attempts: Attempts | None = None
         self._running: list[Attempt] = []
         self._alarms: list[Alarm] = []
-        self._owed = 0
+        self._uncredited_bytes = 0
         self._has_run = False
-        self._error: tuple[Attempt, Answered] | None = None
+        self._error_response: tuple[Attempt, Answered] | None = None
         self._status = 0
         self._is_over = False
 
     @property
-    def request(self) -> RequestParts:
-        """What every attempt sends."""
+    def request(self) -> OutgoingRequest:
+        """The request that every attempt sends."""
         assert self._request is not None
         return self._request
 
     @property
     def routed(self) -> RoutedCall:
-        """The call with its class."""
+        """The call with its route and class."""
         assert self._routed is not None
         return self._routed
 
     @property
     def attempts(self) -> Attempts:
-        """The attempts so far."""
+        """The attempts so far and the limits on further ones."""
         assert self._attempts is not None
         return self._attempts
 
     def start(self) -> None:
-        """Find the class of the request; attempt it once the body is here."""
+        """Route the request; start an attempt once its body is available."""
         try:
             self._route()
         except CallFailed as failure:
@@ -88,17 +88,17 @@
         self._start_if_ready()
 
     def on_body(self) -> None:
-        """Take more of the request's body; see ``ExchangeReceiver``."""
+        """Read more of the request body; see ``ExchangeReceiver``."""
         if self._is_over or self._request is None:
             self._exchange.message.take_body()
             return
         try:
             self.request.body.read()
         except CallFailed as failure:
-            if any(attempt.was_run for attempt in self._running):
-                # Failure: a body grows over the limit in the middle, and
-                # its caller hears "not run" of what the backend server has
-                # begun. Once anything was sent, nobody can say so.
+            if any(attempt.is_run_sent for attempt in self._running):
+                # The body may exceed the limit after its beginning was sent.
+                # The backend server may already run the request then, so
+                # the outcome is not "not run".
                 failure.outcome = Outcome.unknown
             self._fail(failure)
             return
@@ -108,7 +108,7 @@
             self._start_if_ready()
 
     def on_gone(self) -> None:
-        """Stop everything: the caller waits no longer."""
+        """Cancel all attempts: the caller closed its connection."""
         if self._is_over:
             return
         self._end()
@@ -117,17 +117,17 @@
         )
 
     def on_room(self) -> None:
-        """Learn that the caller took what was written."""
-        if self._owed and self._running:
-            self._running[0].note_taken(self._owed)
-            self._owed = 0
+        """Send credit: the caller accepted what was written."""
+        if self._uncredited_bytes and self._running:
+            self._running[0].send_credit(self._uncredited_bytes)
+            self._uncredited_bytes = 0
 
     def note_answer(self, attempt: Attempt, answer: AnswerFields) -> None:
-        """Note what an owner says of itself; see ``AttemptOwner``.
+        """Record the state an owner reports; see ``AttemptReceiver``.
 
         Args:
-            attempt: that was answered.
-            answer: the owner's word.
+            attempt: attempt that was answered.
+            answer: fields of the answer.
         """
         self._entry.targets.note_answer(attempt.target, answer)
         if answer.leaving is not None:
@@ -138,82 +138,86 @@
         self.attempts.ends = max(self.attempts.ends, answer.ends)
 
     def on_answer(self, attempt: Attempt, frame: Answered) -> None:
-        """Take an upstream's response; see ``AttemptOwner``.
+        """Handle an upstream's response; see ``AttemptReceiver``.
 
         Args:
-            attempt: whose.
-            frame: head and body, or its beginning.
+            attempt: attempt that was answered.
+            frame: response head with the whole body or its first piece.
         """
         if self._is_over:
             return
         self._drop(attempt)
-        clock = self._entry.hedge_delays.find(attempt.target.fields.work_class)
-        clock.add_sample(read_clock() - attempt.started_at)
+        hedge_delay = self._entry.hedge_delays.find(
+            attempt.target.fields.work_class,
+        )
+        hedge_delay.add_sample(read_clock() - attempt.started_at)
         self._has_run = True
-        if not self._try_after_error(attempt, frame):
+        if not self._retry_after_error(attempt, frame):
             self._respond(attempt, frame)
 
     def on_piece(self, attempt: Attempt, frame: Piece) -> None:
-        """Take more of a response's body; see ``AttemptOwner``.
+        """Forward a piece of a response body; see ``AttemptReceiver``.
 
         Args:
-            attempt: whose.
+            attempt: attempt that was answered.
             frame: the piece.
         """
         if self._is_over:
             return
         self._exchange.add(frame.body, more=frame.more)
-        self._pass_on(attempt, len(frame.body), more=frame.more)
+        self._credit_or_finish(attempt, len(frame.body), more=frame.more)
 
     def on_attempt_silent(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Ask another upstream beside a silent one; see ``AttemptOwner``.
+        """Start an attempt beside a silent one; see ``AttemptReceiver``.
 
-        Where there is none, or no repeat is left, the call waits: a request
-        that its server may be working on is not given up for a silence.
+        If no other upstream or no retry is left, the call keeps waiting:
+        silence alone does not cancel a request that its server may be
+        running.
 
         Args:
-            attempt: which.
-            failure: that it has if it is given up now.
+            attempt: the silent attempt.
+            failure: failure that the attempt would have if it were cancelled
+                now.
         """
         if self._is_over or self._running != [attempt]:
             return
-        if not self._entry.targets.has_another(self.routed, self.attempts):
+        if not self._entry.targets.has_untried(self.routed, self.attempts):
             return
-        if self._may_retry(failure):
+        if self._take_retry(failure):
             self._report.note_retry(failure)
-            self._try()
+            self._start_attempt()
 
     def on_attempt_failed(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Go on after a failed attempt; see ``AttemptOwner``.
+        """Continue after a failed attempt; see ``AttemptReceiver``.
 
         Args:
-            attempt: which.
-            failure: why.
+            attempt: the failed attempt.
+            failure: failure of the attempt.
         """
         if self._is_over:
             return
         self._entry.targets.note_failure(attempt.target, failure)
         self._drop(attempt)
-        if attempt.was_run and failure.outcome is not Outcome.not_run:
+        if attempt.is_run_sent and failure.outcome is not Outcome.not_run:
             self._has_run = True
         if self._exchange.is_begun:
-            # The caller sees the connection close before the body's end,
-            # which HTTP counts as an error: a cut answer is never taken
-            # for a whole one.
+            # The connection closes before the end of the body. HTTP treats
+            # that as an error, so the caller never takes a truncated
+            # response for a complete one.
             self._end()
             self._report.note_failure(failure)
             self._exchange.cut()
         elif all(other.is_silent for other in self._running):
-            self._try_again(attempt, failure)
+            self._retry(attempt, failure)
 
-    # Steps
+    # Routing and attempts
 
     def _route(self) -> None:
         exchange = self._exchange
         parts = self._entry.parts
         routed = route_call(parts, exchange.message)
         self._routed = routed
-        self._report.name_call(routed)
+        self._report.note_routed(routed)
         self.deadline = routed.deadline
         budget = self._entry.find_budget(routed.service)
         budget.earn(now=read_clock())
@@ -224,7 +228,7 @@
             budget=budget,
             retries_left=routed.retries,
         )
-        self._request = RequestParts(
+        self._request = OutgoingRequest(
             method=exchange.message.method,
             target=exchange.message.target,
             headers=routed.headers,
@@ -234,11 +238,11 @@
 
     def _start_if_ready(self) -> None:
         if self.request.body.is_ready:
-            self._try()
+            self._start_attempt()
         elif self._exchange.message.find(EXPECT_FIELD) is not None:
             self._exchange.ask_for_body()
 
-    def _try(self, *, spare: bool = False) -> None:
+    def _start_attempt(self, *, spare: bool = False) -> None:
         try:
             attempt = self._make_attempt(spare=spare)
         except CallFailed as failure:
@@ -247,15 +251,15 @@
         self._running.append(attempt)
         self._report.note_attempt(attempt.target)
         self._plan_hedge(attempt)
-        attempt.begin()
+        attempt.start()
 
     def _make_attempt(self, *, spare: bool) -> Attempt:
         targets = self._entry.targets
-        target = targets.pick(
+        target = targets.choose(
             self.routed,
             self.attempts,
             spare=spare,
-            suspect=review_suspect(
+            suspect=check_suspect(
                 self._entry.parts,
                 self.routed,
                 self.request,
@@ -264,31 +268,33 @@
         )
         return Attempt(self, target=target, peer=targets.find_peer(target))
 
-    def _try_again(self, attempt: Attempt, failure: CallFailed) -> None:
+    def _retry(self, attempt: Attempt, failure: CallFailed) -> None:
         now = read_clock()
         replayable = self.request.body.is_replayable
         attempts = self.attempts
         attempts.note_refusal(attempt.target.fields.instance, failure.code)
         if attempts.take_redirect(failure, now=now) and replayable:
             self._report.note_refusal(failure)
-            self._try()
-        elif self._may_retry(failure):
+            self._start_attempt()
+        elif self._take_retry(failure):
             self._report.note_retry(failure)
-            self._try()
+            self._start_attempt()
         else:
-            failure.code = conclude(failure, idempotent=attempts.idempotent)
-            name_harm(failure, attempts)
+            failure.code = find_final_code(
+                failure, idempotent=attempts.idempotent
+            )
+            mark_harmful(failure, attempts)
             self._fail_if_last(failure)
 
-    def _may_retry(self, failure: CallFailed) -> bool:
+    def _take_retry(self, failure: CallFailed) -> bool:
         return self.attempts.take_retry(
             failure,
             now=read_clock(),
             replayable=self.request.body.is_replayable,
         )
 
-    def _try_after_error(self, attempt: Attempt, frame: Answered) -> bool:
-        """Try elsewhere after an answer that is an error of the server."""
+    def _retry_after_error(self, attempt: Attempt, frame: Answered) -> bool:
+        """Retry at another upstream if the response is a server error."""
         if frame.status < SERVER_ERROR or frame.more:
             return False
         if any(not other.is_silent for other in self._running):
@@ -300,20 +306,22 @@
             detail=f'status {frame.status}',
         )
         self._entry.targets.note_failure(attempt.target, failure)
-        if not self._may_retry(failure):
+        if not self._take_retry(failure):
             return False
         self._report.note_retry(failure)
-        # Should nobody give a better one, the caller gets this answer.
-        self._error = (attempt, frame)
-        self._try()
+        # The caller gets this response if no other attempt succeeds.
+        self._error_response = (attempt, frame)
+        self._start_attempt()
         return True
 
     def _plan_hedge(self, attempt: Attempt) -> None:
         if not self._entry.parts.hedges or len(self._running) > 1:
             return
-        clock = self._entry.hedge_delays.find(attempt.target.fields.work_class)
-        within = self.routed.match.work_class.within_ms
-        delay = clock.find_delay(within_ms=within)
+        hedge_delay = self._entry.hedge_delays.find(
+            attempt.target.fields.work_class,
+        )
+        within_ms = self.routed.match.work_class.within_ms
+        delay = hedge_delay.find_delay(within_ms=within_ms)
         if delay is None or not self.attempts.may_hedge(read_clock() + delay):
             return
         alarms = self._entry.parts.loop.alarms
@@ -326,22 +334,24 @@
             return
         if not self.request.body.is_replayable:
             return
-        if not self._entry.targets.has_another(self.routed, self.attempts):
+        if not self._entry.targets.has_untried(self.routed, self.attempts):
             return
         if not self.attempts.take_hedge(now=read_clock()):
             return
         self._report.note_hedge()
-        self._try(spare=True)
+        self._start_attempt(spare=True)
 
-    def _pass_on(self, attempt: Attempt, size: int, *, more: bool) -> None:
+    def _credit_or_finish(
+        self, attempt: Attempt, size: int, *, more: bool
+    ) -> None:
         if not more:
             self._end()
-            self._report.close(status=self._status)
+            self._report.note_response(status=self._status)
             return
-        self._owed += size
+        self._uncredited_bytes += size
         if not self._exchange.is_full:
-            attempt.note_taken(self._owed)
-            self._owed = 0
+            attempt.send_credit(self._uncredited_bytes)
+            self._uncredited_bytes = 0
 
     def _respond(self, attempt: Attempt, frame: Answered) -> None:
         targets = self._entry.targets
@@ -353,55 +363,57 @@
         self._status = frame.status
         head = ResponseHead(
             status=frame.status,
-            headers=(*frame.headers, *self._describe()),
+            headers=(*frame.headers, *self._build_report_headers()),
             length=frame.length,
         )
         self._exchange.begin(head, body=frame.body, more=frame.more)
-        self._pass_on(attempt, len(frame.body), more=frame.more)
+        self._credit_or_finish(attempt, len(frame.body), more=frame.more)
 
-    # Ends
+    # End of the call
 
     def _time_out(self) -> None:
-        ran = any(attempt.was_run for attempt in self._running)
+        is_run_sent = any(attempt.is_run_sent for attempt in self._running)
         failure = CallFailed(
             Code.timed_out,
-            outcome=Outcome.unknown if ran else Outcome.not_run,
+            outcome=Outcome.unknown if is_run_sent else Outcome.not_run,
         )
         if self._exchange.is_begun:
             return
         for attempt in self._running:
             self._entry.targets.note_failure(attempt.target, failure)
-        failure.code = conclude(failure, idempotent=self.attempts.idempotent)
+        failure.code = find_final_code(
+            failure, idempotent=self.attempts.idempotent
+        )
         self._fail(failure)
 
     def _fail_if_last(self, failure: CallFailed) -> None:
-        # An attempt that is under way, though silent, may yet answer.
+        # An attempt that is still running, even a silent one, may succeed.
         if not self._running:
             self._fail(failure)
 
     def _fail(self, failure: CallFailed) -> None:
         if self._is_over:
             return
-        if self._error is not None:
-            self._respond(*self._error)
+        if self._error_response is not None:
+            self._respond(*self._error_response)
             return
         if self._has_run and failure.outcome is Outcome.not_run:
-            # Failure: a request runs at one upstream, its answer is lost,
-            # the next upstream refuses it, and the caller hears "not run".
+            # The request ran at one upstream, its response was lost, and the
+            # next upstream rejected it: "not run" holds only for the last.
             failure.outcome = Outcome.unknown
         self._end()
         self._report.note_failure(failure, obstacle=self._find_obstacle())
         head, body = describe_problem(
             failure,
-            extra=self._describe(),
+            extra=self._build_report_headers(),
             dialect=self._entry.parts.dialect,
         )
         self._exchange.begin(head, body=body)
 
-    def _describe(self) -> tuple[tuple[bytes, bytes], ...]:
+    def _build_report_headers(self) -> tuple[tuple[bytes, bytes], ...]:
         if not self._entry.parts.dialect.describes_calls:
             return ()
-        return tuple(self._report.describe())
+        return tuple(self._report.build_headers())
 
     def _find_obstacle(self) -> Obstacle:
         attempts = self._attempts
--- a/wagtaildale/calls/failures.py
+++ b/wagtaildale/calls/failures.py
@@ -1,9 +1,8 @@
-"""How a call fails inside a node, until it becomes an answer.
+"""The exception that carries a failed call's code to its response.
 
-On the path of calls a failure may come from any of a dozen socket calls.
-One exception type carries the numbered code up to the one place that turns
-it into an answer; a ``Result`` from each socket call would cost more than
-the call itself there.
+A call may fail in any of a dozen socket calls. One exception type carries the
+numbered code to the one place that builds the response; returning a
+``Result`` from each socket call would cost more than the socket call itself.
 """
 
 from __future__ import annotations
@@ -18,16 +17,17 @@
 
 
 class CallFailed(Exception):
-    """A call cannot go on.
+    """A call or one of its attempts failed.
 
     Attributes:
-        code: the numbered result code.
-        outcome: what the caller may conclude.
-        detail: anything more, for a person.
-        retry_after: seconds after which asking again is worth it, if known.
-        has_arrived: whether a backend server got the request and turned it
-            away.
-        ends: servers that ended under the request, one after the other.
+        code: numbered result code.
+        outcome: whether the request ran, as far as is known.
+        detail: further explanation for operators.
+        retry_after: seconds after which a retry may succeed; 0 if unknown.
+        has_arrived: whether a backend server received the request and
+            rejected it.
+        ends: number of servers that crashed in succession while running the
+            request.
     """
 
     def __init__(
@@ -39,14 +39,16 @@
         retry_after: float = 0,
         has_arrived: bool = False,
     ) -> None:
-        """Say why.
+        """Create a failure.
 
         Args:
-            code: the numbered result code.
-            outcome: what the caller may conclude.
-            detail: anything more, for a person.
-            retry_after: seconds after which asking again is worth it.
-            has_arrived: whether a backend server turned the request away.
+            code: numbered result code.
+            outcome: whether the request ran, as far as is known.
+            detail: further explanation for operators.
+            retry_after: seconds after which a retry may succeed; 0 if
+                unknown.
+            has_arrived: whether a backend server received the request and
+                rejected it.
         """
         super().__init__(code.name)
         self.code = code
@@ -57,9 +59,10 @@
         self.ends = 0
 
     def describe_ends(self) -> Inputs:
-        """Describe for the log how many servers ended under the request.
+        """Return the number of servers that crashed, as event inputs.
 
         Returns:
-            Nothing where none did.
+            Inputs with the key ``ends``; empty if no server crashed while
+            running the request.
         """
         return {'ends': self.ends} if self.ends else {}
--- a/wagtaildale/calls/hedges.py
+++ b/wagtaildale/calls/hedges.py
@@ -1,9 +1,9 @@
-"""When a second attempt is begun beside one that is slow to answer.
+"""Estimates the delay after which a slow attempt is hedged.
 
-The delay follows the round-trip estimator of TCP, smoothed time plus four
-times its deviation. MONET (Andersen et al., NSDI 2005, section 2.2.2) paces
-its further attempts alike; the measurement that supports it here is in
-docs/design/calls.md.
+The delay follows the round-trip time estimator of TCP: smoothed time plus
+four times the mean deviation. MONET (Andersen et al., NSDI 2005, section
+2.2.2) paces its additional attempts the same way. The measurement that
+supports this choice is in docs/design/calls.md.
 """
 
 from __future__ import annotations
@@ -13,83 +13,84 @@
 
 GAIN: Final = 0.125
 DEVIATION_GAIN: Final = 0.25
-DEVIATIONS: Final = 4
-LEAST_DELAY: Final = 0.002
-SAMPLES_TO_TRUST: Final = 20
+DEVIATION_FACTOR: Final = 4
+MIN_DELAY_SECONDS: Final = 0.002
+MIN_SAMPLES: Final = 20
 MILLISECONDS: Final = 1000
 
 
 class HedgeDelay:
-    """Estimates the time of one class's answers.
+    """Estimates the hedge delay of one class from its response times.
 
     Example:
-        >>> clock = HedgeDelay()
-        >>> clock.find_delay() is None
+        >>> hedge_delay = HedgeDelay()
+        >>> hedge_delay.find_delay() is None
         True
     """
 
     __slots__ = ('_deviation', '_samples', '_smoothed')
 
     def __init__(self) -> None:
-        """Begin with no sample."""
+        """Create an estimator without samples."""
         self._smoothed = float(0)
         self._deviation = float(0)
         self._samples = 0
 
     def add_sample(self, seconds: float) -> None:
-        """Note how long an answer took.
+        """Add the response time of one attempt.
 
         Args:
-            seconds: from sending to the head of the answer.
+            seconds: time from sending the request to the response head.
         """
         if self._samples:
             error = seconds - self._smoothed
             self._smoothed += GAIN * error
-            gain = abs(error) - self._deviation
-            self._deviation += DEVIATION_GAIN * gain
+            deviation_error = abs(error) - self._deviation
+            self._deviation += DEVIATION_GAIN * deviation_error
         else:
             self._smoothed = seconds
             self._deviation = seconds / 2
         self._samples += 1
 
     def find_delay(self, *, within_ms: float = inf) -> float | None:
-        """Find how long to wait before a second attempt.
+        """Return the delay after which an attempt is hedged.
 
-        Failure guarded here: on a busy machine the deviation grows until
-        the delay is past what anybody waits for, and a hung server is met
-        by no second attempt. Once the target is missed an attempt counts
-        as slow whatever is usual.
+        The delay is capped at the latency target of the class: an attempt
+        that misses the target is slow, whatever the usual time is. Without
+        the cap, the deviation on a busy machine grows until the delay
+        exceeds the time that callers wait, and a hung server is never
+        hedged.
 
         Args:
-            within_ms: target of the class, milliseconds.
+            within_ms: latency target of the class, milliseconds.
 
         Returns:
-            Seconds, or nothing while there are too few samples.
+            Delay in seconds, or ``None`` while there are too few samples.
         """
-        if self._samples < SAMPLES_TO_TRUST:
+        if self._samples < MIN_SAMPLES:
             return None
-        delay = self._smoothed + DEVIATIONS * self._deviation
-        return max(LEAST_DELAY, min(delay, within_ms / MILLISECONDS))
+        delay = self._smoothed + DEVIATION_FACTOR * self._deviation
+        return max(MIN_DELAY_SECONDS, min(delay, within_ms / MILLISECONDS))
 
 
 class HedgeDelays:
-    """The clocks of all classes of an entry."""
+    """The hedge delay estimators of all classes that an entry calls."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._clocks: dict[str, HedgeDelay] = {}
+        """Create a collection without estimators."""
+        self._delays: dict[str, HedgeDelay] = {}
 
     def find(self, work_class: str) -> HedgeDelay:
-        """Find the clock of a class.
+        """Return the estimator of a class, created on first use.
 
         Args:
-            work_class: service and class.
+            work_class: qualified name of the class, ``service/class``.
 
         Returns:
-            Its clock, a new one for a new class.
+            The estimator of the class.
         """
-        clock = self._clocks.get(work_class)
-        if clock is None:
-            clock = HedgeDelay()
-            self._clocks[work_class] = clock
-        return clock
+        hedge_delay = self._delays.get(work_class)
+        if hedge_delay is None:
+            hedge_delay = HedgeDelay()
+            self._delays[work_class] = hedge_delay
+        return hedge_delay
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -1,4 +1,4 @@
-"""Says how a call ended: to its caller, to the tallies, to the events."""
+"""Reports how a call went: to its caller, the tallies and the event log."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 
 class CallReport:
-    """How one call goes, from its arrival on."""
+    """The report on one call, from its arrival to its end."""
 
     def __init__(self, tallies: Tallies, recorder: EventRecorder) -> None:
-        """Begin when the request has come.
+        """Start the report when the request arrives.
 
         Args:
-            tallies: counts of calls.
-            recorder: gets events.
+            tallies: counters of calls by class.
+            recorder: recorder of events.
         """
         self._tallies = tallies
         self._recorder = recorder
-        self._started = read_clock()
-        self._name = NO_CLASS
-        self._request = ''
+        self._started_at = read_clock()
+        self._class_name = NO_CLASS
+        self._request_id = ''
         self._version = NO_VERSION
-        self._within = float(0)
+        self._target_seconds = float(0)
         self._retries = 0
         self._refusals = 0
         self._attempts: list[str] = []
@@ -52,57 +52,58 @@
         self._outcome = Outcome.answered
         self._answer: AnswerFields | None = None
 
-    def name_call(self, routed: RoutedCall) -> None:
-        """Note the request and its class.
+    def note_routed(self, routed: RoutedCall) -> None:
+        """Record the request's id and its class.
 
         Args:
-            routed: the call.
+            routed: the call with its route and class.
         """
         work_class = routed.match.work_class
-        self._name = f'{routed.match.service}/{work_class.name}'
-        self._request = routed.request_id
+        self._class_name = f'{routed.match.service}/{work_class.name}'
+        self._request_id = routed.request_id
         self._version = routed.view.version
-        self._within = work_class.within_ms / MILLISECONDS
+        self._target_seconds = work_class.within_ms / MILLISECONDS
 
     def note_retry(self, failure: CallFailed) -> None:
-        """Note that another attempt is made.
+        """Record that the call is retried.
 
         Args:
-            failure: of the attempt before.
+            failure: failure of the previous attempt.
         """
         self._retries += 1
         self._record(EventKind.call_retried, failure)
 
     def note_refusal(self, failure: CallFailed) -> None:
-        """Note that an owner refused the call unrun and another is asked.
+        """Record that an owner rejected the call and it is redirected.
 
         Args:
-            failure: the refusal.
+            failure: failure of the rejected attempt.
         """
         self._refusals += 1
         self._record(EventKind.call_redirected, failure)
 
     def note_attempt(self, target: Target) -> None:
-        """Note that an upstream was chosen and is asked.
+        """Record the start of an attempt.
 
         Args:
-            target: where the attempt goes.
+            target: upstream of the attempt.
         """
         fields = target.fields
         upstream = target.upstream
         self._attempts.append(fields.instance)
         if len(self._attempts) == 1:
-            # Nearly every call has one attempt, and its end names it.
+            # Nearly every call has a single attempt, and the event of its
+            # end names the upstream.
             return
         self._recorder.record(
             EventKind.attempt_begun,
             version=self._version,
-            subject=self._name,
-            request=self._request,
+            subject=self._class_name,
+            request=self._request_id,
             inputs={
                 'upstream': fields.instance,
                 'attempt': fields.attempt,
-                'far': int(target.is_far),
+                'far': int(target.is_in_other_data_centre),
                 'patient': int(fields.patient),
                 'left_ms': fields.remaining_ms,
                 'running': upstream.in_flight,
@@ -118,20 +119,20 @@
         )
 
     def note_hedge(self) -> None:
-        """Note that a second attempt was begun beside the first."""
+        """Record that a hedge was started."""
         self._hedges += 1
         self._recorder.record(
             EventKind.call_hedged,
-            subject=self._name,
-            request=self._request,
-            inputs={'after_ms': self._measure()},
+            subject=self._class_name,
+            request=self._request_id,
+            inputs={'after_ms': self._measure_elapsed_ms()},
         )
 
     def note_answer(self, answer: AnswerFields) -> None:
-        """Note what the owner said with its answer.
+        """Record the answer whose response goes to the caller.
 
         Args:
-            answer: its fields.
+            answer: fields of the owner's answer.
         """
         self._answer = answer
 
@@ -141,11 +142,11 @@
         *,
         obstacle: Obstacle = Obstacle.none,
     ) -> None:
-        """Note that the call failed, and count it.
+        """Record and count the failure of the call.
 
         Args:
-            failure: how.
-            obstacle: why no further attempt was made.
+            failure: failure that the caller gets.
+            obstacle: reason why no further attempt was made.
         """
         self._code = failure.code
         self._outcome = failure.outcome
@@ -155,22 +156,22 @@
         self._record(kind, failure, obstacle)
         self._count()
 
-    def close(self, *, status: int) -> None:
-        """Note that the call was answered, and count it.
+    def note_response(self, *, status: int) -> None:
+        """Record and count the complete response to the caller.
 
         Args:
-            status: HTTP status of the answer.
+            status: HTTP status of the response.
         """
         answer = self._answer
         self._recorder.record(
             EventKind.call_answered,
             version=self._version,
-            subject=self._name,
-            request=self._request,
+            subject=self._class_name,
+            request=self._request_id,
             inputs={
                 'status': status,
                 'upstreams': ' '.join(self._attempts),
-                'took_ms': self._measure(),
+                'took_ms': self._measure_elapsed_ms(),
                 'backend_ms': round(answer.backend_us / MICROSECONDS)
                 if answer
                 else 0,
@@ -178,13 +179,14 @@
         )
         self._count()
 
-    def describe(self) -> Sequence[Header]:
-        """Describe the call to its caller.
+    def build_headers(self) -> Sequence[Header]:
+        """Build the response headers that describe the call.
 
         Returns:
-            Outcome, result code, and the time spent at each step.
+            Headers with the outcome, the result code and the time spent at
+            each step.
         """
-        total = (read_clock() - self._started) * MILLISECONDS
+        total = (read_clock() - self._started_at) * MILLISECONDS
         timing = f'entry;dur={total:.2f}'
         node = ''
         if self._answer is not None:
@@ -212,27 +214,30 @@
             kind,
             code=failure.code,
             version=self._version,
-            subject=self._name,
+            subject=self._class_name,
             detail=failure.detail,
-            request=self._request,
+            request=self._request_id,
             inputs={
                 'outcome': failure.outcome.value,
                 'upstreams': ' '.join(self._attempts),
-                'took_ms': self._measure(),
+                'took_ms': self._measure_elapsed_ms(),
                 'retry_ms': round(failure.retry_after * MILLISECONDS),
                 'not_retried': obstacle.value,
                 **failure.describe_ends(),
             },
         )
 
-    def _measure(self) -> int:
-        return round((read_clock() - self._started) * MILLISECONDS)
+    def _measure_elapsed_ms(self) -> int:
+        return round((read_clock() - self._started_at) * MILLISECONDS)
 
     def _count(self) -> None:
-        seconds = read_clock() - self._started
-        tally = self._tallies.find(self._name)
+        seconds = read_clock() - self._started_at
+        tally = self._tallies.find(self._class_name)
         tally.note(self._code, self._outcome, seconds)
         tally.retried += self._retries
         tally.hedged += self._hedges
-        if self._outcome is Outcome.answered and seconds <= self._within:
+        if (
+            self._outcome is Outcome.answered
+            and seconds <= self._target_seconds
+        ):
             tally.in_time += 1
--- a/wagtaildale/calls/routed_call.py
+++ b/wagtaildale/calls/routed_call.py
@@ -1,4 +1,4 @@
-"""A call with its class, and the parts of the node that carry it."""
+"""Routes a request: finds its class, service, deadline and limits."""
 
 from __future__ import annotations
 
@@ -36,39 +36,39 @@
 REQUEST_ID_BYTES: Final = 16
 MILLISECONDS: Final = 1000
 HOST_FIELD: Final = b'host'
-LONGEST_KEY: Final = 200
-LONGEST_ID: Final = 200
-LONGEST_NUMBER: Final = 9
-DEPTH_MOST: Final = 16
-# A node holds a configuration 0.1 to 0.2 s after its start. Failure: a
-# caller told to come back at once uses up its last try on a node that is
-# still starting.
-JOINING_SECONDS: Final = 0.2
+MAX_KEY_BYTES: Final = 200
+MAX_REQUEST_ID_BYTES: Final = 200
+MAX_NUMBER_DIGITS: Final = 9
+MAX_CALL_DEPTH: Final = 16
+# A node receives its configuration 0.1 to 0.2 s after its start. A caller that
+# is told to retry earlier may use up its last retry on a node that is still
+# starting.
+STARTUP_RETRY_SECONDS: Final = 0.2
 
 
 class EntryParts(Struct, frozen=True, kw_only=True):
-    """The parts of the node that the entry works with.
+    """The components of the node that the entry uses.
 
     Attributes:
-        service: of the backend server beside the node.
-        own_host: IP number of the node.
-        data_centre: the node's own.
-        loop: carries the calls.
-        owner: of the backend server beside it.
-        local: that owner, as an entry speaks to it.
+        service: service of the backend server beside the node.
+        own_host: IP address of the node.
+        data_centre: data centre of the node.
+        loop: event loop that runs the calls.
+        owner: owner of the backend server beside the node.
+        local: in-process connection to that owner.
         peers: connections to the other owners.
-        listener: notes what owners say.
-        view: what calls are routed by.
-        tallies: counts of calls.
-        recorder: gets events.
-        placement: chooses upstreams.
-        dialect: how callers are spoken to.
-        caller_timeouts: that callers give.
-        read_limits: gives what callers may send.
-        read_retry_share: gives how many retries the entry may make.
+        listener: receiver of the state that owners report.
+        view: configuration and instance list that calls are routed by.
+        tallies: counters of calls by class.
+        recorder: recorder of events.
+        placement: selection of upstreams.
+        dialect: names of header fields and options of the calls.
+        caller_timeouts: longest timeouts that callers send.
+        suspects: requests that servers crashed under.
+        read_limits: function that returns the limits on requests.
+        read_retry_share: function that returns the entry's share of retries.
         reserves: whether a non-idempotent request reserves a slot first.
-        hedges: whether slow idempotent requests get a second attempt.
-        suspects: requests under which servers have ended.
+        hedges: whether slow idempotent requests are hedged.
     """
 
     service: ServiceName
@@ -93,19 +93,23 @@
 
 
 class RoutedCall(Struct, frozen=True, kw_only=True):
-    """A call with its class.
+    """A call with its route and class.
 
     Attributes:
-        match: its class.
-        service: that it goes to.
-        view: the snapshot that the whole call goes by.
-        request_id: by which logs find it.
-        headers: of the request, those that go on.
-        deadline: seconds on the clock.
-        due: when its target is missed, seconds on the clock.
-        idempotency_key: the caller's own, of a non-idempotent request.
-        depth: how many calls led to this one.
-        retries: that are left to this call and those below.
+        match: matching route and class.
+        service: service that is called.
+        view: snapshot of configuration and instance list for the whole call.
+        request_id: id of the request in logs.
+        headers: request headers that are forwarded.
+        deadline: time at which the call fails, seconds on the monotonic
+            clock.
+        due: time at which the latency target is missed, seconds on the
+            monotonic clock.
+        idempotency_key: key that the caller sent with a non-idempotent
+            request; empty if none.
+        depth: number of calls in the chain that led to this one.
+        retries: retries left to this call and to the calls that it causes
+            downstream.
     """
 
     match: RouteMatch
@@ -121,23 +125,24 @@
 
 
 def route_call(parts: EntryParts, message: Message) -> RoutedCall:
-    """Find the class of a request and prepare its call.
+    """Find the route and class of a request.
 
     Args:
-        parts: of the node.
+        parts: components of the node that the entry uses.
         message: the request.
 
     Returns:
-        The call with its class.
+        The call with its route and class.
 
     Raises:
-        CallFailed: when there is no configuration or no route.
+        CallFailed: if the node holds no configuration, no route matches, or
+            the chain of calls is too deep.
     """
     view = parts.view.current
     if view.table is None:
         raise CallFailed(
             Code.no_configuration,
-            retry_after=JOINING_SECONDS,
+            retry_after=STARTUP_RETRY_SECONDS,
         )
     match = _find_match(view, message)
     service = match.choose_service()
@@ -145,9 +150,9 @@
         message,
         parts.dialect.deadline_ms,
         default=match.work_class.deadline_ms,
-        narrows=False,
+        lowers_only=False,
     )
-    within_ms = _find_within(parts, match, service, given_ms)
+    target_ms = _find_target_ms(parts, match, service, given_ms)
     now = read_clock()
     return RoutedCall(
         match=match,
@@ -157,7 +162,7 @@
         headers=_write_headers(parts, message),
         deadline=now
         + min(given_ms, match.work_class.deadline_ms) / MILLISECONDS,
-        due=now + within_ms / MILLISECONDS,
+        due=now + target_ms / MILLISECONDS,
         idempotency_key=_find_key(message, match),
         depth=_find_depth(message, parts.dialect),
         retries=_find_number(
@@ -169,24 +174,27 @@
 
 
 def _find_depth(message: Message, dialect: Dialect) -> int:
-    depth = _find_number(message, dialect.depth, default=0, narrows=False)
-    if depth > DEPTH_MOST:
-        # Failure: services call each other in a circle.
+    depth = _find_number(message, dialect.depth, default=0, lowers_only=False)
+    if depth > MAX_CALL_DEPTH:
+        # Ends chains in which services call each other in a circle.
         raise CallFailed(Code.too_deep, detail=f'{depth} calls deep')
     return depth
 
 
-def _find_within(
+def _find_target_ms(
     parts: EntryParts,
     match: RouteMatch,
     service: ServiceName,
     given_ms: int,
 ) -> int:
-    within = match.work_class.within_ms
+    target_ms = match.work_class.within_ms
     if parts.dialect.counts_tries:
-        name = f'{service}/{match.work_class.name}'
-        within -= parts.caller_timeouts.estimate_elapsed_ms(name, given_ms)
-    return max(0, within)
+        class_name = f'{service}/{match.work_class.name}'
+        target_ms -= parts.caller_timeouts.estimate_elapsed_ms(
+            class_name,
+            given_ms,
+        )
+    return max(0, target_ms)
 
 
 def _find_match(view: FleetView, message: Message) -> RouteMatch:
@@ -210,7 +218,7 @@
 def _find_request_id(message: Message, dialect: Dialect) -> RequestId:
     given = message.find(dialect.request_id)
     if dialect.takes_request_id and given:
-        return RequestId(given[:LONGEST_ID].decode('latin-1'))
+        return RequestId(given[:MAX_REQUEST_ID_BYTES].decode('latin-1'))
     return RequestId(os.urandom(REQUEST_ID_BYTES).hex())
 
 
@@ -227,7 +235,7 @@
     if match.work_class.idempotent:
         return ''
     key = message.find(KEY_FIELD) or b''
-    return key[:LONGEST_KEY].decode('latin-1')
+    return key[:MAX_KEY_BYTES].decode('latin-1')
 
 
 def _find_number(
@@ -235,12 +243,12 @@
     name: bytes | None,
     *,
     default: int,
-    narrows: bool = True,
+    lowers_only: bool = True,
 ) -> int:
-    # What a caller asks for only ever narrows what the class allows; the
-    # depth of a call is the one number that a caller may raise.
+    # A caller may only lower what its class allows. The depth of a call is the
+    # exception; a timeout is limited in ``route_call``.
     given = None if name is None else message.find(name)
     if given is None or not given.isdigit():
         return default
-    number = int(given[:LONGEST_NUMBER])
-    return min(default, number) if narrows else number
+    number = int(given[:MAX_NUMBER_DIGITS])
+    return min(default, number) if lowers_only else number
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -1,4 +1,4 @@
-"""Which suspected requests an owner lets through to its backend server."""
+"""Decides which suspected requests an owner sends to its backend server."""
 
 from __future__ import annotations
 
@@ -28,26 +28,28 @@
     from wagtaildale.types import InstanceId
     from wagtaildale.telemetry.events import EventRecorder
 
-# Until the place of a trial is free again: most runs are over by then.
+# Most runs end within this time, so a retry after it finds the trial's place
+# free again.
 TRIAL_RETRY_SECONDS: Final = 0.2
-# A request that is held harmful is tried at a server that has been up for so
-# many of its rests: one that is just back is not taken down again.
-UP_RESTS: Final = 30
+# A harmful request is tried only at a server that has been up for this many of
+# the request's rest periods, so that a server that has just restarted is not
+# crashed again.
+MIN_UPTIME_RESTS: Final = 30
 
-Begun = tuple['Run', Callable[[CallFailed], None]]
+StartedRun = tuple['Run', Callable[[CallFailed], None]]
 
 
 class SuspectTrials:
-    """Lets one suspected request through at a time.
+    """Runs suspected requests one at a time.
 
-    Failure guarded here: a request ends every server that runs it, an
-    innocent one that ran beside it each time is taken for its like. No two
-    that are suspected run at one server.
+    If a request crashes every server that runs it, a harmless request that
+    ran beside it each time would look just as harmful. So no two suspected
+    requests run at one server at the same time.
 
     Attributes:
-        board: what is known of requests.
-        ends: finds out whether a server ended under some.
-        answered: requests that the server has answered of late.
+        board: known crashes by request.
+        ends: detection of server crashes and the requests that ran then.
+        answered: requests that the server has recently answered.
     """
 
     def __init__(
@@ -59,14 +61,14 @@
         view: ViewHolder,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with none on trial.
+        """Create an instance without a request on trial.
 
         Args:
-            board: what is known of requests.
-            node: beside the server.
-            dialect: names the fields that tell a caller.
-            view: tells where requests are tried.
-            recorder: gets an event when a server has ended.
+            board: known crashes by request.
+            node: node beside the server.
+            dialect: names of the header fields, for the caller's service.
+            view: instance list, to find the servers that run trials.
+            recorder: recorder of events, for crashes of the server.
         """
         self.board = board
         self._node = node
@@ -81,16 +83,16 @@
         self._view = view
         self._on_trial: Run | None = None
         self._turns = Turns()
-        self._begun: dict[int, Begun] = {}
+        self._started_runs: dict[int, StartedRun] = {}
 
     def is_suspected(self, run: Run) -> bool:
-        """Tell whether servers have ended under a request.
+        """Check whether any server has crashed while running a request.
 
         Args:
             run: the request.
 
         Returns:
-            Whether any is known to have.
+            Whether a crash is known to its entry or to this node.
         """
         if run.fields.ends:
             return True
@@ -105,28 +107,29 @@
         up_seconds: float,
         on_turn: Callable[[], None],
     ) -> int | None:
-        """Let a request through, or refuse it unrun.
+        """Admit a request to the server, queue it, or reject it.
 
         Args:
             run: the request.
-            up_seconds: for which the server has been up.
-            on_turn: asks again when the one before it is over.
+            up_seconds: uptime of the server, seconds.
+            on_turn: callback for a queued request, called when the one
+                before it has ended; it calls ``admit`` again.
 
         Returns:
-            How many servers have ended under it, one after the other, as
-            far as is known; nothing while it waits for its turn.
+            Number of servers known to have crashed in succession while
+            running the request; ``None`` while the request is queued.
 
         Raises:
-            CallFailed: when it may not run here, or not now.
+            CallFailed: if the request may not run here, or not now.
         """
-        told = run.fields.ends
-        if not told and not self.board.current.records:
+        reported_ends = run.fields.ends
+        if not reported_ends and not self.board.current.records:
             return 0
         fingerprint = self.find_fingerprint(run)
-        judgement = self.board.judge(fingerprint, told=told)
+        judgement = self.board.judge(fingerprint, told=reported_ends)
         ends = judgement.ends
         if judgement.standing is Standing.harmful:
-            raise refuse_suspect(
+            raise build_suspect_refusal(
                 Code.request_harmful,
                 fingerprint,
                 ends=ends,
@@ -147,28 +150,28 @@
         *,
         give_up: Callable[[CallFailed], None],
     ) -> None:
-        """Learn that a request goes to the server.
+        """Register a run that goes to the server.
 
-        Failure guarded here: a request runs at two servers when it ends the
-        first one, and a moment later the second. Word of the end comes before
-        that, and what may run twice is given up.
+        A request may run at two servers, crash the first one and shortly
+        after the second. The report of the first crash arrives before that,
+        and runs of idempotent requests are abandoned then.
 
         Args:
             run: the request.
-            give_up: ends the run, if it is that of a request under which
-                another server has ended.
+            give_up: callback that abandons the run, called if another server
+                has crashed while running the same request.
         """
         if run.fields.idempotent:
-            self._begun[id(run)] = (run, give_up)
+            self._started_runs[id(run)] = (run, give_up)
 
     def abandon_suspected_runs(self) -> None:
-        """Give up the runs of requests under which other servers ended."""
+        """Abandon runs of requests that other servers crashed under."""
         known = self.board.current
-        for run, give_up in tuple(self._begun.values()):
+        for run, give_up in tuple(self._started_runs.values()):
             fingerprint = self.find_fingerprint(run)
             record = known.find(fingerprint)
             if record.places and not self.answered.has(fingerprint):
-                failure = refuse_suspect(
+                failure = build_suspect_refusal(
                     Code.request_on_trial,
                     fingerprint,
                     ends=record.ends,
@@ -177,18 +180,18 @@
                 give_up(failure)
 
     def release(self, run: Run) -> None:
-        """Learn that a request runs no more.
+        """Free the trial or turn that a finished request held.
 
         Args:
             run: the request.
         """
-        self._begun.pop(id(run), None)
+        self._started_runs.pop(id(run), None)
         if self._on_trial is run:
             self._on_trial = None
         self._turns.release(run)
 
     def note_answered(self, run: Run) -> None:
-        """Learn that a request was answered.
+        """Record that the server answered a request.
 
         Args:
             run: the request.
@@ -199,13 +202,13 @@
             self.board.note_answered(fingerprint)
 
     def find_fingerprint(self, run: Run) -> Fingerprint:
-        """Give the fingerprint of a request.
+        """Compute the fingerprint of a request.
 
         Args:
             run: the request.
 
         Returns:
-            By what it is known again.
+            The fingerprint, the same at every node.
         """
         return take_fingerprint(
             Asked(
@@ -226,7 +229,7 @@
     ) -> None:
         fields = run.fields
         if not judgement.places:
-            # Its entry knows of an end that is not known here yet.
+            # The entry knows of a crash that this node does not know of yet.
             return
         places = list_places(
             self._view.current,
@@ -236,7 +239,7 @@
         )
         nodes = [place.node_id for place in places]
         if nodes and self._node not in nodes:
-            raise refuse_suspect(
+            raise build_suspect_refusal(
                 Code.request_on_trial,
                 fingerprint,
                 ends=judgement.ends,
@@ -251,7 +254,9 @@
     ) -> bool:
         subject = find_subject(fingerprint)
         if self._turns.is_full(subject):
-            raise refuse_suspect(Code.request_on_trial, fingerprint, ends=ends)
+            raise build_suspect_refusal(
+                Code.request_on_trial, fingerprint, ends=ends
+            )
         return self._turns.take(subject, run, on_turn=on_turn)
 
     def _begin_trial(
@@ -261,32 +266,35 @@
         ends: int,
         up_seconds: float,
     ) -> None:
-        wait = 0 if ends < HARMFUL_ENDS else UP_RESTS * find_rest(ends)
-        left = wait - up_seconds
-        if self._on_trial is not None or left > 0:
-            raise refuse_suspect(
+        min_uptime_seconds = (
+            0 if ends < HARMFUL_ENDS else MIN_UPTIME_RESTS * find_rest(ends)
+        )
+        wait_seconds = min_uptime_seconds - up_seconds
+        if self._on_trial is not None or wait_seconds > 0:
+            raise build_suspect_refusal(
                 Code.request_on_trial,
                 fingerprint,
                 ends=ends,
-                wait_seconds=max(TRIAL_RETRY_SECONDS, left),
+                wait_seconds=max(TRIAL_RETRY_SECONDS, wait_seconds),
             )
         self._on_trial = run
 
 
-def refuse_suspect(
+def build_suspect_refusal(
     code: Code,
     fingerprint: Fingerprint,
     *,
     ends: int,
     wait_seconds: float = TRIAL_RETRY_SECONDS,
 ) -> CallFailed:
-    """Make the refusal of a suspected request.
+    """Build the failure that rejects a suspected request.
 
     Args:
-        code: why it does not run.
-        fingerprint: of the request; operators find it by that.
-        ends: servers that ended under it, one after the other.
-        wait_seconds: after which its caller may come back.
+        code: result code.
+        fingerprint: fingerprint of the request, by which operators find it.
+        ends: number of servers that crashed in succession while running the
+            request.
+        wait_seconds: time after which the caller may retry, seconds.
 
     Returns:
         The failure, with outcome ``not_run``.
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -1,4 +1,4 @@
-"""What an entry does with a request under which servers have ended."""
+"""Handles requests at the entry that servers have crashed under."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.calls.suspect_trials import refuse_suspect
+from wagtaildale.calls.suspect_trials import build_suspect_refusal
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.placement import Placed
 from wagtaildale.routing.trials import list_places
@@ -27,48 +27,50 @@
 
 if TYPE_CHECKING:
     from wagtaildale.calls.failures import CallFailed
-    from wagtaildale.calls.attempt import RequestParts
+    from wagtaildale.calls.attempt import OutgoingRequest
     from wagtaildale.calls.attempts import Attempts
     from wagtaildale.calls.routed_call import EntryParts, RoutedCall
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.routing.view import FleetView
     from wagtaildale.types import InstanceId
 
-# A server that has ended is seldom back sooner.
-RETURN_SECONDS: Final = 1.0
+# A crashed server rarely restarts sooner.
+RESTART_SECONDS: Final = 1.0
 
 
 class Suspect(Struct, frozen=True, kw_only=True):
-    """A request that may not run at any server.
+    """A suspected request, which may run only at certain servers.
 
     Attributes:
-        fingerprint: of the request.
-        judgement: what is known of it.
+        fingerprint: fingerprint of the request.
+        judgement: decision whether and where the request may run.
     """
 
     fingerprint: Fingerprint
     judgement: Judgement
 
 
-def review_suspect(
+def check_suspect(
     parts: EntryParts,
     routed: RoutedCall,
-    request: RequestParts,
+    request: OutgoingRequest,
     attempts: Attempts,
 ) -> Suspect | None:
-    """Review whether a request may be sent on, and whether to any server.
+    """Check whether a request may be sent, and whether to any server.
 
     Args:
-        parts: of the node.
-        routed: its call.
-        request: that is to be sent.
-        attempts: of its call; learn what this node knows of it.
+        parts: components of the node that the entry uses.
+        routed: the call with its route and class.
+        request: request to be sent.
+        attempts: attempts of the call; ``ends`` is updated from the crashes
+            that this node knows of.
 
     Returns:
-        The request if it may not run at any server.
+        The suspected request if it may run only at certain servers,
+        otherwise ``None``.
 
     Raises:
-        CallFailed: when it is not to run, with outcome ``not_run``.
+        CallFailed: if the request may not run now, with outcome ``not_run``.
     """
     if not parts.suspects.current.records and not attempts.ends:
         return None
@@ -85,7 +87,7 @@
     judgement = parts.suspects.judge(fingerprint, told=attempts.ends)
     attempts.ends = judgement.ends
     if judgement.standing is Standing.harmful:
-        raise refuse_suspect(
+        raise build_suspect_refusal(
             Code.request_harmful,
             fingerprint,
             ends=judgement.ends,
@@ -104,25 +106,26 @@
     suspect: Suspect,
     statistics: FleetStatistics,
 ) -> Placed | None:
-    """Place an attempt of a request that may not run at any server.
+    """Choose the upstream for an attempt of a suspected request.
 
     Args:
-        view: the snapshot that the call goes by.
-        routed: the call.
-        attempts: those before.
-        suspect: the request.
-        statistics: of all upstreams.
+        view: snapshot of configuration and instance list for the call.
+        routed: the call with its route and class.
+        attempts: previous attempts.
+        suspect: the suspected request.
+        statistics: statistics of all upstreams.
 
     Returns:
-        Where it goes; nothing if it may run like others, since the servers
-        that ended under it are gone.
+        The upstream; ``None`` if the request may run at any server, because
+        the servers that crashed under it are no longer listed.
 
     Raises:
-        CallFailed: when it was refused wherever it may run.
+        CallFailed: if all upstreams that may run the request were tried.
     """
     judgement = suspect.judgement
     if not judgement.places and attempts.tried:
-        # Word of the end is still on its way here; this call has seen it.
+        # This call has seen the crash, but the report of it has not reached
+        # this node yet.
         judgement = structs.replace(
             judgement,
             places=_find_last_node(view, attempts),
@@ -148,11 +151,11 @@
         if not statistics.down.has(place.instance, now=now)
     ]
     if not untried:
-        raise refuse_suspect(
+        raise build_suspect_refusal(
             Code.request_on_trial,
             suspect.fingerprint,
             ends=attempts.ends,
-            wait_seconds=RETURN_SECONDS,
+            wait_seconds=RESTART_SECONDS,
         )
     return Placed(record=(up or untried)[0], is_only=True)
 
@@ -165,18 +168,18 @@
     return () if record is None else (record.node_id,)
 
 
-def name_harm(failure: CallFailed, attempts: Attempts) -> None:
-    """Tell a caller whose request ends servers when to come back.
+def mark_harmful(failure: CallFailed, attempts: Attempts) -> None:
+    """Report a request that crashes servers as harmful, with a retry delay.
 
-    Failure guarded here: the answer to such a request says that its server
-    ended, and its caller sends it to the next one at once.
+    If the caller were told only that its server crashed, it would retry at
+    once and crash the next one.
 
     Args:
-        failure: that its call ends with; moved forward in place.
-        attempts: of the call.
+        failure: failure that the call ends with; changed in place.
+        attempts: attempts of the call.
     """
-    ended = failure.code in {Code.backend_ended, Code.outcome_unknown}
-    if ended and attempts.ends >= HARMFUL_ENDS:
+    has_crashed = failure.code in {Code.backend_ended, Code.outcome_unknown}
+    if has_crashed and attempts.ends >= HARMFUL_ENDS:
         failure.code = Code.request_harmful
         failure.retry_after = min(
             find_rest(attempts.ends), LONGEST_REST_SECONDS
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -1,4 +1,4 @@
-"""Chooses the target of an attempt."""
+"""Chooses the upstream of an attempt and records how it answers."""
 
 from __future__ import annotations
 
@@ -36,41 +36,42 @@
     from wagtaildale.routing.placement import Placed
     from wagtaildale.routing.statistics import FleetStatistics
 
-# A service without a server gets one when the list changes; asking again in
-# some milliseconds only uses up the caller's tries.
+# A service without an upstream gets one only when the instance list changes;
+# retrying within a few milliseconds would use up the caller's retries.
 NO_UPSTREAM_SECONDS: Final = 0.25
 
 
 class Target(Struct, frozen=True, kw_only=True):
-    """Where one attempt goes.
+    """Upstream of one attempt.
 
     Attributes:
-        address: of the owner.
+        address: address of the owner.
         is_local: whether the owner is in this process.
-        is_far: whether it is in another data centre.
-        fields: what the owner is told.
-        upstream: what is known of it.
+        is_in_other_data_centre: whether the owner is in another data centre
+            than the entry.
+        fields: description of the call for the owner.
+        upstream: statistics of the upstream.
     """
 
     address: Address
     is_local: bool
-    is_far: bool
+    is_in_other_data_centre: bool
     fields: CallFields
     upstream: UpstreamStatistics
 
 
 class Targets:
-    """Chooses targets and keeps their statistics."""
+    """Chooses targets and updates the statistics of their upstreams."""
 
     def __init__(self, parts: EntryParts) -> None:
-        """Prepare.
+        """Create a selector of targets.
 
         Args:
-            parts: of the node.
+            parts: components of the node that the entry uses.
         """
         self._parts = parts
 
-    def pick(
+    def choose(
         self,
         routed: RoutedCall,
         attempts: Attempts,
@@ -78,25 +79,27 @@
         spare: bool = False,
         suspect: Suspect | None = None,
     ) -> Target:
-        """Pick the target of the next attempt and note it as tried.
+        """Choose the target of the next attempt and mark it as tried.
 
         Args:
-            routed: the call.
-            attempts: those before; this one is added.
-            spare: whether it is to run only where a slot is free, beside an
-                attempt that goes on.
-            suspect: the request, if it may not run at any server.
+            routed: the call with its route and class.
+            attempts: previous attempts; the new one is added.
+            spare: whether the attempt is a hedge, which runs only if a slot
+                is free at once.
+            suspect: suspected request, if it may run only at certain
+                servers.
 
         Returns:
             The target.
 
         Raises:
-            CallFailed: when no instance takes work.
+            CallFailed: if no upstream accepts the request.
         """
         placed = self._place(routed, attempts, suspect, spare=spare)
         if placed is None:
-            # Failure: a service is overloaded everywhere, and each request
-            # is sent round all data centres to be refused in each.
+            # Wait at an upstream instead of trying further ones. Otherwise,
+            # if a service is overloaded everywhere, each request is sent to
+            # all data centres and rejected in each.
             attempts.refusals_left = 0
             placed = self._place(routed, attempts, suspect, spare=spare)
         if isinstance(placed, Throttled):
@@ -126,7 +129,7 @@
         return Target(
             address=Address(record.host, record.owner_port),
             is_local=record.host == self._parts.own_host,
-            is_far=self.is_far(record),
+            is_in_other_data_centre=self.is_in_other_data_centre(record),
             fields=describe_call(
                 routed,
                 upstream,
@@ -143,10 +146,10 @@
         )
 
     def list_subset(self) -> Iterator[InstanceRecord]:
-        """List the upstreams of all services that this entry calls.
+        """List the upstreams that the entry keeps connections to.
 
         Yields:
-            Those to keep connections to.
+            Upstreams of all services.
         """
         view = self._parts.view.current
         for service in view.upstreams:
@@ -156,15 +159,17 @@
                 now=read_clock(),
             )
 
-    def has_another(self, routed: RoutedCall, attempts: Attempts) -> bool:
-        """Tell whether an upstream with room to spare was not tried yet.
+    def has_untried(self, routed: RoutedCall, attempts: Attempts) -> bool:
+        """Check whether a further attempt would go to another upstream.
+
+        Upstreams that are ejected or have a rate limit do not count.
 
         Args:
-            routed: the call.
-            attempts: those before.
+            routed: the call with its route and class.
+            attempts: previous attempts.
 
         Returns:
-            Whether a second attempt would go to another one.
+            Whether there is an upstream that was not tried yet.
         """
         tried = attempts.tried
         statistics = self._statistics
@@ -183,38 +188,40 @@
         )
 
     def find_peer(self, target: Target) -> Peer:
-        """Find the owner at a target.
+        """Find the connection to the owner at a target.
 
         Args:
-            target: of an attempt.
+            target: target of an attempt.
 
         Returns:
-            By whom the attempt speaks to it.
+            The connection, in-process for the owner of this node.
         """
         if target.is_local:
             return self._parts.local
         return self._parts.peers.find(
             target.address,
-            compressed=target.is_far,
+            compressed=target.is_in_other_data_centre,
         )
 
-    def is_far(self, record: InstanceRecord) -> bool:
-        """Tell whether an upstream is in another data centre.
+    def is_in_other_data_centre(self, record: InstanceRecord) -> bool:
+        """Check whether an upstream is in another data centre.
+
+        Messages to other data centres are compressed.
 
         Args:
-            record: of the upstream.
+            record: instance record of the upstream.
 
         Returns:
-            Whether bytes to it are worth compressing.
+            Whether its data centre differs from that of the entry.
         """
         return record.data_centre != self._parts.data_centre
 
     def note_answer(self, target: Target, answer: AnswerFields) -> None:
-        """Note an answer of a target's owner.
+        """Update the statistics from an answer of a target's owner.
 
         Args:
-            target: where the attempt went.
-            answer: its fields.
+            target: target of the attempt.
+            answer: fields of the answer.
         """
         now = read_clock()
         report = read_report(answer)
@@ -236,11 +243,12 @@
             )
 
     def note_overtaken(self, target: Target, *, since: float) -> None:
-        """Note a target that had not answered when another one did.
+        """Update the statistics of a target that another one overtook.
 
         Args:
-            target: where the attempt went.
-            since: when it was begun, seconds.
+            target: target of an attempt that was still unanswered when
+                another attempt was answered.
+            since: start time of the attempt, seconds on the monotonic clock.
         """
         now = read_clock()
         self._statistics.note_overtaken(
@@ -251,11 +259,11 @@
         )
 
     def note_failure(self, target: Target, failure: CallFailed) -> None:
-        """Note a failed attempt, if it speaks against the upstream.
+        """Count a failed attempt, if the upstream caused the failure.
 
         Args:
-            target: where the attempt went.
-            failure: how it ended.
+            target: target of the attempt.
+            failure: failure of the attempt.
         """
         if failure.code not in UPSTREAM_FAULTS:
             return
--- a/wagtaildale/calls/windows.py
+++ b/wagtaildale/calls/windows.py
@@ -1,21 +1,21 @@
-"""How much of a body may be on its way to a node that passes it on.
+"""Flow control for bodies that one node forwards to another.
 
-Failure guarded here: a caller reads slowly, or a backend server does, and
-the node in front of it holds the whole body in memory. Whoever sends pieces
-sends at most ``WINDOW_BYTES`` beyond what the other side has passed on.
+A sender of body pieces sends at most ``WINDOW_BYTES`` beyond what the
+receiver has forwarded. Without this limit, a caller or backend server that
+reads slowly makes the node in front of it buffer the whole body in memory.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Two round trips across regions at 100 Mbit/s; a few hundred large bodies
-# at once stay well under the memory of a small instance.
+# Covers two round trips between regions at 100 Mbit/s. A few hundred large
+# bodies at the same time still fit well into the memory of a small instance.
 WINDOW_BYTES: Final = 262_144
 
 
 class SendWindow:
-    """What a sender of pieces may still send.
+    """Credit that a sender of body pieces has left.
 
     Example:
         >>> window = SendWindow()
@@ -27,29 +27,29 @@
         True
     """
 
-    __slots__ = ('_left',)
+    __slots__ = ('_remaining_bytes',)
 
     def __init__(self) -> None:
-        """Begin with all of it."""
-        self._left = WINDOW_BYTES
+        """Create a window with the full credit."""
+        self._remaining_bytes = WINDOW_BYTES
 
     @property
     def is_open(self) -> bool:
-        """Whether another piece may go."""
-        return self._left > 0
+        """Whether another piece may be sent."""
+        return self._remaining_bytes > 0
 
     def note_sent(self, size: int) -> None:
-        """Note that a piece went out.
+        """Subtract a piece that was sent.
 
         Args:
-            size: of it, bytes.
+            size: size of the piece, bytes.
         """
-        self._left -= size
+        self._remaining_bytes -= size
 
     def add_credit(self, size: int) -> None:
-        """Note that the other side passed something on.
+        """Add bytes that the receiver has forwarded.
 
         Args:
-            size: of it, bytes.
+            size: number of bytes.
         """
-        self._left += size
+        self._remaining_bytes += size
