--- a/properties/test_attempts.py
+++ b/properties/test_attempts.py
@@ -1,4 +1,4 @@
-"""State machine: the attempts of one call, whatever each of them meets."""
+"""State machine: the attempts of one call, with failures of any kind."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
 
 class AttemptMachine(RuleBasedStateMachine):
-    """An upstream refuses, runs, cuts, or is silent, in any order."""
+    """Attempts that are rejected, run, cut off or hedged, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.attempts = self._build(idempotent=False, tokens=0)
         self.now = float(0)
         self.may_have_run = False
-        self.sent = 0
+        self.sent_attempts = 0
         self.final: Code | None = None
 
     @initialize(idempotent=st.booleans(), tokens=st.floats(0, 3))
     def start(self, idempotent: bool, tokens: float) -> None:
         self.attempts = self._build(idempotent=idempotent, tokens=tokens)
-        self.sent = 1
+        self.sent_attempts = 1
 
     @rule(seconds=st.floats(0, 4))
     def wait(self, seconds: float) -> None:
@@ -54,7 +54,7 @@
         outcome = Outcome.unknown if ran else Outcome.not_run
         failure = CallFailed(code, outcome=outcome)
         self.may_have_run = self.may_have_run or ran
-        self.attempts.tried.append(InstanceId(str(self.sent)))
+        self.attempts.tried.append(InstanceId(str(self.sent_attempts)))
         if self.attempts.take_retry(
             failure,
             now=self.now,
@@ -76,16 +76,16 @@
 
     @invariant()
     def attempts_are_bounded(self) -> None:
-        assert self.sent <= RETRIES_MOST + 1
+        assert self.sent_attempts <= RETRIES_MOST + 1
 
     @invariant()
     def budget_is_never_overdrawn(self) -> None:
         assert self.attempts.budget.tokens >= 0
 
     def _send(self) -> None:
-        # What may have run and must not run twice is never sent again.
+        # A non-idempotent request that may have run is never sent again.
         assert self.attempts.idempotent or not self.may_have_run
-        self.sent += 1
+        self.sent_attempts += 1
 
     def _build(self, *, idempotent: bool, tokens: float) -> Attempts:
         return Attempts(
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -12,7 +12,7 @@
 from wagtaildale.calls.report import CallReport
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.calls.routed_call import RoutedCall, route_call
-from wagtaildale.calls.suspected_call import mark_harmful, check_suspect
+from wagtaildale.calls.suspected_call import check_suspect, mark_harmful
 from wagtaildale.errors.codes import Code
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import Outcome
@@ -25,7 +25,7 @@
     from wagtaildale.timers.alarms import Alarm
 
 SHED_STATUS: Final = 503
-SERVER_ERROR: Final = 500
+SERVER_ERROR_STATUS: Final = 500
 EXPECT_FIELD: Final = b'expect'
 
 
@@ -295,7 +295,7 @@
 
     def _retry_after_error(self, attempt: Attempt, frame: Answered) -> bool:
         """Retry at another upstream if the response is a server error."""
-        if frame.status < SERVER_ERROR or frame.more:
+        if frame.status < SERVER_ERROR_STATUS or frame.more:
             return False
         if any(not other.is_silent for other in self._running):
             return False
@@ -398,8 +398,9 @@
             self._respond(*self._error_response)
             return
         if self._has_run and failure.outcome is Outcome.not_run:
-            # The request ran at one upstream, its response was lost, and the
-            # next upstream rejected it: "not run" holds only for the last.
+            # The request may have run at one upstream and lost its response
+            # before the next upstream rejected it. "Not run" is true only of
+            # the last one, so the caller must not get it.
             failure.outcome = Outcome.unknown
         self._end()
         self._report.note_failure(failure, obstacle=self._find_obstacle())
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -152,9 +152,10 @@
     ) -> None:
         """Register a run that goes to the server.
 
-        A request may run at two servers, crash the first one and shortly
-        after the second. The report of the first crash arrives before that,
-        and runs of idempotent requests are abandoned then.
+        Without this, a request that runs at two servers crashes the first
+        one and shortly after the second. The report of the first crash
+        arrives in between, and runs of idempotent requests are abandoned
+        then.
 
         Args:
             run: the request.
--- a/wagtaildale/calls/tests/conftest.py
+++ b/wagtaildale/calls/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of calls."""
+"""Fixtures for the tests of calls."""
 
 from __future__ import annotations
 
--- a/wagtaildale/calls/tests/fleets.py
+++ b/wagtaildale/calls/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Entries and owners in one process, before servers that a test scripts."""
+"""Entries and owners in one process, in front of scripted servers."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class ScriptedFleet(Closing):
-    """Entries without an upstream, and owners beside servers.
+    """A fleet of entries and owners; the test provides the servers.
 
     Attributes:
-        records: of the servers.
-        entries: nodes that callers ask.
+        records: instance records of the servers.
+        entries: nodes that receive callers' requests.
         owners: nodes beside the servers.
-        suspects: what all of them know.
+        suspects: known crashes, shared by all nodes.
     """
 
     def __init__(self, upstreams: int, *, entries: int) -> None:
@@ -44,16 +44,16 @@
 
     @property
     def nodes(self) -> list[MeshNode]:
-        """All nodes, the entries first."""
+        """All nodes, entries first."""
         return [*self.entries, *self.owners]
 
     def show(self, *records: InstanceRecord) -> None:
-        """Let every node know these servers."""
+        """Show the instance records of these servers to every node."""
         for node in self.nodes:
             node.show(*records)
 
     def ask(self, path: str, *, entry: int = 0, method: str = 'GET') -> bytes:
-        """Send a request to an entry and give the whole answer."""
+        """Send a request to an entry and return the raw response."""
         request = (
             f'{method} {path} HTTP/1.1\r\nhost: m\r\n'
             f'x-request-id: r{next(self._ids)}\r\nx-deadline-ms: 1000\r\n'
@@ -62,7 +62,7 @@
         return talk(self.entries[entry].entry, request.encode())
 
     def restart_owner(self, number: int) -> None:
-        """Start an owner's process anew; its server runs on."""
+        """Restart an owner; its server keeps running."""
         record = self.records[number]
         self.owners[number].close()
         self.owners[number] = self._make_node(record)
--- a/wagtaildale/calls/tests/test_budgets.py
+++ b/wagtaildale/calls/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Tests of the repeats that all entries of a fleet make together."""
+"""Tests of the retries that all entries of a fleet send together."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 SEED = 1
 
 
-def play(
-    *, entries: int, requests_a_second: float, seconds: float
+def simulate_retries(
+    *, entries: int, requests_per_second: float, seconds: float
 ) -> list[int]:
-    """Let every request want a repeat; give the repeats of each step."""
+    """Request a retry for every request; return the retries of each step."""
     random.seed(SEED)
     share = compute_retry_share(BOUNDS, entries=entries)
     budgets = [RetryBudget(share, now=0) for _entry in range(entries)]
-    each = requests_a_second * STEP_SECONDS / entries
-    owed = float(0)
+    requests_per_step = requests_per_second * STEP_SECONDS / entries
+    pending_requests = float(0)
     spent: list[int] = []
     for step in range(int(seconds / STEP_SECONDS)):
         now = step * STEP_SECONDS
-        owed += each
+        pending_requests += requests_per_step
         spent.append(0)
         for budget in budgets:
-            for _request in range(int(owed)):
+            for _request in range(int(pending_requests)):
                 budget.earn(now=now)
             spent[-1] += budget.spend(now=now)
-        owed -= int(owed)
+        pending_requests -= int(pending_requests)
     return spent
 
 
-def find_most(spent: list[int]) -> int:
-    """Find the most repeats in any window."""
+def find_max_in_window(spent: list[int]) -> int:
+    """Find the largest number of retries in any window."""
     window = int(BOUNDS.retry_window_seconds / STEP_SECONDS)
     return max(
         sum(spent[start : start + window])
@@ -50,28 +50,37 @@
 
 
 @pytest.mark.parametrize('entries', [1, 12, 300])
-def test_a_service_that_refuses_everywhere(entries: int) -> None:
-    """All servers of a service turn requests away for a while.
+def test_retries_stay_within_the_limit_when_all_servers_reject(
+    entries: int,
+) -> None:
+    """Prevents a dozen entries from exceeding the operators' limit together.
 
-    Each request would be sent a second time. Each entry kept to a share of
-    its own, but had saved up some besides: together those of a dozen
-    entries were over what the operators allow in one window.
+    All servers reject requests, and each one would be retried. Tokens that
+    every entry saves beyond its share add up to more retries in one window
+    than the operators allow.
     """
     rate = 450.0
-    spent = play(entries=entries, requests_a_second=rate, seconds=30)
+    spent = simulate_retries(
+        entries=entries, requests_per_second=rate, seconds=30
+    )
     window = BOUNDS.retry_window_seconds
     allowed = BOUNDS.retry_share * rate * window + BOUNDS.retry_slack
-    # The calls of repeated requests count as repeats at other services.
-    assert find_most(spent) <= 0.7 * allowed
-    assert find_most(spent) >= 0.4 * allowed
+    # Calls that a retried request makes count as retries at other services, so
+    # entries spend only a part of the limit.
+    assert find_max_in_window(spent) <= 0.7 * allowed
+    assert find_max_in_window(spent) >= 0.4 * allowed
 
 
 @pytest.mark.parametrize('entries', [1, 12, 300])
-def test_a_quiet_service_in_a_large_fleet(entries: int) -> None:
-    """Hardly anybody calls a service, and one of its servers goes down.
+def test_a_rarely_called_service_gets_retries_in_a_large_fleet(
+    entries: int,
+) -> None:
+    """Few calls go to a service, and one of its servers goes down.
 
-    With the slack split among hundreds of entries none has a whole repeat
-    to spend. Some of them get one by lot, and together they keep to it.
+    Split among hundreds of entries, the slack gives none of them a whole
+    retry. Some get one at random, and together they stay within the slack.
     """
-    spent = play(entries=entries, requests_a_second=1.0, seconds=30)
-    assert 1 <= find_most(spent) <= BOUNDS.retry_slack
+    spent = simulate_retries(
+        entries=entries, requests_per_second=1.0, seconds=30
+    )
+    assert 1 <= find_max_in_window(spent) <= BOUNDS.retry_slack
--- a/wagtaildale/calls/tests/test_contained.py
+++ b/wagtaildale/calls/tests/test_contained.py
@@ -1,4 +1,4 @@
-"""Tests of what one request under which servers end may take with it."""
+"""Tests of how many servers a request that crashes them can take down."""
 
 from __future__ import annotations
 
@@ -14,46 +14,48 @@
     from wagtaildale.testing.mesh import MeshNode
 
 ENTRIES: Final = 3
-VISITS: Final = 12
+REQUESTS: Final = 12
 POPULAR: Final = '/files/popular'
 ANSWERED: Final = b'HTTP/1.1 200'
 
 
-def visit(fleet: MortalFleet, path: str) -> list[bytes]:
-    return [fleet.ask(path, entry=number % ENTRIES) for number in range(VISITS)]
+def ask_entries(fleet: MortalFleet, path: str) -> list[bytes]:
+    return [
+        fleet.ask(path, entry=number % ENTRIES) for number in range(REQUESTS)
+    ]
 
 
 @pytest.mark.parametrize('upstreams', [2, 3, 6])
-def test_request_takes_one_server_at_a_time(upstreams: int) -> None:
-    """A request ends a server, and the next one while that is down."""
+def test_request_crashes_one_server_at_a_time(upstreams: int) -> None:
+    """A request must not crash a second server while the first is down."""
     with MortalFleet(upstreams, entries=ENTRIES) as fleet:
-        visit(fleet, DEADLY)
+        ask_entries(fleet, DEADLY)
         assert fleet.ends == 1
-        answers = visit(fleet, HARMLESS)
+        answers = ask_entries(fleet, HARMLESS)
         assert all(answer.startswith(ANSWERED) for answer in answers)
 
 
-def test_each_of_several_requests_takes_one_server_at_a_time() -> None:
-    """Two requests together end every server of a service."""
+def test_each_of_several_requests_crashes_one_server_at_a_time() -> None:
+    """Two requests must not crash every server of a service together."""
     paths = (DEADLY, '/files/deadly-2')
     with MortalFleet(6, entries=ENTRIES, deadly=paths) as fleet:
         for path in (*paths, *paths):
-            visit(fleet, path)
+            ask_entries(fleet, path)
         assert fleet.ends == len(paths)
 
 
-def test_request_is_tried_again_where_a_server_ended() -> None:
-    """A request is held back for good, though its server is up again."""
+def test_request_is_retried_where_a_server_crashed() -> None:
+    """A request must not be held back for good once its server is up."""
     with MortalFleet(3, entries=ENTRIES) as fleet:
         fleet.ask(DEADLY)
         first = [each.has_ended for each in fleet.backends]
         fleet.revive()
-        wait_until(lambda: bool(visit(fleet, DEADLY)) and fleet.ends == 2)
+        wait_until(lambda: bool(ask_entries(fleet, DEADLY)) and fleet.ends == 2)
         assert [each.has_ended for each in fleet.backends] == first
 
 
-def test_many_at_once_reach_a_server_that_is_back_one_by_one() -> None:
-    """Five callers wait for a server, and all of them reach it at once."""
+def test_concurrent_requests_reach_a_restarted_server_one_by_one() -> None:
+    """Five callers waiting for a server must not all reach it at once."""
     with MortalFleet(3, entries=ENTRIES) as fleet:
         fleet.ask(DEADLY)
         fleet.revive()
@@ -64,8 +66,8 @@
         assert fleet.count_arrivals(DEADLY) <= before + 1
 
 
-def test_run_elsewhere_is_given_up_when_a_server_ends() -> None:
-    """A request runs at two servers, ends one, and then the other one."""
+def test_run_elsewhere_is_abandoned_when_a_server_crashes() -> None:
+    """A request running at two servers must not crash both in turn."""
     with MortalFleet(2, entries=1) as fleet, ThreadPoolExecutor(2) as callers:
         for backend in fleet.backends:
             backend.released.clear()
@@ -81,17 +83,17 @@
         assert not fleet.backends[1].released.is_set()
 
 
-def test_popular_lookup_beside_it_waits_for_nobody() -> None:
-    """A lookup that all callers send ran on the server that ended."""
+def test_popular_lookup_beside_a_crash_is_not_delayed() -> None:
+    """A lookup that all callers send ran at the server that crashed."""
     with MortalFleet(3, entries=ENTRIES) as fleet:
-        visit(fleet, POPULAR)
+        ask_entries(fleet, POPULAR)
         fleet.end_one(POPULAR)
-        answers = visit(fleet, POPULAR)
+        answers = ask_entries(fleet, POPULAR)
         assert all(answer.startswith(ANSWERED) for answer in answers)
 
 
-def test_server_that_ended_is_not_asked_until_it_is_back() -> None:
-    """Each entry finds out anew, every half second, that a server is down."""
+def test_crashed_server_gets_no_requests_until_it_is_up() -> None:
+    """Entries must not rediscover every half second that a server is down."""
     with MortalFleet(3, entries=ENTRIES) as fleet:
         wait_until(lambda: all(is_connected(each) for each in fleet.owners))
         fleet.ask(DEADLY)
@@ -103,13 +105,14 @@
         wait_until(lambda: all(knows_of_down(each) for each in fleet.entries))
         before = down.owner.pool.opened
         for _time in range(5):
-            answers = visit(fleet, HARMLESS)
+            answers = ask_entries(fleet, HARMLESS)
             assert all(answer.startswith(ANSWERED) for answer in answers)
         assert down.owner.pool.opened == before
         fleet.revive()
         wait_until(
             lambda: (
-                bool(visit(fleet, HARMLESS)) and down.owner.pool.opened > before
+                bool(ask_entries(fleet, HARMLESS))
+                and down.owner.pool.opened > before
             ),
         )
 
--- a/wagtaildale/calls/tests/test_entry.py
+++ b/wagtaildale/calls/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path of calls over real sockets."""
+"""Tests of calls from caller to backend server over real sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from wagtaildale.types import InstanceId
 
 
-def test_answer_through_two_hops(pair: Pair) -> None:
+def test_response_through_two_hops(pair: Pair) -> None:
     response, text = pair.ask('GET', '/files/7?full=1')
     assert response.status == 200
     assert json.decode(text)['target'] == '/files/7?full=1'
@@ -28,7 +28,7 @@
     assert 'backend;dur=' in response.headers['server-timing']
 
 
-def test_answer_by_own_backend_server(pair: Pair) -> None:
+def test_response_from_own_backend_server(pair: Pair) -> None:
     pair.far.show(pair.far.record)
     connection = HTTPConnection(*pair.far.entry, timeout=PATIENCE)
     connection.request('GET', '/files/7')
@@ -106,10 +106,9 @@
 
 
 def test_body_that_grows_over_the_limit_may_have_run(pair: Pair) -> None:
-    """A caller hears "not run" of a booking that has begun.
+    """A booking's chunked body exceeds the limit after half of it was sent.
 
-    Its body comes in chunks and passes the limit when the head and half of
-    it have gone on: nobody can say that it has not run.
+    The request may already run then, so the outcome is not "not run".
     """
     chunk = b'10000\r\n' + bytes(0x10000) + b'\r\n'
     head = b'POST /bookings HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n'
@@ -124,19 +123,19 @@
     assert answer.startswith(b'HTTP/1.1 413')
 
 
-def test_forged_private_fields_are_dropped(pair: Pair) -> None:
+def test_forged_private_headers_are_dropped(pair: Pair) -> None:
     forged = {'wagtaildale-call': 'forged', 'wagtaildale-request-id': 'mine'}
     response, _text = pair.ask('GET', '/files/1', headers=forged)
     assert response.status == 200
     assert 'mine' not in pair.backend.counts.by_request
 
 
-def test_booking_runs_once_when_line_closes(pair: Pair) -> None:
-    """A tarp booking goes through twice and a roofer drives out for nothing.
+def test_booking_runs_once_when_connection_closes(pair: Pair) -> None:
+    """Prevents a booking from running twice.
 
     The backend server reads a POST on a reused connection, runs it and
-    closes without an answer. libcurl sends such a request again by itself.
-    Here the caller is told that the outcome is unknown, and it ran once.
+    closes without a response. libcurl would resend such a request by itself.
+    The caller gets an unknown outcome instead, and the booking runs once.
     """
     pair.ask('POST', '/bookings', b'x', {'x-booking': 'first'})
     pair.backend.faults.close_share = 1
@@ -146,11 +145,11 @@
     assert pair.backend.counts.by_single_key['k'] == 1
 
 
-def test_lookup_is_retried_when_the_answer_is_cut(pair: Pair) -> None:
-    """An adjuster gets half a claim file that looks like a whole one.
+def test_lookup_is_retried_when_the_response_is_truncated(pair: Pair) -> None:
+    """Prevents half a claim file from passing for a whole one.
 
-    The backend server announces a length and closes in the middle. The cut
-    answer is no answer: the lookup is tried again until one is whole.
+    The backend server announces a length and closes in the middle of the
+    body. The truncated response is discarded and the lookup retried.
     """
     pair.backend.faults.cut_share = 0.5
     for claim in range(20):
@@ -162,10 +161,10 @@
 
 
 def test_hung_backend_is_answered_at_deadline(pair: Pair) -> None:
-    """A status check hangs for ever.
+    """Prevents a status check from hanging for ever.
 
-    The backend server takes the request and never answers; at the class's
-    deadline the caller gets a final answer with a code.
+    The backend server accepts the request and never responds. At the
+    deadline the caller gets a final response with a result code.
     """
     pair.backend.faults.hang = True
     response, text = pair.ask(
@@ -178,7 +177,7 @@
 
 
 def test_refused_connection_is_not_run(pair: Pair) -> None:
-    """The only owner is gone: nothing was sent, and the answer says so."""
+    """The only owner is gone: nothing was sent, and the outcome says so."""
     pair.far.close()
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.backend_unreachable
@@ -186,10 +185,10 @@
 
 
 def test_caller_that_hangs_up_frees_its_slot(pair: Pair) -> None:
-    """Callers give up, and their requests still hold every slot.
+    """Prevents requests of callers that hung up from holding every slot.
 
-    A caller closes while its request runs; the cancellation goes through
-    both nodes to the backend server, which stops working on it.
+    A caller closes its connection while its request runs. The cancellation
+    goes through both nodes to the backend server, which stops the work.
     """
     pair.backend.faults.service_ms = 60_000
     sock = socket.create_connection(pair.near.entry, PATIENCE)
@@ -202,10 +201,11 @@
 
 
 def test_call_for_another_instance_is_not_run(pair: Pair) -> None:
-    """A booking lands at the wrong backend server.
+    """Prevents a booking from running at the wrong backend server.
 
-    An address is reused by another instance while an entry still knows the
-    old one. The call names whom it is for, so the new one refuses it.
+    An address is reused by another instance while an entry still lists the
+    old one. The call names the instance that it is meant for, so the new
+    one rejects it.
     """
     old = structs.replace(pair.far.record, instance=InstanceId('gone'))
     pair.near.show(old)
@@ -215,7 +215,7 @@
     assert pair.backend.counts.runs == 0
 
 
-def test_draining_owner_admits_nothing(pair: Pair) -> None:
+def test_draining_owner_rejects_calls(pair: Pair) -> None:
     pair.far.drain()
     response, text = pair.ask('GET', '/files/1')
     assert read_code(text) is Code.draining
@@ -230,7 +230,7 @@
     assert response.headers['connection'] == 'close'
 
 
-def test_slots_bound_what_runs(pair: Pair) -> None:
+def test_slots_limit_running_requests(pair: Pair) -> None:
     pair.backend.faults.service_ms = 30
     pair.backend.faults.slots = 100
     socks = [
@@ -239,12 +239,12 @@
     ]
     for sock in socks:
         sock.sendall(b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n')
-    most = 0
+    max_running = 0
     gate = pair.far.owner.gate
     while pair.backend.counts.runs < 12:
-        most = max(most, len(gate.state.running))
+        max_running = max(max_running, len(gate.state.running))
         time.sleep(0.001)
     assert all(sock.recv(65536).startswith(b'HTTP/1.1 200') for sock in socks)
-    assert most <= 4
+    assert max_running <= 4
     for sock in socks:
         sock.close()
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Tests of what nodes and lines do at the worst moment."""
+"""Tests of calls when nodes or connections fail at a critical moment."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ImpostorOwner(Listener):
-    """Answers every call with an answer to another request or attempt."""
+    """Answers each call as if it were another request or attempt."""
 
     def __init__(self, address: tuple[str, int], *, attempt_off: int) -> None:
         self._attempt_off = attempt_off
@@ -76,7 +76,7 @@
 
 @pytest.fixture
 def silent_pair() -> Iterator[Pair]:
-    """A pair whose owner's port is free for an impostor."""
+    """A pair whose owner is closed, so that an impostor can use its port."""
     made = Pair()
     made.far.close()
     yield made
@@ -85,14 +85,14 @@
 
 
 @pytest.mark.parametrize('attempt_off', [0, 1])
-def test_crossed_answer_reaches_nobody(
+def test_answer_to_another_request_is_dropped(
     silent_pair: Pair,
     attempt_off: int,
 ) -> None:
-    """A dispatcher sees another dispatcher's gate.
+    """Prevents a caller from getting the response to another request.
 
-    Answers come late or crossed: one names another request, or another
-    attempt of this one. Neither is passed on.
+    An answer that arrives late or at the wrong place names another request,
+    or another attempt of this one. Neither is forwarded.
     """
     record = silent_pair.far.record
     impostor = ImpostorOwner(
@@ -107,51 +107,52 @@
 
 
 def test_owner_dies_while_a_booking_runs(pair: Pair) -> None:
-    """The owner is killed after the run message: nobody knows if it ran.
+    """The owner is killed after the run message, so the booking may have run.
 
-    The caller hears "unknown" and the booking is sent to nobody else.
+    The caller gets an unknown outcome, and the booking is not retried.
     """
     pair.backend.faults.service_ms = 60_000
-    heard: list[tuple[str, Code]] = []
+    received: list[tuple[str, Code]] = []
 
     def book() -> None:
         response, text = pair.ask('POST', '/bookings', b'x', {'x-booking': 'k'})
-        heard.append((response.headers[OUTCOME], read_code(text)))
+        received.append((response.headers[OUTCOME], read_code(text)))
 
     worker = threading.Thread(target=book)
     worker.start()
     wait_until(lambda: pair.backend.counts.runs == 1)
     pair.far.close()
     worker.join()
-    assert heard[0][0].startswith('unknown')
-    assert heard[0][1] is Code.outcome_unknown
+    assert received[0][0].startswith('unknown')
+    assert received[0][1] is Code.outcome_unknown
     assert pair.backend.counts.by_single_key == {'k': 1}
 
 
 def test_owner_dies_while_a_booking_waits(pair: Pair) -> None:
-    """The owner is killed before the run message: it has not run."""
+    """The owner is killed before the run message: the booking did not run."""
     gate = pair.far.gate
     for _slot in range(4):
         pair.far.hold_slot()
-    heard: list[str] = []
+    outcomes: list[str] = []
 
     def book() -> None:
         response, _text = pair.ask('POST', '/bookings', b'x')
-        heard.append(response.headers[OUTCOME])
+        outcomes.append(response.headers[OUTCOME])
 
     worker = threading.Thread(target=book)
     worker.start()
     wait_until(lambda: bool(gate.state.queue))
     pair.far.close()
     worker.join()
-    assert heard[0].startswith('not-run')
+    assert outcomes[0].startswith('not-run')
     assert pair.backend.counts.runs == 0
 
 
-def test_woken_process_sends_nothing_old(pair: Pair) -> None:
-    """A paused owner wakes and runs a booking that was given up long ago.
+def test_resumed_owner_sends_no_expired_request(pair: Pair) -> None:
+    """An owner resumes after a pause and gets a booking past its deadline.
 
-    The deadline is looked at last thing before the send.
+    The deadline is checked immediately before the request is sent, so the
+    booking does not run.
     """
     verdict = pair.far.hold_slot()
     answer = pair.tell_owner(build_run(lease=verdict.ticket, remaining_ms=0))
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of what a caller is told in the end, each with its story."""
+"""Tests of the outcome that a caller is given."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 @pytest.fixture
-def refuser(pair: Pair) -> Iterator[MeshNode]:
-    """A second owner, that refuses whatever comes to it."""
+def rejecting_owner(pair: Pair) -> Iterator[MeshNode]:
+    """A second owner, which rejects every request."""
     node = MeshNode(build_record('c', host='127.0.9.3'))
     node.drain()
     pair.near.show(pair.far.record, node.record)
@@ -30,22 +30,22 @@
     node.close()
 
 
-def give_back(node: MeshNode, ticket: TicketId) -> None:
-    """Free a slot that was held."""
+def free_slot(node: MeshNode, ticket: TicketId) -> None:
+    """Free a slot that the test holds."""
     gate = node.gate
     node.calls.loop.submit(
         lambda: gate.leave(ticket, seconds=0, ending=Ending.abandoned),
     ).result(PATIENCE)
 
 
-def test_lookup_that_has_run_is_never_called_not_run(
+def test_lookup_that_has_run_is_never_reported_as_not_run(
     pair: Pair,
-    refuser: MeshNode,
+    rejecting_owner: MeshNode,
 ) -> None:
-    """A caller hears "not run" of a lookup that a server has worked on.
+    """A server runs a lookup, its response is lost and another rejects it.
 
-    Its first server runs it and the answer is lost; the second one refuses
-    it unrun. What the second one says is true of the second one alone.
+    "Not run" is true only of the second server, so the caller must not get
+    it.
     """
     pair.backend.faults.close_share = 1
     for claim in range(10):
@@ -57,14 +57,13 @@
         assert not (has_run and response.status in {429, 503})
 
 
-def test_error_of_a_server_is_passed_on_when_nobody_does_better(
+def test_server_error_is_forwarded_when_no_other_attempt_succeeds(
     pair: Pair,
-    refuser: MeshNode,
+    rejecting_owner: MeshNode,
 ) -> None:
-    """A caller gets a refusal in place of the answer that there was.
+    """A server responds with an error and the second one rejects the lookup.
 
-    A server answers a lookup with an error, and the second one refuses the
-    lookup unrun. The error is the answer.
+    The caller gets the error response, not the rejection.
     """
     pair.backend.faults.error = True
     for claim in range(10):
@@ -78,10 +77,10 @@
 def test_call_that_waits_at_a_leaving_server_does_not_run_there(
     pair: Pair,
 ) -> None:
-    """A lookup reaches a server long after all know that it leaves.
+    """A lookup waits for a slot when its server is listed as leaving.
 
-    It waits for a slot when the news comes. Whoever comes later is sent
-    elsewhere; the lookup runs as soon as a slot is free, however late.
+    Without this, the lookup runs when a slot becomes free, however long
+    after later requests are sent elsewhere.
     """
     far = pair.far
     held = [far.hold_slot().ticket for _slot in range(SLOTS)]
@@ -90,7 +89,7 @@
         wait_until(lambda: bool(far.gate.state.queue))
         far.show(structs.replace(far.record, state=ListedState.leaving))
         for ticket in held:
-            give_back(far, ticket)
+            free_slot(far, ticket)
         response, _text = asked.result(PATIENCE)
     assert pair.backend.counts.runs == 0
     assert response.headers[OUTCOME].startswith('not-run')
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -1,4 +1,4 @@
-"""Tests of what must never happen to a call, each with its story."""
+"""Tests of safety properties that every call must keep."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     assert not attempts.take_retry(failure, now=1, replayable=False)
 
 
-def test_retries_are_bounded_along_the_call() -> None:
+def test_retries_of_a_call_are_limited() -> None:
     attempts = build_attempts(idempotent=True)
     failure = CallFailed(Code.draining)
     granted = [
@@ -70,10 +70,10 @@
     assert granted == [*(RETRIES_MOST * (True,)), False]
 
 
-def test_brownout_is_not_multiplied() -> None:
-    """Every call of a service fails, and retries double the load.
+def test_retries_do_not_amplify_a_brownout() -> None:
+    """Every call to a service fails, and retrying each would double the load.
 
-    Over many calls the retries stay a fixed share of them.
+    Retries stay within a fixed share of the calls.
     """
     budget = RetryBudget(build_retry_share(slack=20), now=0)
     spent = 0
@@ -83,21 +83,21 @@
     assert spent <= 20 + 1000 * 0.2
 
 
-def test_hedge_waits_for_usual_time_and_deviation() -> None:
-    clock = HedgeDelay()
+def test_hedge_delay_covers_usual_time_and_deviation() -> None:
+    hedge_delay = HedgeDelay()
     for _sample in range(50):
-        clock.add_sample(0.01)
-    delay = clock.find_delay()
+        hedge_delay.add_sample(0.01)
+    delay = hedge_delay.find_delay()
     assert delay is not None
     assert 0.01 <= delay < 0.02
 
 
 def test_slow_upstream_is_hedged(pair: Pair) -> None:
-    """A field lookup meets a server that hangs.
+    """A lookup goes to a server that hangs.
 
-    The second attempt goes elsewhere, and the first is cancelled. The server
-    that is to hang is the faster one until then, so that lookups go there:
-    hedges of the other one's answers would tell nothing of it.
+    The hedge goes to another server, and the first attempt is cancelled.
+    Until it hangs, the server is the faster one, so that lookups go there;
+    hedges of lookups at the other server would not test this.
     """
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
@@ -106,8 +106,8 @@
         backend.faults.service_ms = 40
         while pair.backend.counts.runs < 40:
             pair.ask('GET', '/files/7')
-        # On a busy machine an answer of the healthy server may come late
-        # enough to be hedged too: those hedges are not the ones looked for.
+        # On a busy machine a response of the healthy server may be slow enough
+        # to be hedged too; only hedges after this point are counted.
         tally = pair.near.tallies.sum_up()['casefiles/lookup']
         before = tally.hedged
         pair.backend.faults.service_ms = 60_000
@@ -120,8 +120,8 @@
         wait_until(lambda: pair.backend.counts.cancelled >= hedged)
 
 
-def test_failing_upstream_is_left_out(pair: Pair) -> None:
-    """A server that fails at once looks idle and draws all calls."""
+def test_failing_upstream_is_ejected(pair: Pair) -> None:
+    """A server that fails at once looks idle and would attract all calls."""
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
@@ -134,40 +134,40 @@
         assert runs <= 6
 
 
-def test_reservation_that_is_never_run_gives_its_slot_back(
+def test_reservation_without_a_run_frees_its_slot(
     pair: Pair,
 ) -> None:
-    """Entries die after reserving, and every slot is held for nobody."""
+    """Entries that die after reserving must not hold every slot for ever."""
     verdicts = [pair.far.hold_slot(lease_seconds=0) for _slot in range(4)]
     assert all(isinstance(verdict, Admitted) for verdict in verdicts)
     response, _text = pair.ask('POST', '/bookings', b'x')
     assert response.status == 200
 
 
-def test_run_after_its_lease_is_refused(pair: Pair) -> None:
-    """An entry is paused between reserving and running a booking.
+def test_run_after_its_lease_is_rejected(pair: Pair) -> None:
+    """An entry pauses between reserving a slot and running a booking.
 
-    When it wakes the slot belongs to another; the run is refused, and
-    "not run" is true.
+    When it resumes, the slot belongs to another request. The run is
+    rejected, and "not run" is true.
     """
     verdict = pair.far.hold_slot(lease_seconds=0)
-    refused = pair.far.redeem(verdict.ticket)
-    assert not isinstance(refused, Admitted)
-    assert refused.code is Code.lease_ended
+    rejection = pair.far.redeem(verdict.ticket)
+    assert not isinstance(rejection, Admitted)
+    assert rejection.code is Code.lease_ended
 
 
 def test_lease_is_redeemed_once(pair: Pair) -> None:
-    """The network doubles a run message."""
+    """The network duplicates a run message."""
     verdict = pair.far.hold_slot()
     assert isinstance(pair.far.redeem(verdict.ticket), Admitted)
     assert not isinstance(pair.far.redeem(verdict.ticket), Admitted)
 
 
-def test_waiting_booking_that_gives_up_has_not_run(pair: Pair) -> None:
+def test_booking_that_times_out_in_the_queue_has_not_run(pair: Pair) -> None:
     """A booking waits for a slot until its deadline.
 
-    Only a reservation was out, so the caller hears "not run", and the
-    backend server has not seen it.
+    Only a reservation was sent, so the outcome is "not run" and the backend
+    server never receives the booking.
     """
     held = [pair.far.hold_slot() for _slot in range(4)]
     response, text = pair.ask(
@@ -182,8 +182,8 @@
     assert len(held) == 4
 
 
-def test_repeated_key_gets_the_first_answer(pair: Pair) -> None:
-    """A homeowner presses the button twice."""
+def test_repeated_key_gets_the_first_response(pair: Pair) -> None:
+    """A caller submits the same booking twice."""
     first = pair.ask('POST', '/bookings', b'x', {KEY: 'k', 'x-booking': 'b'})
     again = pair.ask('POST', '/bookings', b'x', {KEY: 'k', 'x-booking': 'b'})
     assert first[1] == again[1]
@@ -208,7 +208,7 @@
 
 
 def test_repeated_key_after_an_unknown_outcome(pair: Pair) -> None:
-    """The first answer was lost; the repeat must not book again."""
+    """The first response was lost; the retry must not run a second booking."""
     pair.backend.faults.close_share = 1
     headers = {KEY: 'k', 'x-booking': 'b'}
     pair.ask('POST', '/bookings', b'x', headers)
@@ -224,15 +224,15 @@
     assert 'idempotency-replayed' not in response.headers
 
 
-def test_deadline_and_depth_go_along(pair: Pair) -> None:
-    """Calls that lead to calls in a circle never end."""
+def test_call_beyond_the_depth_limit_is_rejected(pair: Pair) -> None:
+    """Services that call each other in a circle would never end."""
     headers = {'wagtaildale-depth': '17'}
     response, text = pair.ask('GET', '/files/1', headers=headers)
     assert response.status == 508
     assert read_code(text) is Code.too_deep
 
 
-def test_shed_lookup_goes_elsewhere(pair: Pair) -> None:
+def test_shed_lookup_is_retried_at_another_server(pair: Pair) -> None:
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
@@ -251,10 +251,10 @@
     wait_until(lambda: state.limit < state.slots)
 
 
-def test_ended_lease_lets_the_next_one_in(pair: Pair) -> None:
+def test_expired_lease_admits_the_next_request(pair: Pair) -> None:
     """An entry dies after reserving, and a booking waits for its slot.
 
-    Nothing new arrives that would look at the leases; the timer does.
+    No new request arrives that would expire the leases, so the timer must.
     """
     for _slot in range(4):
         pair.far.hold_slot(lease_seconds=0.2)
@@ -265,11 +265,11 @@
     assert pair.backend.counts.runs == 1
 
 
-def test_run_with_a_lease_of_another_process_is_refused(pair: Pair) -> None:
+def test_run_with_a_lease_of_another_process_is_rejected(pair: Pair) -> None:
     """An owner is replaced between a reservation and its run message.
 
-    The new process has given out a lease with the same number; only the
-    incarnation tells them apart.
+    The new process has granted a lease with the same number; only the
+    incarnation distinguishes the two.
     """
     verdict = pair.far.hold_slot()
     answer = pair.tell_owner(build_run(lease=verdict.ticket, incarnation=99))
@@ -279,11 +279,11 @@
     assert pair.backend.counts.runs == 0
 
 
-def test_replaced_owner_is_asked_without_a_refusal(pair: Pair) -> None:
-    """Every entry's first call to a new process is refused.
+def test_replaced_owner_accepts_the_first_call(pair: Pair) -> None:
+    """Prevents an owner from rejecting the first call of every entry.
 
-    In a rolling restart such refusals used up a call's attempts. A call
-    names an incarnation only when it comes with a lease.
+    In a rolling restart, such rejections would use up a call's attempts. A
+    call names an incarnation only if it has a lease.
     """
     pair.ask('GET', '/files/1')
     identity = pair.far.owner.identity
@@ -293,17 +293,18 @@
     )
     pair.ask('GET', '/files/1')
     pair.ask('POST', '/bookings', b'x')
-    # A call is counted a moment after its caller has the answer.
+    # A call is counted shortly after its caller gets the response.
     wait_until(lambda: 'casefiles/booking' in pair.near.tallies.sum_up())
     tally = pair.near.tallies.sum_up()
     assert tally['casefiles/lookup'].retried == 0
     assert tally['casefiles/booking'].retried == 0
 
 
-def test_refusal_says_when_to_come_back(pair: Pair) -> None:
-    """Callers of an overloaded service ask again all at once, too early.
+def test_rejection_has_a_retry_delay(pair: Pair) -> None:
+    """Prevents callers of an overloaded service from retrying too early.
 
-    The refusal comes at once, with the time after which a slot is likely.
+    The rejection is immediate and names the time after which a slot is
+    likely to be free.
     """
     gate = pair.far.gate
     gate.state.usual_seconds = 2.5
@@ -316,11 +317,11 @@
     assert response.headers[OUTCOME].startswith('not-run')
 
 
-def test_drain_during_a_reservation(pair: Pair) -> None:
+def test_drain_keeps_a_reserved_slot(pair: Pair) -> None:
     """A planned stop begins between a reservation and its run message.
 
-    The slot was given before: the booking runs, and the stop waits for it;
-    what comes after is refused.
+    The booking keeps its slot and runs, and the stop waits for it. Later
+    requests are rejected.
     """
     verdict = pair.far.hold_slot()
     pair.far.drain()
@@ -330,11 +331,11 @@
     assert response.headers[OUTCOME].startswith('not-run')
 
 
-def test_data_centre_cut_off(pair: Pair) -> None:
-    """A data centre is gone and its instances are still listed.
+def test_calls_avoid_a_data_centre_that_is_down(pair: Pair) -> None:
+    """A data centre is down while its instances are still listed.
 
-    Connections to it are refused; calls go to the other one, and after a
-    few failures no longer try the first.
+    Connections to it are refused. Calls go to the other data centre and,
+    after a few failures, skip the first one.
     """
     gone = [
         build_record(f'gone{number}', host=f'127.0.9.{100 + number}')
