--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -164,9 +164,9 @@
         Returns:
             Whether the call may be sent to another owner.
         """
-        not_run = failure.outcome is Outcome.not_run
+        never_ran = failure.outcome is Outcome.not_run
         if (
-            not not_run
+            not never_ran
             or failure.code not in OWNER_REJECTION_CODES
             or now >= self.deadline
         ):
@@ -234,10 +234,10 @@
 def _has_arrived(failure: CallFailed) -> bool:
     # A backend server that received and rejected the request spent work on it,
     # and operators count the retry against their limits.
-    not_run = failure.outcome is Outcome.not_run
+    never_ran = failure.outcome is Outcome.not_run
     return (
         failure.has_arrived
-        or not not_run
+        or not never_ran
         or failure.code not in REDIRECTED_CODES
     )
 
--- a/wagtaildale/calls/budgets.py
+++ b/wagtaildale/calls/budgets.py
@@ -74,7 +74,7 @@
     would double the load that made them fail. In any window there are never
     more retries than a share of the requests plus the slack.
 
-    The part of one entry may be far less than one token. So the initial
+    The share of one entry may be far less than one token. So the initial
     fraction of a token and the rounding of the slack are random, and all
     entries together get what they are allowed.
 
--- a/wagtaildale/calls/caller_timeouts.py
+++ b/wagtaildale/calls/caller_timeouts.py
@@ -26,7 +26,7 @@
         >>> timeouts.estimate_elapsed_ms('a/b', 1000)
         0
         >>> timeouts.estimate_elapsed_ms('a/b', 700)
-        290
+        289
     """
 
     def __init__(self) -> None:
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -23,7 +23,7 @@
 
 NO_CLASS: Final = 'none'
 MILLISECONDS: Final = 1000
-MICROSECONDS: Final = 1000
+MICROSECONDS_PER_MS: Final = 1000
 PERCENT: Final = 100
 
 
@@ -172,7 +172,7 @@
                 'status': status,
                 'upstreams': ' '.join(self._attempts),
                 'took_ms': self._measure_elapsed_ms(),
-                'backend_ms': round(answer.backend_us / MICROSECONDS)
+                'backend_ms': round(answer.backend_us / MICROSECONDS_PER_MS)
                 if answer
                 else 0,
             },
@@ -190,8 +190,8 @@
         timing = f'entry;dur={total:.2f}'
         node = ''
         if self._answer is not None:
-            owner = self._answer.owner_us / MICROSECONDS
-            backend = self._answer.backend_us / MICROSECONDS
+            owner = self._answer.owner_us / MICROSECONDS_PER_MS
+            backend = self._answer.backend_us / MICROSECONDS_PER_MS
             timing = (
                 f'{timing}, owner;dur={owner:.2f}, backend;dur={backend:.2f}'
             )
--- a/wagtaildale/calls/routed_call.py
+++ b/wagtaildale/calls/routed_call.py
@@ -9,13 +9,13 @@
 from msgspec import Struct
 
 from wagtaildale.calls.budgets import RetryShare
+from wagtaildale.calls.caller_timeouts import CallerTimeouts
 from wagtaildale.calls.callers import CallerLimits
 from wagtaildale.calls.dialect import Dialect
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.heads import KEY_FIELD, pass_on
 from wagtaildale.calls.owner import Owner
 from wagtaildale.calls.owner_listener import OwnerListener
-from wagtaildale.calls.caller_timeouts import CallerTimeouts
 from wagtaildale.calls.peer_pool import PeerPool
 from wagtaildale.calls.peers import LocalPeer
 from wagtaildale.errors.codes import Code
