--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -82,13 +82,15 @@
 class HttpEcho:
     """Answers every request with the same body."""
 
-    def answer(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         """Answer one request.
 
         Args:
             exchange: the request.
         """
-        exchange.begin(ResponseHead(status=200, headers=(FIELD,)), body=BODY)
+        exchange.begin_response(
+            ResponseHead(status=200, headers=(FIELD,)), body=BODY
+        )
 
 
 class FrameEcho:
@@ -135,7 +137,9 @@
     """Serve all protocols until the process is ended."""
     executor = ThreadPoolExecutor()
     loop = Loop(on_defect=print, on_late=print)
-    port = CallerPort(loop, answerer=HttpEcho(), read_limits=lambda: LIMITS)
+    port = CallerPort(
+        loop, request_handler=HttpEcho(), read_limits=lambda: LIMITS
+    )
     port.bind(Address(HOST, HTTP_PORT)).unwrap()
     port.start()
     frames = Acceptor(loop, on_accept=lambda sock: _echo(loop, sock))
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.frames import LENGTH, FrameReader
+from wagtaildale.calls.frames import LENGTH_PREFIX, FrameReader
 from wagtaildale.calls.parsing import MessageParser
 from wagtaildale.configuration.files import parse_mesh
 from wagtaildale.configuration.whole import check_parts
@@ -115,7 +115,7 @@
 def test_frame_between_nodes(text: bytes) -> None:
     reader = FrameReader()
     try:
-        frames = reader.feed(LENGTH.pack(len(text)) + text)
+        frames = reader.feed(LENGTH_PREFIX.pack(len(text)) + text)
     except CallFailed as failure:
         assert failure.code is Code.message_malformed
     else:
--- a/properties/test_transit.py
+++ b/properties/test_transit.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from msgspec import Struct
 
-from wagtaildale.calls.transit import Transit
+from wagtaildale.calls.transit import TransitDelayEstimator
 
 MILLISECONDS = 1000
 MINUTE_MS = 60_000
@@ -69,7 +69,7 @@
     Whatever the line does and however the clocks run apart, a message is
     taken for late by no more than it was under way.
     """
-    transit = Transit(opened_at=line.read_clock(line.opening_ms))
+    transit = TransitDelayEstimator(opened_at=line.read_clock(line.opening_ms))
     for sent, arrived in line.list_arrivals():
         now = line.read_clock(arrived)
         delay = transit.measure_delay(sent, now=now)
@@ -87,7 +87,7 @@
 def test_no_time_told_gives_more_time(
     told: list[tuple[int, float]],
 ) -> None:
-    transit = Transit(opened_at=0)
+    transit = TransitDelayEstimator(opened_at=0)
     now = float(0)
     for sent_ms, gap in told:
         now += gap
--- a/wagtaildale/admin/tests/test_server.py
+++ b/wagtaildale/admin/tests/test_server.py
@@ -13,7 +13,7 @@
 from msgspec import structs
 
 from wagtaildale.admin.port import AdminPort
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 from wagtaildale.distribution.sockets import NodeSockets
 from wagtaildale.errors.codes import Code
 from wagtaildale.node import Node
@@ -40,7 +40,7 @@
 def ends(work: Callable[[], None]) -> bool:
     worker = threading.Thread(target=work, daemon=True)
     worker.start()
-    worker.join(PATIENCE)
+    worker.join(TIMEOUT_SECONDS)
     return not worker.is_alive()
 
 
@@ -67,14 +67,14 @@
     worker.start()
     port = build_settings().admin_port
     for path in ('/v1/ready', '/metrics'):
-        connection = HTTPConnection(HOST, port, timeout=PATIENCE)
+        connection = HTTPConnection(HOST, port, timeout=TIMEOUT_SECONDS)
         connection.request('GET', path)
         answer = connection.getresponse()
         assert answer.status in {HTTPStatus.OK, HTTPStatus.SERVICE_UNAVAILABLE}
         assert answer.read()
         connection.close()
     admin.stop()
-    worker.join(PATIENCE)
+    worker.join(TIMEOUT_SECONDS)
     assert not worker.is_alive()
 
 
--- a/wagtaildale/admission/tests/test_shares.py
+++ b/wagtaildale/admission/tests/test_shares.py
@@ -109,7 +109,7 @@
 def test_word_of_an_entry_is_bounded(parts: int) -> None:
     """An entry says that one request stands for all of the world's."""
     fields = structs.replace(build_run().fields, passed_parts=parts)
-    assert 1 <= fields.stands_for <= PARTS / LEAST_PARTS
+    assert 1 <= fields.represented_requests <= PARTS / LEAST_PARTS
 
 
 @pytest.mark.parametrize('parts', [-5, 0, 10**12])
--- a/wagtaildale/assembly.py
+++ b/wagtaildale/assembly.py
@@ -10,7 +10,11 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.callers import CallerLimits
 from wagtaildale.calls.owner import Identity
-from wagtaildale.calls.task import CallFigures, CallsTask, CallSurroundings
+from wagtaildale.calls.task import (
+    CallsTaskSettings,
+    CallsTask,
+    CallsTaskDependencies,
+)
 from wagtaildale.distribution.tuning import TUNINGS, Tuning
 from wagtaildale.integration import (
     OWN_INTEGRATION,
@@ -163,13 +167,13 @@
     limits = settings.limits
     ready = settings.ready_port
     return CallsTask(
-        CallFigures(
+        CallsTaskSettings(
             service=settings.service,
             data_centre=settings.data_centre,
-            entry=Address(host, settings.entry_port),
-            owner=Address(host, settings.owner_port),
-            ready=None if ready is None else Address(host, ready),
-            backend=Address(backend.host, backend.port),
+            entry_address=Address(host, settings.entry_port),
+            owner_address=Address(host, settings.owner_port),
+            ready_address=None if ready is None else Address(host, ready),
+            backend_address=Address(backend.host, backend.port),
             slots=backend.slots if settings.calls.admits else MOST_SLOTS,
             limits=CallerLimits(
                 head_bytes=limits.head_bytes,
@@ -182,7 +186,7 @@
             reserves=settings.calls.reserves,
             hedges=settings.calls.hedges,
         ),
-        around=CallSurroundings(
+        dependencies=CallsTaskDependencies(
             identity=parts.identity,
             view=parts.view,
             tallies=parts.tallies,
--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -11,13 +11,13 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.frames import (
     Answered,
-    Cut,
+    ResponseAborted,
     Failed,
     Granted,
-    Piece,
+    BodyPiece,
     Reserve,
     Run,
-    Taken,
+    WindowUpdate,
 )
 from wagtaildale.calls.windows import SendWindow
 from wagtaildale.errors.codes import Code
@@ -69,7 +69,7 @@
             frame: head and body, or its beginning.
         """
 
-    def on_piece(self, attempt: Attempt, frame: Piece) -> None:
+    def on_piece(self, attempt: Attempt, frame: BodyPiece) -> None:
         """Take more of the response's body.
 
         Args:
@@ -158,7 +158,7 @@
         self.is_silent = False
         self._call = call
         self._peer = peer
-        self._number = peer.open(self)
+        self._number = peer.open_call(self)
         self._window = SendWindow()
         self._has_sent_all = False
 
@@ -182,12 +182,12 @@
             return
         while self._window.is_open and not self._has_sent_all:
             piece = body.take()
-            self._has_sent_all = body.is_given
+            self._has_sent_all = body.is_exhausted
             if not piece and not self._has_sent_all:
                 return
             self._window.note_sent(len(piece))
             more = not self._has_sent_all
-            self._peer.send(Piece(self._number, piece, more))
+            self._peer.send(BodyPiece(self._number, piece, more))
 
     def note_taken(self, size: int) -> None:
         """Tell the owner that the caller has taken a part of the response.
@@ -196,7 +196,7 @@
             size: of it, bytes.
         """
         if self.state is AttemptState.answering:
-            self._peer.send(Taken(self._number, size))
+            self._peer.send(WindowUpdate(self._number, size))
 
     def on_frame(self, frame: ToEntry) -> None:
         """Take a message of the owner; see ``PeerReceiver``.
@@ -264,7 +264,7 @@
             self._end(cancelled=False)
         self._call.on_answer(self, frame)
 
-    def on_piece(self, frame: Piece) -> None:
+    def on_piece(self, frame: BodyPiece) -> None:
         """Pass more of the response on.
 
         Args:
@@ -276,7 +276,7 @@
             self._end(cancelled=False)
         self._call.on_piece(self, frame)
 
-    def on_taken(self, frame: Taken) -> None:
+    def on_taken(self, frame: WindowUpdate) -> None:
         """Send more of the request's body.
 
         Args:
@@ -323,7 +323,9 @@
         self.was_run = True
         body = request.body.take()
         self._window.note_sent(len(body))
-        self._has_sent_all = request.body.is_replayable or request.body.is_given
+        self._has_sent_all = (
+            request.body.is_replayable or request.body.is_exhausted
+        )
         self._peer.send(
             Run(
                 self._number,
@@ -401,15 +403,15 @@
 
 
 @take_frame.register
-def _take_piece(frame: Piece, attempt: Attempt) -> None:
+def _take_piece(frame: BodyPiece, attempt: Attempt) -> None:
     attempt.on_piece(frame)
 
 
 @take_frame.register
-def _take_taken(frame: Taken, attempt: Attempt) -> None:
+def _take_taken(frame: WindowUpdate, attempt: Attempt) -> None:
     attempt.on_taken(frame)
 
 
 @take_frame.register
-def _take_cut(frame: Cut, attempt: Attempt) -> None:
+def _take_cut(frame: ResponseAborted, attempt: Attempt) -> None:
     attempt.on_cut()
--- a/wagtaildale/calls/backend_messages.py
+++ b/wagtaildale/calls/backend_messages.py
@@ -115,7 +115,7 @@
     fields = run.fields
     rest = max(1, int((deadline - read_clock()) * MILLISECONDS))
     context: list[Header] = [(dialect.deadline_ms, b'%d' % rest)]
-    if not dialect.takes_request_id:
+    if not dialect.accepts_request_id:
         name = fields.request_id.encode('latin-1')
         context.append((dialect.request_id, name))
     if dialect.depth is not None:
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -13,7 +13,7 @@
     find_refusal,
 )
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.heads import pass_on
+from wagtaildale.calls.heads import select_forwarded_headers
 from wagtaildale.calls.keyed import KeyedRun
 from wagtaildale.calls.server_ends import CutRun
 from wagtaildale.calls.server_words import read_word
@@ -24,10 +24,10 @@
 if TYPE_CHECKING:
     from wagtaildale.calls.backends import BackendConnection
     from wagtaildale.calls.call_times import CallTimes
-    from wagtaildale.calls.frames import Piece, Run
+    from wagtaildale.calls.frames import BodyPiece, Run
     from wagtaildale.calls.owner import Owner
     from wagtaildale.calls.parsing import Message
-    from wagtaildale.calls.replies import Replies
+    from wagtaildale.calls.replies import ReplyWriter
 
 # A response up to this size is whole before any of it goes on: one that is
 # cut is then an error of its own, and never a short answer.
@@ -71,7 +71,7 @@
         run: Run,
         *,
         owner: Owner,
-        replies: Replies,
+        replies: ReplyWriter,
         times: CallTimes,
     ) -> None:
         """Prepare; ``begin`` sends the request.
@@ -111,7 +111,7 @@
         else:
             self._begin()
 
-    def add(self, piece: Piece) -> None:
+    def add(self, piece: BodyPiece) -> None:
         """Pass more of the request's body on.
 
         Args:
@@ -214,7 +214,7 @@
     def on_room(self) -> None:
         """Learn that the backend server has taken what was sent."""
         if self._owed:
-            self._replies.acknowledge(self._owed)
+            self._replies.send_window_update(self._owed)
             self._owed = 0
 
     def _begin(self) -> None:
@@ -226,7 +226,7 @@
             self._call.on_run_failed(failure)
             return
         if self._kept is not None:
-            self._replies.repeat(self._run.fields, self._kept)
+            self._replies.replay(self._run.fields, self._kept)
             self._call.on_run_repeated()
         elif is_admitted:
             self._run_now()
@@ -311,17 +311,17 @@
     def _add_piece(self, response: BackendResponse) -> None:
         complete = response.message.is_complete
         if response.window.is_open and (response.held or complete):
-            self._replies.add(response.take_held(), more=not complete)
+            self._replies.send_body(response.take_held(), more=not complete)
 
     def _begin_answer(self, response: BackendResponse) -> None:
         message = response.message
         answer = KeptAnswer(
             status=message.status,
-            headers=tuple(pass_on(message)),
+            headers=tuple(select_forwarded_headers(message)),
             body=response.take_held(),
         )
         self._keyed.end(answer if message.is_complete else None)
-        self._replies.answer(
+        self._replies.send_response(
             self._run.fields,
             answer,
             more=not message.is_complete,
--- a/wagtaildale/calls/backends.py
+++ b/wagtaildale/calls/backends.py
@@ -14,15 +14,15 @@
 from msgspec import Struct
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.glances import Glance, glance
+from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.heads import (
-    CHUNKED,
+    CHUNKED_ENCODING,
     LAST_CHUNK,
     write_chunk,
     write_request_head,
 )
 from wagtaildale.calls.parsing import UNKNOWN_LENGTH, Message, MessageParser
-from wagtaildale.calls.responses import BODILESS
+from wagtaildale.calls.responses import BODILESS_STATUSES
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.stream import open_stream
 from wagtaildale.timers.service import read_clock
@@ -135,7 +135,7 @@
     @property
     def is_quiet(self) -> bool:
         """Whether the server has neither closed nor sent anything unasked."""
-        return glance(self._stream) is Glance.nothing
+        return peek_input(self._stream) is PendingInput.nothing
 
     @property
     def is_standing(self) -> bool:
@@ -276,7 +276,7 @@
             self._pool.note_stray()
             return False
         self._message = message
-        if request.method == b'HEAD' or message.status in BODILESS:
+        if request.method == b'HEAD' or message.status in BODILESS_STATUSES:
             # The parser would wait for a body that does not come.
             message.is_complete = True
             message.keep_alive = False
@@ -324,7 +324,7 @@
         self._chunked = False
         if request.more and request.length == UNKNOWN_LENGTH:
             self._chunked = True
-            framing = (CHUNKED,)
+            framing = (CHUNKED_ENCODING,)
         elif request.more:
             framing = ((b'content-length', b'%d' % request.length),)
         elif request.body or request.length != UNKNOWN_LENGTH:
--- a/wagtaildale/calls/bodies.py
+++ b/wagtaildale/calls/bodies.py
@@ -51,7 +51,7 @@
         return self.is_complete or not self.is_replayable
 
     @property
-    def is_given(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether all of a body that is sent once has been given."""
         return self.is_complete and not self._held
 
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -7,10 +7,10 @@
 
 from msgspec import Struct
 
-from wagtaildale.calls.answers import describe_problem
+from wagtaildale.calls.error_responses import build_error_response
 from wagtaildale.calls.exchanges import Exchange
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.glances import Glance, glance
+from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.parsing import MessageParser
 from wagtaildale.calls.responses import ResponseWriter
 from wagtaildale.errors.codes import Code
@@ -25,7 +25,7 @@
     from result import Result
 
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.exchanges import Answerer
+    from wagtaildale.calls.exchanges import RequestHandler
     from wagtaildale.calls.parsing import Message
     from wagtaildale.errors.faults import Fault
     from wagtaildale.reactor.loop import Loop
@@ -33,7 +33,7 @@
 # Requests of one connection that are under way at once; more wait unread.
 PIPELINED_MOST: Final = 16
 # Between two looks at what has been idle or half a head for too long.
-LOOK_SECONDS: Final = 1.0
+TIMEOUT_CHECK_SECONDS: Final = 1.0
 
 
 class CallerLimits(Struct, frozen=True, kw_only=True):
@@ -65,32 +65,32 @@
         self,
         loop: Loop,
         *,
-        answerer: Answerer,
+        request_handler: RequestHandler,
         read_limits: Callable[[], CallerLimits],
     ) -> None:
         """Prepare; ``bind`` opens the port.
 
         Args:
             loop: carries the connections.
-            answerer: answers requests.
+            request_handler: answers requests.
             read_limits: gives what is in force for callers now.
         """
         self.loop = loop
-        self.answerer = answerer
+        self.request_handler = request_handler
         self.read_limits = read_limits
         self.draining = False
         self._connections: set[CallerConnection] = set()
         self._acceptor = Acceptor(loop, on_accept=self._accept)
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections are open."""
         return len(self._connections)
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many requests are under way, answers not yet sent included."""
-        return sum(each.busy for each in tuple(self._connections))
+        return sum(each.active_calls for each in tuple(self._connections))
 
     @property
     def is_closed(self) -> bool:
@@ -161,7 +161,7 @@
         now = read_clock()
         for connection in tuple(self._connections):
             connection.look(now)
-        self.loop.alarms.set(LOOK_SECONDS, self._look)
+        self.loop.alarms.set(TIMEOUT_CHECK_SECONDS, self._look)
 
 
 class CallerConnection:
@@ -193,7 +193,7 @@
         self._since = read_clock()
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many requests are under way.
 
         Failure guarded here: a long answer is written but not sent, since
@@ -279,7 +279,7 @@
         Args:
             now: seconds on the clock.
         """
-        if self.busy or self._failure is not None:
+        if self.active_calls or self._failure is not None:
             return
         limits = self._port.read_limits()
         if self._parser.has_more():
@@ -293,8 +293,8 @@
 
         One that has just connected is about to send its request.
         """
-        busy = self.busy or self._failure is not None
-        if self._has_answered and not busy:
+        active_calls = self.active_calls or self._failure is not None
+        if self._has_answered and not active_calls:
             self._finish_unless_asked()
 
     def abandon(self) -> None:
@@ -348,14 +348,14 @@
         if self._is_finishing:
             self._finish()
         elif self._exchanges and self._exchanges[0].receiver is not None:
-            self._exchanges[0].receiver.on_room()
+            self._exchanges[0].receiver.on_writable()
 
     def _take_messages(self) -> None:
         while not self._is_ending():
             message = self._parser.peek()
             if message is None:
                 return
-            if self._incoming is None and self.busy >= PIPELINED_MOST:
+            if self._incoming is None and self.active_calls >= PIPELINED_MOST:
                 self._is_held_back = True
                 self._stream.pause()
                 return
@@ -393,7 +393,7 @@
             exchange = Exchange(message, connection=self)
             self._exchanges.append(exchange)
             self._incoming = exchange
-            self._port.answerer.answer(exchange)
+            self._port.request_handler.handle_request(exchange)
         elif self._incoming.receiver is not None:
             self._incoming.receiver.on_body()
 
@@ -410,7 +410,7 @@
         return self._port.draining or last.closes or not last.message.keep_alive
 
     def _send_failure(self, failure: CallFailed) -> None:
-        head, body = describe_problem(failure)
+        head, body = build_error_response(failure)
         writer = ResponseWriter(b'GET', closing=True)
         self._stream.send(writer.begin(head, body=body, more=False))
         self._finish()
@@ -418,7 +418,7 @@
     def _finish_unless_asked(self) -> None:
         # Failure: a request has come and is not read yet when its idle
         # connection is closed, and is lost. It is read and answered first.
-        if glance(self._stream) is not Glance.bytes_came:
+        if peek_input(self._stream) is not PendingInput.bytes_came:
             self._finish()
 
     def _finish(self, *, broken: bool = False) -> None:
@@ -443,4 +443,4 @@
         self._exchanges.clear()
         for exchange in left:
             if exchange.receiver is not None:
-                exchange.receiver.on_gone()
+                exchange.receiver.on_caller_gone()
--- a/wagtaildale/calls/descriptions.py
+++ b/wagtaildale/calls/descriptions.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.admission.shares import ALL_PASS, PARTS
 from wagtaildale.calls.fields import (
-    UNHEARD_RATE,
+    UNKNOWN_RATE,
     CallFields,
     decode_rate,
     encode_rate,
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from wagtaildale.calls.attempts import Attempts
     from wagtaildale.calls.fields import AnswerFields
-    from wagtaildale.calls.frames import Load
+    from wagtaildale.calls.frames import LoadReport
     from wagtaildale.calls.routed import Routed
 
 MILLISECONDS: Final = 1000
@@ -71,7 +71,7 @@
     )
 
 
-def read_limit(told: AnswerFields | Load) -> NamedLimit | None:
+def read_limit(told: AnswerFields | LoadReport) -> NamedLimit | None:
     """Read what an owner says that its backend server takes.
 
     Args:
@@ -80,7 +80,7 @@
     Returns:
         The limit; nothing if the owner has not heard the server yet.
     """
-    if told.rate_milli == UNHEARD_RATE:
+    if told.rate_milli == UNKNOWN_RATE:
         return None
     return NamedLimit(
         per_second=decode_rate(told.rate_milli),
--- a/wagtaildale/calls/dialect.py
+++ b/wagtaildale/calls/dialect.py
@@ -31,12 +31,12 @@
             server takes from all nodes together; nothing if none names it.
         leaving: set in a response by a backend server that will end;
             nothing if none says so.
-        takes_request_id: whether callers name their requests themselves.
+        accepts_request_id: whether callers name their requests themselves.
         echoes_request_id: whether a response names its request.
         describes_calls: whether callers are told how a call went.
-        counts_tries: whether a caller that comes back gives the time that
-            is left of its first try, and its target counts from there.
-        fractional_retry: whether ``Retry-After`` may have a fraction.
+        deadline_spans_retries: whether a caller that retries sends the time
+            left of its first try, so that the target counts from there.
+        fractional_retry_after: whether ``Retry-After`` may have a fraction.
     """
 
     request_id: bytes = b'wagtaildale-request-id'
@@ -50,14 +50,14 @@
     load: bytes | None = None
     rate_limit: bytes | None = b'wagtaildale-rate-limit'
     leaving: bytes | None = b'wagtaildale-leaving'
-    takes_request_id: bool = False
+    accepts_request_id: bool = False
     echoes_request_id: bool = False
     describes_calls: bool = True
-    counts_tries: bool = False
-    fractional_retry: bool = False
+    deadline_spans_retries: bool = False
+    fractional_retry_after: bool = False
 
     @property
-    def own_fields(self) -> frozenset[bytes]:
+    def rewritten_fields(self) -> frozenset[bytes]:
         """Fields of a request that are set anew on its way."""
         names = (
             self.deadline_ms,
@@ -69,4 +69,4 @@
         return frozenset(name for name in names if name is not None)
 
 
-OWN_DIALECT = Dialect()
+DEFAULT_DIALECT = Dialect()
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -42,8 +42,8 @@
         self.clocks = HedgeClocks()
         self._budgets: dict[ServiceName, RetryBudget] = {}
 
-    def answer(self, exchange: Exchange) -> None:
-        """Begin to answer a request; see ``Answerer``.
+    def handle_request(self, exchange: Exchange) -> None:
+        """Begin to answer a request; see ``RequestHandler``.
 
         Args:
             exchange: the request.
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.answers import describe_problem
+from wagtaildale.calls.error_responses import build_error_response
 from wagtaildale.calls.attempt import Attempt, AttemptState, RequestParts
 from wagtaildale.calls.attempts import Attempts, Obstacle, conclude
 from wagtaildale.calls.bodies import RequestBody
@@ -21,7 +21,7 @@
     from wagtaildale.calls.entry import Entry
     from wagtaildale.calls.exchanges import Exchange
     from wagtaildale.calls.fields import AnswerFields
-    from wagtaildale.calls.frames import Answered, Piece
+    from wagtaildale.calls.frames import Answered, BodyPiece
     from wagtaildale.timers.alarms import Alarm
 
 SHED_STATUS: Final = 503
@@ -107,7 +107,7 @@
         elif not self.attempts.tried:
             self._start_if_ready()
 
-    def on_gone(self) -> None:
+    def on_caller_gone(self) -> None:
         """Stop everything: the caller waits no longer."""
         if self._is_over:
             return
@@ -116,7 +116,7 @@
             CallFailed(Code.caller_gone, outcome=Outcome.unknown),
         )
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Learn that the caller took what was written."""
         if self._owed and self._running:
             self._running[0].note_taken(self._owed)
@@ -153,7 +153,7 @@
         if not self._try_after_error(attempt, frame):
             self._respond(attempt, frame)
 
-    def on_piece(self, attempt: Attempt, frame: Piece) -> None:
+    def on_piece(self, attempt: Attempt, frame: BodyPiece) -> None:
         """Take more of a response's body; see ``AttemptOwner``.
 
         Args:
@@ -162,7 +162,7 @@
         """
         if self._is_over:
             return
-        self._exchange.add(frame.body, more=frame.more)
+        self._exchange.write_body(frame.body, more=frame.more)
         self._pass_on(attempt, len(frame.body), more=frame.more)
 
     def on_attempt_silent(self, attempt: Attempt, failure: CallFailed) -> None:
@@ -202,7 +202,7 @@
             # for a whole one.
             self._end()
             self._report.note_failure(failure)
-            self._exchange.cut()
+            self._exchange.abort()
         elif all(other.is_silent for other in self._running):
             self._try_again(attempt, failure)
 
@@ -236,7 +236,7 @@
         if self.request.body.is_ready:
             self._try()
         elif self._exchange.message.find(EXPECT_FIELD) is not None:
-            self._exchange.ask_for_body()
+            self._exchange.send_continue()
 
     def _try(self, *, spare: bool = False) -> None:
         try:
@@ -356,7 +356,7 @@
             headers=(*frame.headers, *self._describe()),
             length=frame.length,
         )
-        self._exchange.begin(head, body=frame.body, more=frame.more)
+        self._exchange.begin_response(head, body=frame.body, more=frame.more)
         self._pass_on(attempt, len(frame.body), more=frame.more)
 
     # Ends
@@ -391,12 +391,12 @@
             failure.outcome = Outcome.unknown
         self._end()
         self._report.note_failure(failure, obstacle=self._find_obstacle())
-        head, body = describe_problem(
+        head, body = build_error_response(
             failure,
             extra=self._describe(),
             dialect=self._entry.parts.dialect,
         )
-        self._exchange.begin(head, body=body)
+        self._exchange.begin_response(head, body=body)
 
     def _describe(self) -> tuple[tuple[bytes, bytes], ...]:
         if not self._entry.parts.dialect.describes_calls:
--- a/wagtaildale/calls/answers.py
+++ b/wagtaildale/calls/error_responses.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct, json
 
-from wagtaildale.calls.dialect import OWN_DIALECT
+from wagtaildale.calls.dialect import DEFAULT_DIALECT
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.errors.codes import MEANINGS, Code
 from wagtaildale.types import Outcome
@@ -100,11 +100,11 @@
     return status
 
 
-def describe_problem(
+def build_error_response(
     failure: CallFailed,
     *,
     extra: Sequence[Header] = (),
-    dialect: Dialect = OWN_DIALECT,
+    dialect: Dialect = DEFAULT_DIALECT,
 ) -> tuple[ResponseHead, bytes]:
     """Describe the whole answer of a failed call.
 
@@ -133,6 +133,6 @@
 
 
 def _write_retry(failure: CallFailed, dialect: Dialect) -> bytes:
-    if dialect.fractional_retry:
+    if dialect.fractional_retry_after:
         return b'%.3f' % max(LEAST_FRACTION, failure.retry_after)
     return b'%d' % max(LEAST_RETRY_SECONDS, ceil(failure.retry_after))
--- a/wagtaildale/calls/exchanges.py
+++ b/wagtaildale/calls/exchanges.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from wagtaildale.calls.heads import CONTINUE
+from wagtaildale.calls.heads import CONTINUE_RESPONSE
 from wagtaildale.calls.responses import ResponseHead, ResponseWriter
 
 if TYPE_CHECKING:
@@ -18,17 +18,17 @@
     def on_body(self) -> None:
         """Learn that more of the request's body is here, or its end."""
 
-    def on_gone(self) -> None:
+    def on_caller_gone(self) -> None:
         """Learn that the caller waits no longer."""
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Learn that the caller has taken what was written so far."""
 
 
-class Answerer(Protocol):
+class RequestHandler(Protocol):
     """What answers the requests on a port."""
 
-    def answer(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         """Begin to answer a request.
 
         Args:
@@ -76,10 +76,10 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether more is to be written only after ``on_room``."""
+        """Whether more is to be written only after ``on_writable``."""
         return bool(self._kept) or self._connection.is_full
 
-    def begin(
+    def begin_response(
         self,
         head: ResponseHead,
         *,
@@ -102,7 +102,7 @@
         )
         self._put(self._writer.begin(head, body=body, more=more))
 
-    def add(self, piece: bytes, *, more: bool) -> None:
+    def write_body(self, piece: bytes, *, more: bool) -> None:
         """Write a piece of the body.
 
         Args:
@@ -113,15 +113,15 @@
         if self._writer is not None:
             self._put(self._writer.add(piece, more=more))
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Break the response off so that it cannot pass for a whole one."""
         self.is_done = True
         self.is_broken = True
         self._connection.advance()
 
-    def ask_for_body(self) -> None:
+    def send_continue(self) -> None:
         """Tell a caller that waits for it to send the body."""
-        self._connection.send_for(self, CONTINUE)
+        self._connection.send_for(self, CONTINUE_RESPONSE)
 
     def read_more(self, *, wanted: bool) -> None:
         """Read more of the request's body, or leave it with the caller.
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -20,9 +20,9 @@
 
 MILLI: Final = 1000
 # Thousandths of a request a second: no limit is named, or it is not known.
-NO_RATE: Final = -1
-UNHEARD_RATE: Final = -2
-PRIVATE_PREFIX: Final = b'wagtaildale-'
+UNLIMITED_RATE: Final = -1
+UNKNOWN_RATE: Final = -2
+INTERNAL_HEADER_PREFIX: Final = b'wagtaildale-'
 NO_LEASE: Final = TicketId(0)
 
 
@@ -76,12 +76,12 @@
     patient: bool = True
     sent_ms: int = 0
     ends: int = 0
-    rate_milli: int = NO_RATE
+    rate_milli: int = UNLIMITED_RATE
     pass_rank: int = MIDDLE_RANK
     passed_parts: int = PARTS
 
     @property
-    def stands_for(self) -> float:
+    def represented_requests(self) -> float:
         """How many such requests it was drawn among, by the entry's word."""
         parts = min(PARTS, max(LEAST_PARTS, self.passed_parts))
         return PARTS / parts
@@ -120,8 +120,8 @@
         ends: servers that ended under the request, one after the other, as
             far as the owner knows; told where the request was not answered.
         rate_milli: thousandths of a request a second that its backend server
-            takes; ``NO_RATE`` if it names no limit, ``UNHEARD_RATE`` if the
-            owner has not heard it yet.
+            takes; ``UNLIMITED_RATE`` if it names no limit, ``UNKNOWN_RATE``
+            if the owner has not heard it yet.
         share: of the requests of each rank, those that entries may send;
             nothing if all may be.
         leaving: its backend server, if that has said that it leaves.
@@ -145,7 +145,7 @@
     class_usual_us: int = 0
     has_arrived: bool = False
     ends: int = 0
-    rate_milli: int = UNHEARD_RATE
+    rate_milli: int = UNKNOWN_RATE
     share: PassShare | None = None
     leaving: Leaver | None = None
 
@@ -157,9 +157,9 @@
         per_second: requests that it takes; nothing if it names no limit.
 
     Returns:
-        Thousandths of a request a second, or ``NO_RATE``.
+        Thousandths of a request a second, or ``UNLIMITED_RATE``.
     """
-    return NO_RATE if per_second is None else round(per_second * MILLI)
+    return UNLIMITED_RATE if per_second is None else round(per_second * MILLI)
 
 
 def decode_rate(rate_milli: int) -> float | None:
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -15,7 +15,7 @@
 from wagtaildale.admission.shares import PassShare
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.fields import (
-    UNHEARD_RATE,
+    UNKNOWN_RATE,
     AnswerFields,
     CallFields,
 )
@@ -23,7 +23,7 @@
 from wagtaildale.routing.leavers import Leaver
 from wagtaildale.types import CallNumber, InstanceId
 
-LENGTH: Final = struct.Struct('>I')
+LENGTH_PREFIX: Final = struct.Struct('>I')
 # A piece of a body is at most what one read gives; heads are far smaller.
 LARGEST_FRAME: Final = 1_000_000
 # One read of 64 KB compressed a hundredfold: bodies compress far less.
@@ -71,7 +71,7 @@
     length: int
 
 
-class Piece(Struct, frozen=True, array_like=True, tag=3, gc=False):
+class BodyPiece(Struct, frozen=True, array_like=True, tag=3, gc=False):
     """More of a body, either way.
 
     Attributes:
@@ -85,7 +85,7 @@
     more: bool
 
 
-class Taken(Struct, frozen=True, array_like=True, tag=4, gc=False):
+class WindowUpdate(Struct, frozen=True, array_like=True, tag=4, gc=False):
     """The receiver of pieces has passed so many bytes on."""
 
     call: CallNumber
@@ -135,7 +135,7 @@
     length: int
 
 
-class Cut(Struct, frozen=True, array_like=True, tag=9, gc=False):
+class ResponseAborted(Struct, frozen=True, array_like=True, tag=9, gc=False):
     """A response broke off after its beginning was sent."""
 
     call: CallNumber
@@ -145,18 +145,19 @@
     """Asks whether the other side is there.
 
     Attributes:
-        hears_leaving: whether whoever asks knows ``Leaving``. Builds that
-            do not know the field leave it out, or read past it.
+        accepts_drain_notice: whether the sender understands
+            ``DrainNotice``. Builds that do not know the field omit or
+            ignore it.
     """
 
-    hears_leaving: bool = False
+    accepts_drain_notice: bool = False
 
 
 class Pong(Struct, frozen=True, array_like=True, tag=11, gc=False):
     """The answer to a ping."""
 
 
-class Load(Struct, frozen=True, array_like=True, tag=12, gc=False):
+class LoadReport(Struct, frozen=True, array_like=True, tag=12, gc=False):
     """How full an owner's backend server is, told without being asked.
 
     Attributes:
@@ -180,12 +181,12 @@
     queued: int
     is_up: bool
     slowness_percent: int = 0
-    rate_milli: int = UNHEARD_RATE
+    rate_milli: int = UNKNOWN_RATE
     share: PassShare | None = None
     leaving: Leaver | None = None
 
 
-class Leaving(Struct, frozen=True, array_like=True, tag=13, gc=False):
+class DrainNotice(Struct, frozen=True, array_like=True, tag=13, gc=False):
     """The owner takes no new call; the entry closes when its calls are over.
 
     Sent only to an entry that has said in a ``Ping`` that it knows this: an
@@ -193,33 +194,33 @@
     """
 
 
-ToOwner = Reserve | Run | Piece | Taken | Cancel | Ping | Pong
+ToOwner = Reserve | Run | BodyPiece | WindowUpdate | Cancel | Ping | Pong
 ToEntry = (
     Granted
     | Failed
     | Answered
-    | Piece
-    | Taken
-    | Cut
+    | BodyPiece
+    | WindowUpdate
+    | ResponseAborted
     | Ping
     | Pong
-    | Load
-    | Leaving
+    | LoadReport
+    | DrainNotice
 )
 Frame = (
     Reserve
     | Run
-    | Piece
-    | Taken
+    | BodyPiece
+    | WindowUpdate
     | Cancel
     | Granted
     | Failed
     | Answered
-    | Cut
+    | ResponseAborted
     | Ping
     | Pong
-    | Load
-    | Leaving
+    | LoadReport
+    | DrainNotice
 )
 
 _encoder = msgpack.Encoder()
@@ -236,7 +237,7 @@
         Its length and its bytes.
     """
     encoded = _encoder.encode(frame)
-    return LENGTH.pack(len(encoded)) + encoded
+    return LENGTH_PREFIX.pack(len(encoded)) + encoded
 
 
 class FrameWriter:
@@ -307,11 +308,11 @@
         self._buffer += self._decompress(chunk)
         frames: list[Frame] = []
         at = 0
-        while len(self._buffer) - at >= LENGTH.size:
-            size = LENGTH.unpack_from(self._buffer, at)[0]
+        while len(self._buffer) - at >= LENGTH_PREFIX.size:
+            size = LENGTH_PREFIX.unpack_from(self._buffer, at)[0]
             if size > LARGEST_FRAME:
                 raise CallFailed(Code.message_malformed, detail='frame size')
-            end = at + LENGTH.size + size
+            end = at + LENGTH_PREFIX.size + size
             if len(self._buffer) < end:
                 break
             frames.append(decode_frame(self._buffer[end - size : end]))
--- a/wagtaildale/calls/heads.py
+++ b/wagtaildale/calls/heads.py
@@ -6,17 +6,17 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.fields import PRIVATE_PREFIX
+from wagtaildale.calls.fields import INTERNAL_HEADER_PREFIX
 from wagtaildale.calls.parsing import UNKNOWN_LENGTH, Header, Message
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-KEY_FIELD: Final = b'idempotency-key'
-CLOSE: Final = (b'connection', b'close')
-CHUNKED: Final = (b'transfer-encoding', b'chunked')
+IDEMPOTENCY_KEY_HEADER: Final = b'idempotency-key'
+CONNECTION_CLOSE: Final = (b'connection', b'close')
+CHUNKED_ENCODING: Final = (b'transfer-encoding', b'chunked')
 LAST_CHUNK: Final = b'0\r\n\r\n'
-CONTINUE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
+CONTINUE_RESPONSE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
 HOP_BY_HOP: Final = frozenset(
     (
         b'connection',
@@ -37,7 +37,7 @@
 )
 
 
-def pass_on(message: Message) -> list[Header]:
+def select_forwarded_headers(message: Message) -> list[Header]:
     """Choose the headers of a message that go on to the next hop.
 
     Args:
@@ -51,7 +51,7 @@
         header
         for header in message.headers
         if header[0] not in HOP_BY_HOP
-        and not header[0].startswith(PRIVATE_PREFIX)
+        and not header[0].startswith(INTERNAL_HEADER_PREFIX)
     ]
     if named is None or named in {b'keep-alive', b'close'}:
         return headers
@@ -96,7 +96,9 @@
     return b'\r\n'.join((*lines, b'', b''))
 
 
-def frame_body(message: Message, *, whole: bytes | None) -> Sequence[Header]:
+def choose_body_framing(
+    message: Message, *, whole: bytes | None
+) -> Sequence[Header]:
     """Choose the header that says where a body ends.
 
     Args:
@@ -112,7 +114,7 @@
         return ((b'content-length', b'%d' % len(whole)),)
     if message.length != UNKNOWN_LENGTH:
         return ((b'content-length', b'%d' % message.length),)
-    return (CHUNKED,)
+    return (CHUNKED_ENCODING,)
 
 
 def write_chunk(piece: bytes) -> bytes:
--- a/wagtaildale/calls/keyed.py
+++ b/wagtaildale/calls/keyed.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.admission.replays import KeptAnswer, KeyState
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.heads import KEY_FIELD
+from wagtaildale.calls.heads import IDEMPOTENCY_KEY_HEADER
 from wagtaildale.errors.codes import Code
 from wagtaildale.types import Outcome
 
@@ -68,7 +68,7 @@
 
 def _find_key(run: Run) -> str | None:
     for name, text in run.headers:
-        if name == KEY_FIELD:
+        if name == IDEMPOTENCY_KEY_HEADER:
             # One key names one request: the same key for another target is
             # another request.
             return f'{run.method!r} {run.target!r} {text!r}'
--- a/wagtaildale/calls/load_teller.py
+++ b/wagtaildale/calls/load_teller.py
@@ -6,8 +6,8 @@
 
 from wagtaildale.admission.shares import ALL_PASS, PassShare
 from wagtaildale.admission.shortage import share_out
-from wagtaildale.calls.fields import UNHEARD_RATE, encode_rate
-from wagtaildale.calls.frames import Load
+from wagtaildale.calls.fields import UNKNOWN_RATE, encode_rate
+from wagtaildale.calls.frames import LoadReport
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
 
@@ -43,7 +43,7 @@
             instance: of this node.
             recorder: gets an event when the server turns slow, or well.
         """
-        self.listeners: list[Callable[[Load], None]] = []
+        self.listeners: list[Callable[[LoadReport], None]] = []
         self._is_up = True
         self._leaving: Leaver | None = None
         self._gate = gate
@@ -79,7 +79,7 @@
         self._is_up = is_up
         self._tell(self._describe_load(0))
 
-    def describe_need(self) -> Load | None:
+    def describe_need(self) -> LoadReport | None:
         """Describe the load to an entry that has just connected.
 
         Returns:
@@ -98,7 +98,7 @@
         rate = self._gate.state.rate
         if rate.is_heard or rate.is_named:
             return encode_rate(rate.per_second)
-        return UNHEARD_RATE
+        return UNKNOWN_RATE
 
     def describe_share(self) -> PassShare | None:
         """Describe which requests entries may send.
@@ -123,9 +123,9 @@
     def _share_out(self, now: float) -> PassShare:
         return share_out(self._gate.state, now=now)
 
-    def _describe_load(self, slowness_percent: int) -> Load:
+    def _describe_load(self, slowness_percent: int) -> LoadReport:
         state = self._gate.state
-        return Load(
+        return LoadReport(
             instance=self._instance,
             in_flight=len(state.running),
             limit=int(state.limit),
@@ -137,6 +137,6 @@
             leaving=self._leaving,
         )
 
-    def _tell(self, load: Load) -> None:
+    def _tell(self, load: LoadReport) -> None:
         for tell in self.listeners:
             tell(load)
--- a/wagtaildale/calls/owned.py
+++ b/wagtaildale/calls/owned.py
@@ -14,8 +14,8 @@
 from wagtaildale.calls.backend_run import BackendRun
 from wagtaildale.calls.call_times import CallTimes
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.replies import Replies
-from wagtaildale.calls.transit import shorten
+from wagtaildale.calls.replies import ReplyWriter
+from wagtaildale.calls.transit import subtract_delay
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariant
 from wagtaildale.telemetry.events import EventKind
@@ -25,9 +25,9 @@
 if TYPE_CHECKING:
     from wagtaildale.admission.messages import TicketId, Verdict
     from wagtaildale.calls.fields import CallFields
-    from wagtaildale.calls.frames import Piece, Reserve, Run, Taken
+    from wagtaildale.calls.frames import BodyPiece, Reserve, Run, WindowUpdate
     from wagtaildale.calls.owner import Owner
-    from wagtaildale.calls.replies import Entrance
+    from wagtaildale.calls.replies import EntryChannel
     from wagtaildale.timers.alarms import Alarm
 
 # Long enough for a run message over a slow connection, short enough that a
@@ -71,24 +71,24 @@
         owner: Owner,
         number: CallNumber,
         *,
-        entrance: Entrance,
+        channel: EntryChannel,
     ) -> None:
         """Begin with nothing known of it.
 
         Args:
             owner: of the backend server.
             number: of the call, on the entry's connection.
-            entrance: the way back.
+            channel: the way back.
         """
         self.state = CallState.waiting
         self._owner = owner
         self._number = number
-        self._entrance = entrance
+        self._channel = channel
         self._times = CallTimes()
-        self._replies = Replies(
+        self._replies = ReplyWriter(
             owner,
             number,
-            entrance=entrance,
+            channel=channel,
             times=self._times,
         )
         self._fields: CallFields | None = None
@@ -111,7 +111,7 @@
             delay: for which the line held the message up, seconds.
         """
         self._times.delay = delay
-        self._enter(shorten(frame.fields, delay=delay))
+        self._enter(subtract_delay(frame.fields, delay=delay))
 
     def take_run(self, frame: Run, *, delay: float) -> None:
         """Run the request, once there is a slot or on the one held.
@@ -122,13 +122,13 @@
         """
         self._times.delay = delay
         self._request = frame
-        fields = shorten(frame.fields, delay=delay)
+        fields = subtract_delay(frame.fields, delay=delay)
         if fields.lease:
             self._redeem(fields)
         else:
             self._enter(fields)
 
-    def take_piece(self, frame: Piece) -> None:
+    def take_piece(self, frame: BodyPiece) -> None:
         """Pass more of the request's body on.
 
         Args:
@@ -137,7 +137,7 @@
         if self._run is not None:
             self._run.add(frame)
 
-    def take_taken(self, frame: Taken) -> None:
+    def take_taken(self, frame: WindowUpdate) -> None:
         """Send more of the response.
 
         Args:
@@ -229,7 +229,7 @@
                 patient=fields.patient,
                 work_class=fields.work_class,
                 pass_rank=fields.pass_rank,
-                stands_for=fields.stands_for,
+                stands_for=fields.represented_requests,
             ),
             self._judge,
         )
@@ -253,7 +253,7 @@
             self._start_if_meant(self._request)
             return
         self._owner.gate.lease(verdict.ticket, seconds=LEASE_SECONDS)
-        self._replies.grant(self.fields, lease=verdict.ticket)
+        self._replies.send_grant(self.fields, lease=verdict.ticket)
 
     def _redeem(self, fields: CallFields) -> None:
         # The fields of the run message count: they name the incarnation
@@ -315,9 +315,9 @@
         if state is CallState.over:
             return
         if self._run is not None and self._run.is_answering:
-            self._replies.cut()
+            self._replies.abort()
         else:
-            self._replies.fail(self.fields, failure)
+            self._replies.send_failure(self.fields, failure)
         self._note_failure(failure)
         self._close()
         if state is CallState.waiting:
@@ -366,4 +366,4 @@
             self._alarm.cancel()
         if self._run is not None:
             self._run.close()
-        self._entrance.forget(self._number)
+        self._channel.forget(self._number)
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -9,7 +9,7 @@
 from wagtaildale.admission.ledger import RunLedger
 from wagtaildale.admission.replays import Replays
 from wagtaildale.calls.backend_pool import BackendPool
-from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
+from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.fields import (
     AnswerFields,
@@ -78,7 +78,7 @@
         backend: Address,
         invariants: Invariants,
         recorder: EventRecorder,
-        dialect: Dialect = OWN_DIALECT,
+        dialect: Dialect = DEFAULT_DIALECT,
         find_record: Callable[[InstanceId], InstanceRecord | None],
         trials: Trials,
     ) -> None:
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -11,7 +11,7 @@
 from wagtaildale.timers.service import read_clock
 
 if TYPE_CHECKING:
-    from wagtaildale.calls.frames import Load
+    from wagtaildale.calls.frames import LoadReport
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.routing.view import ViewHolder
@@ -42,7 +42,7 @@
         self._statistics = statistics
         self._recorder = recorder
 
-    def note_load(self, address: Address, load: Load) -> None:
+    def note_load(self, address: Address, load: LoadReport) -> None:
         """Note how full and how fast a backend server is.
 
         Args:
@@ -103,7 +103,7 @@
             upstream = self._statistics.find(instance, now=now)
             upstream.ejection.note_silent(now)
 
-    def _note_load(self, instance: InstanceId, load: Load) -> None:
+    def _note_load(self, instance: InstanceId, load: LoadReport) -> None:
         now = read_clock()
         statistics = self._statistics
         statistics.note_watched(instance, is_up=load.is_up, now=now)
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.peers import (
-    OWNER_LEAVES,
-    REFUSED,
-    SILENT,
+    OWNER_LEAVES_REASON,
+    REFUSED_REASON,
+    SILENT_REASON,
     RemotePeer,
 )
 from wagtaildale.telemetry.events import EventKind
@@ -16,7 +16,7 @@
     from collections.abc import Iterable
 
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.frames import Load
+    from wagtaildale.calls.frames import LoadReport
     from wagtaildale.calls.owner_listener import OwnerListener
     from wagtaildale.reactor.loop import Loop
     from wagtaildale.telemetry.events import EventRecorder
@@ -25,7 +25,7 @@
 UNNEEDED: Final = 'no longer needed'
 STOPPING: Final = 'this node stops'
 WANTED_CLOSES: Final = frozenset(
-    (UNNEEDED, STOPPING, SILENT, OWNER_LEAVES),
+    (UNNEEDED, STOPPING, SILENT_REASON, OWNER_LEAVES_REASON),
 )
 
 
@@ -84,7 +84,7 @@
         for address, compressed in wanted.items():
             self.find(address, compressed=compressed)
         for address in self._peers.keys() - wanted.keys():
-            if not self._peers[address].busy:
+            if not self._peers[address].active_calls:
                 self._peers[address].close(UNNEEDED)
 
     def close(self) -> None:
@@ -130,7 +130,7 @@
             peer: a newer connection to an owner whose process is gone.
         """
         for silent in _list_silent(self._aside, peer.address):
-            silent.close(REFUSED)
+            silent.close(REFUSED_REASON)
 
     def note_closed(self, peer: RemotePeer, detail: str) -> None:
         """Forget a connection; see ``PeerKeeper``.
@@ -141,7 +141,7 @@
         """
         self._aside.discard(peer)
         self._leave_out(peer)
-        if peer.busy or detail not in WANTED_CLOSES:
+        if peer.active_calls or detail not in WANTED_CLOSES:
             _record(
                 self._recorder,
                 EventKind.connection_lost,
@@ -149,7 +149,7 @@
                 detail=detail,
             )
 
-    def note_load(self, peer: RemotePeer, load: Load) -> None:
+    def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
         """Pass on how full an owner is; see ``PeerKeeper``.
 
         Args:
@@ -180,7 +180,7 @@
         detail=detail,
         inputs={
             'was_open': int(peer.is_open),
-            'calls': peer.busy,
+            'calls': peer.active_calls,
             'silent_ms': round(peer.silent_seconds * MILLISECONDS),
             'unsent_bytes': peer.unsent,
         },
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -19,13 +19,13 @@
     Cancel,
     FrameReader,
     FrameWriter,
-    Leaving,
-    Load,
+    DrainNotice,
+    LoadReport,
     Ping,
     Pong,
 )
 from wagtaildale.calls.sessions import CallTable
-from wagtaildale.calls.transit import stamp
+from wagtaildale.calls.transit import add_send_time
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.stream import open_stream
 from wagtaildale.timers.service import read_clock
@@ -48,13 +48,13 @@
 # still short of what most requests are worth waiting for. By then a newer
 # connection has had the time to show that the owner is there.
 SILENT_SECONDS: Final = 1.0
-SILENT: Final = 'silent'
-REPLACED: Final = 'silent while a newer connection works'
-REFUSED: Final = 'silent, and a newer connection is refused'
-OWNER_LEAVES: Final = 'the owner leaves'
+SILENT_REASON: Final = 'silent'
+REPLACED_REASON: Final = 'silent while a newer connection works'
+REFUSED_REASON: Final = 'silent, and a newer connection is refused'
+OWNER_LEAVES_REASON: Final = 'the owner leaves'
 
 # What an owner says of itself, and of no call.
-OwnerNews = Load | Leaving
+OwnerNews = LoadReport | DrainNotice
 
 
 class PeerReceiver(Protocol):
@@ -87,7 +87,7 @@
 class Peer(Protocol):
     """An owner as an entry speaks to it."""
 
-    def open(self, receiver: PeerReceiver) -> CallNumber:
+    def open_call(self, receiver: PeerReceiver) -> CallNumber:
         """Begin a call.
 
         Args:
@@ -128,11 +128,11 @@
         self._last = 0
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many calls are under way."""
-        return self._calls.busy
+        return self._calls.active_calls
 
-    def open(self, receiver: PeerReceiver) -> CallNumber:
+    def open_call(self, receiver: PeerReceiver) -> CallNumber:
         """Begin a call; see ``Peer``.
 
         Args:
@@ -179,7 +179,7 @@
 class PeerKeeper(Protocol):
     """Whoever keeps the connections to owners."""
 
-    def note_load(self, peer: RemotePeer, load: Load) -> None:
+    def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
         """Learn how full an owner is, and how fast.
 
         Args:
@@ -269,11 +269,11 @@
         self.answered_at = float(0)
         self._stream = open_stream(loop, (address.host, address.port), self)
         self._stream.send(COMPRESSED if compressed else PLAIN)
-        self.send(Ping(hears_leaving=True))
+        self.send(Ping(accepts_drain_notice=True))
         self._alarm = loop.alarms.set(CONNECT_SECONDS, self._watch)
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many calls are under way."""
         return len(self._receivers)
 
@@ -287,7 +287,7 @@
         """Bytes that the connection has yet to take."""
         return self._stream.unsent
 
-    def open(self, receiver: PeerReceiver) -> CallNumber:
+    def open_call(self, receiver: PeerReceiver) -> CallNumber:
         """Begin a call; see ``Peer``.
 
         Args:
@@ -312,7 +312,9 @@
         Args:
             frame: the message.
         """
-        stamped = stamp(frame, passed=read_clock() - self._begun_at)
+        stamped = add_send_time(
+            frame, elapsed_seconds=read_clock() - self._begun_at
+        )
         self._stream.send(self._writer.write(stamped))
 
     def close_call(self, number: CallNumber, *, cancelled: bool) -> None:
@@ -344,7 +346,7 @@
         if self._given_up_at is None:
             self._given_up_at = now + self.silent_seconds
         elif now >= self._given_up_at:
-            self.close(REPLACED)
+            self.close(REPLACED_REASON)
 
     def close(self, detail: str) -> None:
         """Give the connection up; every call on it hears so.
@@ -413,7 +415,7 @@
                 receiver.on_frame(frame)  # type: ignore[arg-type]
 
     def _take_news(self, news: OwnerNews) -> None:
-        if isinstance(news, Load):
+        if isinstance(news, LoadReport):
             self._keeper.note_load(self, news)
         else:
             self._leave()
@@ -431,9 +433,9 @@
         if self._receivers:
             return
         if self.is_leaving:
-            self.close(OWNER_LEAVES)
+            self.close(OWNER_LEAVES_REASON)
         elif self.is_silent:
-            self.close(SILENT)
+            self.close(SILENT_REASON)
 
     def _watch(self) -> None:
         if not self.is_open:
@@ -467,7 +469,7 @@
         self._keeper.note_silent(self)
         if seconds > SILENT_SECONDS:
             for receiver in tuple(self._receivers.values()):
-                receiver.on_peer_silent(self._make_failure(SILENT))
+                receiver.on_peer_silent(self._make_failure(SILENT_REASON))
         self._close_if_over()
 
     def _make_failure(self, detail: str) -> CallFailed:
--- a/wagtaildale/calls/glances.py
+++ b/wagtaildale/calls/pending_input.py
@@ -15,7 +15,7 @@
 
 
 @final
-class Glance(Enum):
+class PendingInput(Enum):
     """What waits to be read on a connection."""
 
     nothing = 'nothing'
@@ -23,7 +23,7 @@
     ended = 'ended'
 
 
-def glance(stream: Stream) -> Glance:
+def peek_input(stream: Stream) -> PendingInput:
     """Look at what waits to be read on a connection.
 
     Args:
@@ -33,11 +33,11 @@
         Whether bytes have come, or the connection has ended.
     """
     if stream.is_closed:
-        return Glance.ended
+        return PendingInput.ended
     try:
         came = stream.sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
-        return Glance.nothing
+        return PendingInput.nothing
     except OSError:
-        return Glance.ended
-    return Glance.bytes_came if came else Glance.ended
+        return PendingInput.ended
+    return PendingInput.bytes_came if came else PendingInput.ended
--- a/wagtaildale/calls/ready.py
+++ b/wagtaildale/calls/readiness.py
@@ -18,8 +18,8 @@
 UNKNOWN_STATUS: Final = 404
 
 
-class ReadyAnswerer:
-    """Answers ``GET /ready``; an ``Answerer``.
+class ReadinessHandler:
+    """Answers ``GET /ready``; an ``RequestHandler``.
 
     It runs in the loop that carries the calls, so that a node whose calls
     stand still does not say it is ready.
@@ -33,8 +33,8 @@
         """
         self._read_state = read_state
 
-    def answer(self, exchange: Exchange) -> None:
-        """Answer one question; see ``Answerer``.
+    def handle_request(self, exchange: Exchange) -> None:
+        """Answer one question; see ``RequestHandler``.
 
         Args:
             exchange: the question.
@@ -47,4 +47,4 @@
             status = READY_STATUS
         headers = ((b'content-type', b'text/plain'),)
         head = ResponseHead(status=status, headers=headers)
-        exchange.begin(head, body=state.value.encode())
+        exchange.begin_response(head, body=state.value.encode())
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -8,11 +8,11 @@
 
 from wagtaildale.calls.frames import (
     Answered,
-    Cut,
+    ResponseAborted,
     Failed,
     Granted,
-    Piece,
-    Taken,
+    BodyPiece,
+    WindowUpdate,
 )
 from wagtaildale.calls.keyed import REPLAYED
 
@@ -29,7 +29,7 @@
 MILLISECONDS: Final = 1000
 
 
-class Entrance(Protocol):
+class EntryChannel(Protocol):
     """The way back to the entry that a call came from."""
 
     def reply(self, frame: ToEntry) -> None:
@@ -47,7 +47,7 @@
         """
 
 
-class Replies:
+class ReplyWriter:
     """Writes the answers on one call."""
 
     def __init__(
@@ -55,7 +55,7 @@
         owner: Owner,
         number: CallNumber,
         *,
-        entrance: Entrance,
+        channel: EntryChannel,
         times: CallTimes,
     ) -> None:
         """Prepare.
@@ -63,15 +63,15 @@
         Args:
             owner: describes itself in each answer.
             number: of the call, on the entry's connection.
-            entrance: the way back.
+            channel: the way back.
             times: of the call.
         """
         self._owner = owner
         self._number = number
-        self._entrance = entrance
+        self._channel = channel
         self._times = times
 
-    def grant(self, fields: CallFields, *, lease: TicketId) -> None:
+    def send_grant(self, fields: CallFields, *, lease: TicketId) -> None:
         """Tell that a slot is held.
 
         Args:
@@ -79,9 +79,9 @@
             lease: names the slot in the run message.
         """
         answer = structs.replace(self._owner.describe(fields), lease=lease)
-        self._entrance.reply(Granted(self._number, answer))
+        self._channel.reply(Granted(self._number, answer))
 
-    def answer(
+    def send_response(
         self,
         fields: CallFields,
         answer: KeptAnswer,
@@ -97,7 +97,7 @@
             more: whether pieces follow.
             length: of the body where the response announces it, else -1.
         """
-        self._entrance.reply(
+        self._channel.reply(
             Answered(
                 self._number,
                 self._owner.describe(
@@ -113,14 +113,14 @@
             ),
         )
 
-    def repeat(self, fields: CallFields, kept: KeptAnswer) -> None:
+    def replay(self, fields: CallFields, kept: KeptAnswer) -> None:
         """Give the answer that a repeated idempotency key had before.
 
         Args:
             fields: of the call.
             kept: the answer.
         """
-        self._entrance.reply(
+        self._channel.reply(
             Answered(
                 self._number,
                 self._owner.describe(fields),
@@ -132,28 +132,28 @@
             ),
         )
 
-    def add(self, piece: bytes, *, more: bool) -> None:
+    def send_body(self, piece: bytes, *, more: bool) -> None:
         """Pass more of the answer on.
 
         Args:
             piece: of its body.
             more: whether pieces follow.
         """
-        self._entrance.reply(Piece(self._number, piece, more=more))
+        self._channel.reply(BodyPiece(self._number, piece, more=more))
 
-    def acknowledge(self, size: int) -> None:
+    def send_window_update(self, size: int) -> None:
         """Tell that the backend server has taken a part of the request.
 
         Args:
             size: of it, bytes.
         """
-        self._entrance.reply(Taken(self._number, size))
+        self._channel.reply(WindowUpdate(self._number, size))
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Tell that an answer that was begun breaks off."""
-        self._entrance.reply(Cut(self._number))
+        self._channel.reply(ResponseAborted(self._number))
 
-    def fail(self, fields: CallFields, failure: CallFailed) -> None:
+    def send_failure(self, fields: CallFields, failure: CallFailed) -> None:
         """Tell that there is no answer.
 
         Args:
@@ -170,4 +170,4 @@
         )
         if failure.ends:
             answer = structs.replace(answer, ends=failure.ends)
-        self._entrance.reply(Failed(self._number, answer, failure.detail))
+        self._channel.reply(Failed(self._number, answer, failure.detail))
--- a/wagtaildale/calls/responses.py
+++ b/wagtaildale/calls/responses.py
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from wagtaildale.calls.heads import (
-    CHUNKED,
-    CLOSE,
+    CHUNKED_ENCODING,
+    CONNECTION_CLOSE,
     LAST_CHUNK,
     write_chunk,
     write_response_head,
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-BODILESS: Final = frozenset((204, 304))
+BODILESS_STATUSES: Final = frozenset((204, 304))
 
 
 class ResponseHead(Struct, frozen=True, kw_only=True, gc=False):
@@ -67,11 +67,11 @@
         Returns:
             The bytes to send.
         """
-        if head.status in BODILESS:
+        if head.status in BODILESS_STATUSES:
             self._has_body = False
         headers = [*head.headers, *self._frame(head, body, more)]
         if self._closing:
-            headers.append(CLOSE)
+            headers.append(CONNECTION_CLOSE)
         written = write_response_head(head.status, headers=headers)
         return written + self.add(body, more=more) if body else written
 
@@ -106,5 +106,5 @@
             return ((b'content-length', b'%d' % len(body)),)
         if head.length == UNKNOWN_LENGTH:
             self._chunked = True
-            return (CHUNKED,)
+            return (CHUNKED_ENCODING,)
         return ((b'content-length', b'%d' % head.length),)
--- a/wagtaildale/calls/routed.py
+++ b/wagtaildale/calls/routed.py
@@ -12,7 +12,10 @@
 from wagtaildale.calls.callers import CallerLimits
 from wagtaildale.calls.dialect import Dialect
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.heads import KEY_FIELD, pass_on
+from wagtaildale.calls.heads import (
+    IDEMPOTENCY_KEY_HEADER,
+    select_forwarded_headers,
+)
 from wagtaildale.calls.owner import Owner
 from wagtaildale.calls.owner_listener import OwnerListener
 from wagtaildale.calls.time_given import TimesGiven
@@ -183,7 +186,7 @@
     given_ms: int,
 ) -> int:
     within = match.work_class.within_ms
-    if parts.dialect.counts_tries:
+    if parts.dialect.deadline_spans_retries:
         name = f'{service}/{match.work_class.name}'
         within -= parts.times.find_used_ms(name, given_ms)
     return max(0, within)
@@ -209,15 +212,17 @@
 
 def _find_request_id(message: Message, dialect: Dialect) -> RequestId:
     given = message.find(dialect.request_id)
-    if dialect.takes_request_id and given:
+    if dialect.accepts_request_id and given:
         return RequestId(given[:LONGEST_ID].decode('latin-1'))
     return RequestId(os.urandom(REQUEST_ID_BYTES).hex())
 
 
 def _write_headers(parts: EntryParts, message: Message) -> HeaderPairs:
     dialect = parts.dialect
-    own = dialect.own_fields
-    headers = [each for each in pass_on(message) if each[0] not in own]
+    own = dialect.rewritten_fields
+    headers = [
+        each for each in select_forwarded_headers(message) if each[0] not in own
+    ]
     if dialect.caller_service is not None:
         headers.append((dialect.caller_service, parts.service.encode()))
     return tuple(headers)
@@ -226,7 +231,7 @@
 def _find_key(message: Message, match: RouteMatch) -> str:
     if match.work_class.idempotent:
         return ''
-    key = message.find(KEY_FIELD) or b''
+    key = message.find(IDEMPOTENCY_KEY_HEADER) or b''
     return key[:LONGEST_KEY].decode('latin-1')
 
 
--- a/wagtaildale/calls/turns.py
+++ b/wagtaildale/calls/serial_runs.py
@@ -19,7 +19,7 @@
 WAITING_MOST: Final = 16
 
 
-class Turns:
+class SerialRuns:
     """Whose turn it is, of each request that is asked for by many."""
 
     def __init__(self) -> None:
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -12,16 +12,16 @@
     Cancel,
     FrameReader,
     FrameWriter,
-    Leaving,
-    Piece,
+    DrainNotice,
+    BodyPiece,
     Ping,
     Pong,
     Reserve,
     Run,
-    Taken,
+    WindowUpdate,
 )
 from wagtaildale.calls.owned import OwnedCall
-from wagtaildale.calls.transit import Transit
+from wagtaildale.calls.transit import TransitDelayEstimator
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.acceptor import Acceptor
 from wagtaildale.reactor.stream import Stream
@@ -37,7 +37,7 @@
 
     from wagtaildale.calls.addresses import Address
     from wagtaildale.calls.fields import CallFields
-    from wagtaildale.calls.frames import Load, ToEntry
+    from wagtaildale.calls.frames import LoadReport, ToEntry
     from wagtaildale.calls.owner import Owner
     from wagtaildale.errors.faults import Fault
     from wagtaildale.telemetry.events import EventRecorder
@@ -70,7 +70,7 @@
         owner.teller.listeners.append(self._tell_load)
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """How many connections are open."""
         return len(self._sessions)
 
@@ -80,9 +80,9 @@
         return self.acceptor.is_closed and not self._sessions
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many calls are under way."""
-        return sum(session.busy for session in tuple(self._sessions))
+        return sum(session.active_calls for session in tuple(self._sessions))
 
     def bind(self, address: Address) -> Result[None, Fault]:
         """Open the port.
@@ -123,7 +123,7 @@
         """
         self._sessions.discard(session)
 
-    def _tell_load(self, load: Load) -> None:
+    def _tell_load(self, load: LoadReport) -> None:
         for session in tuple(self._sessions):
             session.tell_load(load)
 
@@ -154,10 +154,10 @@
         self.reply = reply
         self._hears_leaving = False
         self._calls: dict[CallNumber, OwnedCall] = {}
-        self._transit = Transit(opened_at=read_clock())
+        self._transit = TransitDelayEstimator(opened_at=read_clock())
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many calls are under way."""
         return len(self._calls)
 
@@ -175,7 +175,7 @@
             call.cancel()
 
     def note_hears_leaving(self) -> None:
-        """Learn that the entry knows ``Leaving``; it may be due already.
+        """Learn that the entry knows ``DrainNotice``; it may be due already.
 
         So may be what other entries were told unasked before this one came.
         """
@@ -194,7 +194,7 @@
         nothing more, and closes from its side when its calls are over.
         """
         if self._hears_leaving and self.owner.gate.state.draining:
-            self.reply(Leaving())
+            self.reply(DrainNotice())
 
     def take(self, frame: object) -> None:
         """Take a message of the entry.
@@ -240,7 +240,7 @@
         """
         call = self._calls.get(number)
         if call is None and len(self._calls) < CALLS_MOST:
-            call = OwnedCall(self.owner, number, entrance=self)
+            call = OwnedCall(self.owner, number, channel=self)
             self._calls[number] = call
         return call
 
@@ -276,14 +276,14 @@
 
 
 @take_frame.register
-def _take_piece(frame: Piece, calls: CallTable) -> None:
+def _take_piece(frame: BodyPiece, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.take_piece(frame)
 
 
 @take_frame.register
-def _take_taken(frame: Taken, calls: CallTable) -> None:
+def _take_taken(frame: WindowUpdate, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.take_taken(frame)
@@ -299,7 +299,7 @@
 @take_frame.register
 def _take_ping(frame: Ping, calls: CallTable) -> None:
     calls.reply(Pong())
-    if frame.hears_leaving:
+    if frame.accepts_drain_notice:
         calls.note_hears_leaving()
 
 
@@ -329,15 +329,15 @@
         self.calls = CallTable(port.owner, reply=self._send)
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many calls are under way.
 
         Failure guarded here: a slow line has answers yet to take, their
         calls are over, and a stop ends the process with them unsent.
         """
-        return self.calls.busy or int(self._stream.unsent > 0)
+        return self.calls.active_calls or int(self._stream.unsent > 0)
 
-    def tell_load(self, load: Load) -> None:
+    def tell_load(self, load: LoadReport) -> None:
         """Tell the entry how full and how fast the owner is.
 
         Failure guarded here: until the entry's first byte has come nobody
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -14,14 +14,14 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.budgets import RetryShare, share_retries
 from wagtaildale.calls.callers import CallerLimits, CallerPort
-from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
+from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
 from wagtaildale.calls.identity_question import IdentityQuestion
 from wagtaildale.calls.owner import Identity, Owner
 from wagtaildale.calls.owner_listener import OwnerListener
 from wagtaildale.calls.peer_pool import PeerPool
 from wagtaildale.calls.peers import LocalPeer
-from wagtaildale.calls.ready import ReadyAnswerer
+from wagtaildale.calls.readiness import ReadinessHandler
 from wagtaildale.calls.routed import EntryParts
 from wagtaildale.calls.sessions import PeerPort
 from wagtaildale.calls.time_given import TimesGiven
@@ -63,7 +63,7 @@
 )
 
 
-class CallSurroundings(Struct, frozen=True, kw_only=True):
+class CallsTaskDependencies(Struct, frozen=True, kw_only=True):
     """What the task that carries calls shares with the rest of the node.
 
     Attributes:
@@ -85,19 +85,20 @@
     suspects: SuspectBoard
 
 
-class CallFigures(Struct, frozen=True, kw_only=True):
+class CallsTaskSettings(Struct, frozen=True, kw_only=True):
     """Where a node's calls come and go, and how they are carried.
 
     Attributes:
         service: of the backend server beside the node.
         data_centre: the node's own.
-        entry: where callers' requests come.
-        owner: where other nodes' calls come.
-        ready: where the node tells whether it takes callers, if anywhere.
-        backend: the backend server.
+        entry_address: where callers' requests come.
+        owner_address: where other nodes' calls come.
+        ready_address: where the readiness endpoint listens; None to have
+            none.
+        backend_address: the backend server.
         slots: requests that it runs at once, until the list tells.
         limits: on callers, until a configuration has others.
-        bounds: figures that the platform's operators publish.
+        bounds: limits that the platform's operators publish.
         chooser: of upstreams.
         dialect: how callers and backend servers are spoken to.
         reserves: whether a non-idempotent request reserves a slot first.
@@ -106,15 +107,15 @@
 
     service: ServiceName
     data_centre: DataCentre
-    entry: Address
-    owner: Address
-    ready: Address | None = None
-    backend: Address
+    entry_address: Address
+    owner_address: Address
+    ready_address: Address | None = None
+    backend_address: Address
     slots: int
     limits: CallerLimits
     bounds: BoundSettings = BoundSettings()
     chooser: Chooser
-    dialect: Dialect = OWN_DIALECT
+    dialect: Dialect = DEFAULT_DIALECT
     reserves: bool = True
     hedges: bool = True
 
@@ -127,67 +128,73 @@
         owner: of the backend server beside the node.
         entry: takes callers' requests to upstreams.
         callers: the port on which they come.
-        nodes: the port on which other nodes' calls come.
+        peer_port: the port on which other nodes' calls come.
         local: calls of this entry to this owner.
     """
 
     def __init__(
         self,
-        figures: CallFigures,
+        settings: CallsTaskSettings,
         *,
-        around: CallSurroundings,
+        dependencies: CallsTaskDependencies,
     ) -> None:
         """Build the parts; ``bind`` opens the ports.
 
         Args:
-            figures: where calls come and go.
-            around: what is shared with the rest of the node.
+            settings: where calls come and go.
+            dependencies: what is shared with the rest of the node.
         """
-        self._figures = figures
-        self._around = around
+        self._settings = settings
+        self._dependencies = dependencies
         self.loop = Loop(on_defect=self._note_defect, on_late=self._note_late)
         self.owner = Owner(
-            around.identity,
-            service=figures.service,
+            dependencies.identity,
+            service=settings.service,
             loop=self.loop,
-            gate=Gate(make_admission(figures.slots), alarms=self.loop.alarms),
-            backend=figures.backend,
-            invariants=around.invariants,
-            recorder=around.recorder,
-            dialect=figures.dialect,
+            gate=Gate(make_admission(settings.slots), alarms=self.loop.alarms),
+            backend=settings.backend_address,
+            invariants=dependencies.invariants,
+            recorder=dependencies.recorder,
+            dialect=settings.dialect,
             find_record=self._find_record,
             trials=Trials(
-                around.suspects,
-                node=around.identity.instance,
-                dialect=figures.dialect,
-                view=around.view,
-                recorder=around.recorder,
+                dependencies.suspects,
+                node=dependencies.identity.instance,
+                dialect=settings.dialect,
+                view=dependencies.view,
+                recorder=dependencies.recorder,
             ),
         )
         self.owner.server.denial_listeners.append(self._make_question().ask)
-        around.suspects.listeners.append(self._review_runs)
+        dependencies.suspects.listeners.append(self._review_runs)
         self.local = LocalPeer(self.owner)
         self.entry = Entry(self._make_parts())
-        self.callers = CallerPort(
+        self.caller_port = CallerPort(
             self.loop,
-            answerer=self.entry,
+            request_handler=self.entry,
             read_limits=self.read_limits,
         )
-        self.nodes = PeerPort(self.owner, recorder=around.recorder)
+        self.peer_port = PeerPort(self.owner, recorder=dependencies.recorder)
         self.owner.teller.listeners.append(
-            partial(self.entry.parts.listener.note_load, figures.owner),
+            partial(
+                self.entry.parts.listener.note_load, settings.owner_address
+            ),
         )
         self._ready = CallerPort(
             self.loop,
-            answerer=ReadyAnswerer(self._read_state),
+            request_handler=ReadinessHandler(self._read_state),
             read_limits=lambda: READY_LIMITS,
         )
 
     @property
-    def busy(self) -> int:
+    def active_calls(self) -> int:
         """How many requests are under way."""
-        owned = self.nodes.busy + self.local.busy
-        return max(self.callers.busy, owned, len(self.owner.gate.state.running))
+        owned = self.peer_port.active_calls + self.local.active_calls
+        return max(
+            self.caller_port.active_calls,
+            owned,
+            len(self.owner.gate.state.running),
+        )
 
     @property
     def has_runs(self) -> bool:
@@ -200,21 +207,21 @@
         Returns:
             Nothing, or the fault.
         """
-        figures = self._figures
-        bound = self.callers.bind(figures.entry).and_then(
-            lambda _none: self.nodes.bind(figures.owner),
+        settings = self._settings
+        bound = self.caller_port.bind(settings.entry_address).and_then(
+            lambda _none: self.peer_port.bind(settings.owner_address),
         )
-        if figures.ready is None:
+        if settings.ready_address is None:
             return bound
-        ready = figures.ready
+        ready = settings.ready_address
         return bound.and_then(lambda _none: self._ready.bind(ready))
 
     def run(self) -> None:
         """Carry calls until stopped, then close everything."""
         self._start()
         self.loop.run()
-        self.callers.stop()
-        self.nodes.stop()
+        self.caller_port.stop()
+        self.peer_port.stop()
         self._ready.stop()
         self.entry.parts.peers.close()
         self.owner.pool.close()
@@ -224,29 +231,29 @@
         """End ``run``."""
         self.loop.stop()
 
-    def announce(self) -> None:
+    def announce_drain(self) -> None:
         """Tell callers to go elsewhere; may be called from another thread."""
-        self._ask(self.callers.drain)
+        self._ask(self.caller_port.drain)
 
     def drain(self) -> None:
         """Take no new work; may be called from another thread."""
         self._ask(self._drain)
 
-    def close_callers_port(self) -> None:
+    def close_caller_port(self) -> None:
         """Let no caller connect any more; may be called from another thread."""
-        self._ask(self.callers.close_port)
+        self._ask(self.caller_port.close_port)
 
-    def close_nodes_port(self) -> None:
+    def close_peer_port(self) -> None:
         """Let no node connect any more; may be called from another thread."""
-        self._ask(self.nodes.acceptor.close)
+        self._ask(self.peer_port.acceptor.close)
 
-    def finish_nodes(self) -> None:
+    def finish_peers(self) -> None:
         """Close what nodes left open; may be called from another thread."""
-        self._ask(self.nodes.finish)
+        self._ask(self.peer_port.finish)
 
     def close_idle(self) -> None:
         """Close idle callers; may be called from another thread."""
-        self._ask(self.callers.close_idle)
+        self._ask(self.caller_port.close_idle)
 
     def read_limits(self) -> CallerLimits:
         """Give what callers may send now.
@@ -254,8 +261,8 @@
         Returns:
             The configuration's limits, or the settings'.
         """
-        usual = self._figures.limits
-        published = self._around.view.current.limits
+        usual = self._settings.limits
+        published = self._dependencies.view.current.limits
         if published is None:
             return usual
         return CallerLimits(
@@ -287,102 +294,102 @@
             self._note_defect(error)
 
     def _start(self) -> None:
-        self.callers.start()
-        self.nodes.start()
-        if self._figures.ready is not None:
+        self.caller_port.start()
+        self.peer_port.start()
+        if self._settings.ready_address is not None:
             self._ready.start()
         self.entry.look()
         self._look()
 
     def _drain(self) -> None:
         self.owner.gate.drain()
-        self.nodes.announce_leaving()
+        self.peer_port.announce_leaving()
 
     def _make_question(self) -> IdentityQuestion:
         return IdentityQuestion(
             self.owner.pool,
-            address=self._figures.backend,
-            field=self._figures.dialect.instance,
+            address=self._settings.backend_address,
+            field=self._settings.dialect.instance,
             read_path=self._read_health_path,
             targets=self.owner.server,
         )
 
     def _read_health_path(self) -> str:
-        part = self._around.view.current.parts.get(self._figures.service)
+        part = self._dependencies.view.current.parts.get(self._settings.service)
         return part.health_path if part else ''
 
     def _make_parts(self) -> EntryParts:
-        figures = self._figures
-        around = self._around
+        settings = self._settings
+        dependencies = self._dependencies
         statistics = FleetStatistics()
         listener = OwnerListener(
-            around.view,
+            dependencies.view,
             statistics=statistics,
-            recorder=around.recorder,
+            recorder=dependencies.recorder,
         )
         return EntryParts(
-            service=figures.service,
-            own_host=figures.owner.host,
-            data_centre=figures.data_centre,
+            service=settings.service,
+            own_host=settings.owner_address.host,
+            data_centre=settings.data_centre,
             loop=self.loop,
             owner=self.owner,
             local=self.local,
             peers=PeerPool(
                 self.loop,
                 listener=listener,
-                recorder=around.recorder,
+                recorder=dependencies.recorder,
             ),
             listener=listener,
-            view=around.view,
-            tallies=around.tallies,
-            recorder=around.recorder,
+            view=dependencies.view,
+            tallies=dependencies.tallies,
+            recorder=dependencies.recorder,
             placement=Placement(
                 self.owner.identity.instance,
-                data_centre=figures.data_centre,
-                chooser=figures.chooser,
+                data_centre=settings.data_centre,
+                chooser=settings.chooser,
                 statistics=statistics,
             ),
-            dialect=figures.dialect,
+            dialect=settings.dialect,
             times=TimesGiven(),
-            suspects=around.suspects,
+            suspects=dependencies.suspects,
             read_limits=self.read_limits,
             read_retries=self._share_retries,
-            reserves=figures.reserves,
-            hedges=figures.hedges,
+            reserves=settings.reserves,
+            hedges=settings.hedges,
         )
 
     def _share_retries(self) -> RetryShare:
         return share_retries(
-            self._figures.bounds,
-            entries=self._around.view.current.count_nodes(),
+            self._settings.bounds,
+            entries=self._dependencies.view.current.count_nodes(),
         )
 
     def _read_state(self) -> NodeState:
-        if self.callers.draining:
+        if self.caller_port.draining:
             return NodeState.leaving
-        return self._around.states[-1]
+        return self._dependencies.states[-1]
 
     def _look(self) -> None:
-        records = self._around.view.current.records.values()
-        port = self._figures.backend.port
+        records = self._dependencies.view.current.records.values()
+        port = self._settings.backend_address.port
         for record in records:
-            if record.host == self._figures.owner.host:
+            if record.host == self._settings.owner_address.host:
                 if record.backend_port == port:
                     self.owner.gate.note_server(SlotsTold(slots=record.slots))
         self.loop.alarms.set(LOOK_SECONDS, self._look)
 
     def _find_record(self, instance: InstanceId) -> InstanceRecord | None:
-        return self._around.view.current.records.get(instance)
+        return self._dependencies.view.current.records.get(instance)
 
     def _note_defect(self, error: BaseException) -> None:
-        self._around.recorder.record(
+        self._dependencies.recorder.record(
             EventKind.invariant_broken,
             code=Code.invariant_broken,
             detail=repr(error),
         )
 
     def _note_late(self, seconds: float) -> None:
-        self._around.recorder.record(
+        self._dependencies.recorder.record(
             EventKind.woke_late,
             subject='calls',
             detail=f'{seconds:.1f} s',
--- a/wagtaildale/calls/tests/fleets.py
+++ b/wagtaildale/calls/tests/fleets.py
@@ -5,7 +5,7 @@
 from itertools import count
 from typing import TYPE_CHECKING
 
-from wagtaildale.calls.tests.pairs import talk
+from wagtaildale.calls.tests.pairs import send_raw_request
 from wagtaildale.platform.dialect import PLATFORM_DIALECT
 from wagtaildale.testing.builders import MESH_TEXT, build_record
 from wagtaildale.testing.closing import Closing
@@ -59,7 +59,7 @@
             f'x-request-id: r{next(self._ids)}\r\nx-deadline-ms: 1000\r\n'
             f'content-length: 0\r\nconnection: close\r\n\r\n'
         )
-        return talk(self.entries[entry].entry, request.encode())
+        return send_raw_request(self.entries[entry].entry, request.encode())
 
     def restart_owner(self, number: int) -> None:
         """Start an owner's process anew; its server runs on."""
--- a/wagtaildale/calls/tests/listeners.py
+++ b/wagtaildale/calls/tests/listeners.py
@@ -6,7 +6,7 @@
 import threading
 from abc import ABC, abstractmethod
 
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 
 
 class Listener(ABC):
@@ -20,7 +20,7 @@
     def close(self) -> None:
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        self._thread.join(PATIENCE)
+        self._thread.join(TIMEOUT_SECONDS)
 
     @abstractmethod
     def answer(self, sock: socket.socket) -> None:
--- a/wagtaildale/calls/tests/mortal.py
+++ b/wagtaildale/calls/tests/mortal.py
@@ -10,7 +10,7 @@
 
 from wagtaildale.calls.tests.fleets import ScriptedFleet
 from wagtaildale.calls.tests.listeners import Listener
-from wagtaildale.calls.tests.pairs import PATIENCE, wait_until
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS, wait_until
 from wagtaildale.testing.mesh import BACKEND_PORT
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
         self.arrivals.append(path)
         if path in self.deadly:
             self.end()
-        self.released.wait(PATIENCE)
+        self.released.wait(TIMEOUT_SECONDS)
         if self.has_ended:
             return
         named = b''.join(NAMED.findall(head))
@@ -66,7 +66,7 @@
 
     def close(self) -> None:
         if self.has_ended:
-            self._thread.join(PATIENCE)
+            self._thread.join(TIMEOUT_SECONDS)
         else:
             self.released.set()
             super().close()
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -27,7 +27,7 @@
     from collections.abc import Callable
 
 OUTCOME = 'wagtaildale-outcome'
-PATIENCE = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class Pair:
@@ -57,32 +57,32 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[HTTPResponse, bytes]:
-        connection = HTTPConnection(*self.near.entry, timeout=PATIENCE)
+        connection = HTTPConnection(*self.near.entry, timeout=TIMEOUT_SECONDS)
         connection.request(method, path, body, headers or {})
         response = connection.getresponse()
         text = response.read()
         connection.close()
         return response, text
 
-    def tell_owner(self, frame: Frame) -> Frame:
+    def send_to_owner(self, frame: Frame) -> Frame:
         """Send one message to the owner as an entry would."""
         record = self.far.record
         address = (record.host, record.owner_port)
         reader = FrameReader()
         frames: list[Frame] = []
-        with socket.create_connection(address, PATIENCE) as sock:
+        with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
             sock.sendall(PLAIN + encode_frame(frame))
             while not frames:
                 frames = reader.feed(sock.recv(65536))
         return frames[0]
 
-    def talk(self, request: bytes) -> bytes:
-        return talk(self.near.entry, request)
+    def send_raw_request(self, request: bytes) -> bytes:
+        return send_raw_request(self.near.entry, request)
 
 
-def talk(address: tuple[str, int], request: bytes) -> bytes:
+def send_raw_request(address: tuple[str, int], request: bytes) -> bytes:
     """Send a request and give all that comes until the connection ends."""
-    with socket.create_connection(address, PATIENCE) as sock:
+    with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
         sock.sendall(request)
         answer = b''
         while piece := sock.recv(65536):
@@ -127,7 +127,7 @@
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.005)
--- a/wagtaildale/calls/tests/lines.py
+++ b/wagtaildale/calls/tests/pausable_proxies.py
@@ -7,12 +7,12 @@
 import threading
 
 from wagtaildale.calls.tests.listeners import Listener
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 
 LOOK_SECONDS = 0.02
 
 
-class HeldLine(Listener):
+class PausableProxy(Listener):
     """Passes bytes on both ways; what comes while it is held waits."""
 
     def __init__(
@@ -27,19 +27,19 @@
         self._over = False
         super().__init__(address)
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self._moves.clear()
 
-    def release(self) -> None:
+    def resume(self) -> None:
         self._moves.set()
 
     def close(self) -> None:
         self._over = True
-        self.release()
+        self.resume()
         super().close()
 
     def answer(self, sock: socket.socket) -> None:
-        with socket.create_connection(self._beyond, PATIENCE) as beyond:
+        with socket.create_connection(self._beyond, TIMEOUT_SECONDS) as beyond:
             others = {sock: beyond, beyond: sock}
             is_whole = True
             while is_whole and not self._over:
@@ -54,7 +54,7 @@
         )
         for side in ready:
             # What came in while the line is held waits here.
-            self._moves.wait(PATIENCE)
+            self._moves.wait(TIMEOUT_SECONDS)
             piece = side.recv(65536)
             if not piece:
                 return False
--- a/wagtaildale/calls/tests/relays.py
+++ b/wagtaildale/calls/tests/relays.py
@@ -6,7 +6,7 @@
 import threading
 
 from wagtaildale.calls.tests.listeners import Listener
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 
 READ_BYTES = 65_536
 
@@ -15,8 +15,8 @@
     """Passes one connection of an entry on to its owner.
 
     Attributes:
-        held: bytes on the way to the owner that are held up.
-        returned: bytes that the owner has sent back.
+        held_bytes: bytes on the way to the owner that are held up.
+        returned_bytes: bytes that the owner has sent back.
     """
 
     def __init__(
@@ -25,38 +25,38 @@
         *,
         owner: tuple[str, int],
     ) -> None:
-        self.held = 0
-        self.returned = 0
+        self.held_bytes = 0
+        self.returned_bytes = 0
         self._owner = owner
         self._flows = threading.Event()
         self._flows.set()
         super().__init__(address)
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         self._flows.clear()
 
-    def release(self) -> None:
+    def resume(self) -> None:
         self._flows.set()
 
     def answer(self, sock: socket.socket) -> None:
-        with socket.create_connection(self._owner, PATIENCE) as line:
+        with socket.create_connection(self._owner, TIMEOUT_SECONDS) as line:
             line.settimeout(None)
             back = threading.Thread(target=self._pass_back, args=(line, sock))
             back.start()
             self._pass_on(sock, line)
-            back.join(PATIENCE)
+            back.join(TIMEOUT_SECONDS)
 
     def _pass_on(self, sock: socket.socket, line: socket.socket) -> None:
         while chunk := _read(sock):
             if not self._flows.is_set():
-                self.held += len(chunk)
-                self._flows.wait(PATIENCE)
+                self.held_bytes += len(chunk)
+                self._flows.wait(TIMEOUT_SECONDS)
             _write(line, chunk)
         _end(line)
 
     def _pass_back(self, line: socket.socket, sock: socket.socket) -> None:
         while chunk := _read(line):
-            self.returned += len(chunk)
+            self.returned_bytes += len(chunk)
             _write(sock, chunk)
         _end(sock)
 
--- a/wagtaildale/calls/tests/replaced.py
+++ b/wagtaildale/calls/tests/replaced.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.tests.listeners import Listener
-from wagtaildale.calls.tests.pairs import talk
+from wagtaildale.calls.tests.pairs import send_raw_request
 from wagtaildale.platform.dialect import PLATFORM_DIALECT
 from wagtaildale.testing.builders import MESH_TEXT, build_record
 from wagtaildale.testing.closing import Closing
@@ -99,7 +99,7 @@
             f'x-request-id: {request_id}\r\nx-deadline-ms: 1000\r\n'
             f'content-length: 0\r\nconnection: close\r\n\r\n'
         )
-        return talk(self.entry.entry, request.encode())
+        return send_raw_request(self.entry.entry, request.encode())
 
     def count_repeats(self) -> int:
         """Count arrivals at backend servers beyond each request's first."""
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -12,10 +12,14 @@
 import pytest
 
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.callers import LOOK_SECONDS, CallerLimits, CallerPort
+from wagtaildale.calls.callers import (
+    TIMEOUT_CHECK_SECONDS,
+    CallerLimits,
+    CallerPort,
+)
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.calls.tests.hand_moved import HandMoved, is_readable
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 from wagtaildale.reactor.stream import LINGER_SECONDS
 from wagtaildale.timers.service import read_clock
 
@@ -33,7 +37,7 @@
 LONG_BODY: Final = bytes(16_000_000)
 READ_BYTES: Final = 1_000_000
 # The longest alarm of a port: one that it sets again is later than this.
-LONGEST_SECONDS: Final = max(LINGER_SECONDS, LOOK_SECONDS)
+LONGEST_SECONDS: Final = max(LINGER_SECONDS, TIMEOUT_CHECK_SECONDS)
 
 
 class Bench(HandMoved):
@@ -50,7 +54,7 @@
         )
         self.port = CallerPort(
             self.loop,
-            answerer=self,
+            request_handler=self,
             read_limits=lambda: limits,
         )
         self.port.bind(ADDRESS).unwrap()
@@ -60,12 +64,16 @@
         self.port.stop()
         self.loop.close()
 
-    def answer(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         self.answered += 1
-        exchange.begin(ResponseHead(status=200, headers=()), body=self.body)
+        exchange.begin_response(
+            ResponseHead(status=200, headers=()), body=self.body
+        )
 
     def connect(self) -> socket.socket:
-        return socket.create_connection((ADDRESS.host, ADDRESS.port), PATIENCE)
+        return socket.create_connection(
+            (ADDRESS.host, ADDRESS.port), TIMEOUT_SECONDS
+        )
 
     def ask(self, sock: socket.socket, request: bytes) -> None:
         """Send a request and let the port answer it."""
@@ -103,7 +111,7 @@
 
 @pytest.fixture
 def idle_seconds() -> float:
-    return PATIENCE
+    return TIMEOUT_SECONDS
 
 
 @pytest.mark.parametrize('request_bytes', [REQUEST, LAST_REQUEST])
@@ -136,11 +144,11 @@
     bench.body = LONG_BODY
     with bench.connect() as sock:
         bench.ask(sock, LAST_REQUEST)
-        assert bench.port.busy == 1
-        assert bench.port.open == 1
+        assert bench.port.active_calls == 1
+        assert bench.port.open_connections == 1
         bench.read(sock, size=len(LONG_BODY))
-        bench.move_until(lambda: not bench.port.busy)
-    bench.move_until(lambda: not bench.port.open)
+        bench.move_until(lambda: not bench.port.active_calls)
+    bench.move_until(lambda: not bench.port.open_connections)
 
 
 def test_slow_reader_that_hangs_up_is_forgotten(bench: Bench) -> None:
@@ -148,8 +156,8 @@
     bench.body = LONG_BODY
     with bench.connect() as sock:
         bench.ask(sock, LAST_REQUEST)
-    bench.move_until(lambda: not bench.port.open)
-    assert not bench.port.busy
+    bench.move_until(lambda: not bench.port.open_connections)
+    assert not bench.port.active_calls
 
 
 def test_request_that_has_come_is_answered_before_idle_ones_close(
--- a/wagtaildale/calls/tests/test_contained.py
+++ b/wagtaildale/calls/tests/test_contained.py
@@ -115,7 +115,7 @@
 
 
 def is_connected(owner: MeshNode, entries: int = ENTRIES) -> bool:
-    return owner.calls.nodes.open >= entries
+    return owner.calls.peer_port.open_connections >= entries
 
 
 def knows_of_down(entry: MeshNode) -> bool:
--- a/wagtaildale/calls/tests/test_dialect.py
+++ b/wagtaildale/calls/tests/test_dialect.py
@@ -8,7 +8,7 @@
 import pytest
 
 from wagtaildale.calls.tests.listeners import Listener
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 from wagtaildale.platform.dialect import PLATFORM_DIALECT
 from wagtaildale.testing.builders import MESH_TEXT, build_record
 from wagtaildale.testing.mesh import BACKEND_PORT, MeshNode
@@ -77,7 +77,7 @@
         b'%b HTTP/1.1\r\nhost: m\r\nx-request-id: %b\r\n%b'
         b'connection: close\r\n\r\n' % (start, REQUEST_ID, extra)
     )
-    with socket.create_connection(node.entry, PATIENCE) as sock:
+    with socket.create_connection(node.entry, TIMEOUT_SECONDS) as sock:
         sock.sendall(request)
         answer = b''
         while piece := sock.recv(65536):
--- a/wagtaildale/calls/tests/test_entry.py
+++ b/wagtaildale/calls/tests/test_entry.py
@@ -11,7 +11,7 @@
 
 from wagtaildale.calls.tests.pairs import (
     OUTCOME,
-    PATIENCE,
+    TIMEOUT_SECONDS,
     Pair,
     read_code,
     wait_until,
@@ -30,7 +30,7 @@
 
 def test_answer_by_own_backend_server(pair: Pair) -> None:
     pair.far.show(pair.far.record)
-    connection = HTTPConnection(*pair.far.entry, timeout=PATIENCE)
+    connection = HTTPConnection(*pair.far.entry, timeout=TIMEOUT_SECONDS)
     connection.request('GET', '/files/7')
     assert connection.getresponse().status == 200
     connection.close()
@@ -58,7 +58,7 @@
 
 
 def test_pipelined_requests_are_answered_in_order(pair: Pair) -> None:
-    answer = pair.talk(
+    answer = pair.send_raw_request(
         b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
         b'GET /files/2 HTTP/1.1\r\nhost: m\r\nconnection: close\r\n\r\n',
     )
@@ -75,7 +75,7 @@
     ],
 )
 def test_ambiguous_request_is_refused(pair: Pair, head: bytes) -> None:
-    answer = pair.talk(
+    answer = pair.send_raw_request(
         b'POST /bookings HTTP/1.1\r\nhost: m\r\n' + head + b'\r\nabc',
     )
     assert answer.startswith(b'HTTP/1.1 400')
@@ -83,7 +83,7 @@
 
 
 def test_chunked_body_arrives_whole(pair: Pair) -> None:
-    answer = pair.talk(
+    answer = pair.send_raw_request(
         b'POST /bookings HTTP/1.1\r\nhost: m\r\n'
         b'transfer-encoding: chunked\r\nconnection: close\r\n\r\n'
         b'3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n',
@@ -100,7 +100,7 @@
 
 def test_body_over_the_limit(pair: Pair) -> None:
     request = b'POST /bookings HTTP/1.1\r\ncontent-length: 4000001\r\n\r\n'
-    answer = pair.talk(request)
+    answer = pair.send_raw_request(request)
     assert answer.startswith(b'HTTP/1.1 413')
     assert b'connection: close' in answer
 
@@ -113,14 +113,14 @@
     """
     chunk = b'10000\r\n' + bytes(0x10000) + b'\r\n'
     head = b'POST /bookings HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n'
-    answer = pair.talk(head + 70 * chunk)
+    answer = pair.send_raw_request(head + 70 * chunk)
     assert b'413' in answer.split(b'\r\n')[0]
     assert b'wagtaildale-outcome: unknown' in answer
 
 
 def test_head_over_the_limit(pair: Pair) -> None:
     request = b'GET /files/1 HTTP/1.1\r\nx: %b\r\n\r\n' % bytes(b'y' * 9000)
-    answer = pair.talk(request)
+    answer = pair.send_raw_request(request)
     assert answer.startswith(b'HTTP/1.1 413')
 
 
@@ -192,7 +192,7 @@
     both nodes to the backend server, which stops working on it.
     """
     pair.backend.faults.service_ms = 60_000
-    sock = socket.create_connection(pair.near.entry, PATIENCE)
+    sock = socket.create_connection(pair.near.entry, TIMEOUT_SECONDS)
     sock.sendall(b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n')
     wait_until(lambda: pair.backend.counts.runs == 1)
     sock.close()
@@ -224,7 +224,7 @@
 
 
 def test_draining_entry_asks_its_callers_to_close(pair: Pair) -> None:
-    pair.near.calls.callers.drain()
+    pair.near.calls.caller_port.drain()
     response, _text = pair.ask('GET', '/files/1')
     assert response.status == 200
     assert response.headers['connection'] == 'close'
@@ -234,7 +234,7 @@
     pair.backend.faults.service_ms = 30
     pair.backend.faults.slots = 100
     socks = [
-        socket.create_connection(pair.near.entry, PATIENCE)
+        socket.create_connection(pair.near.entry, TIMEOUT_SECONDS)
         for _number in range(12)
     ]
     for sock in socks:
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -154,7 +154,7 @@
     The deadline is looked at last thing before the send.
     """
     verdict = pair.far.hold_slot()
-    answer = pair.tell_owner(build_run(lease=verdict.ticket, remaining_ms=0))
+    answer = pair.send_to_owner(build_run(lease=verdict.ticket, remaining_ms=0))
     assert isinstance(answer, Failed)
     assert answer.answer.code is Code.past_deadline
     assert answer.answer.outcome is Outcome.not_run
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -9,19 +9,19 @@
 from msgspec import Struct, msgpack
 
 from wagtaildale.calls.frames import (
-    LENGTH,
+    LENGTH_PREFIX,
     PLAIN,
     Failed,
     Frame,
     FrameReader,
-    Leaving,
+    DrainNotice,
     Ping,
     Pong,
     encode_frame,
 )
 from wagtaildale.calls.tests.pairs import (
     OUTCOME,
-    PATIENCE,
+    TIMEOUT_SECONDS,
     build_run,
     wait_until,
 )
@@ -33,11 +33,11 @@
 
     from wagtaildale.calls.tests.pairs import Pair
 
-HEARING = Ping(hears_leaving=True)
+HEARING = Ping(accepts_drain_notice=True)
 
 
 class EarlierPing(Struct, frozen=True, array_like=True, tag=10):
-    """A ping as builds know it that do not know ``Leaving``."""
+    """A ping as builds know it that do not know ``DrainNotice``."""
 
 
 class EntryLine:
@@ -46,7 +46,7 @@
     def __init__(self, pair: Pair) -> None:
         record = pair.far.record
         address = (record.host, record.owner_port)
-        self.sock = socket.create_connection(address, PATIENCE)
+        self.sock = socket.create_connection(address, TIMEOUT_SECONDS)
         self.sock.sendall(PLAIN)
         self._reader = FrameReader()
 
@@ -70,7 +70,7 @@
     entry.tell(HEARING)
     assert entry.hear(1) == [Pong()]
     pair.far.calls.drain()
-    assert entry.hear(1) == [Leaving()]
+    assert entry.hear(1) == [DrainNotice()]
     entry.tell(build_run(idempotent=True))
     failed = entry.hear(1)[0]
     entry.sock.close()
@@ -83,7 +83,7 @@
     pair.far.calls.drain()
     entry = EntryLine(pair)
     entry.tell(HEARING)
-    assert entry.hear(2) == [Pong(), Leaving()]
+    assert entry.hear(2) == [Pong(), DrainNotice()]
     entry.sock.close()
 
 
@@ -107,7 +107,7 @@
 
 
 def test_owner_of_an_earlier_build_reads_past_the_new_field() -> None:
-    encoded = encode_frame(HEARING)[LENGTH.size :]
+    encoded = encode_frame(HEARING)[LENGTH_PREFIX.size :]
     decoded = msgpack.decode(encoded, type=EarlierPing)
     assert decoded == EarlierPing()
     earlier = msgpack.encode(EarlierPing())
@@ -125,15 +125,15 @@
     monkeypatch.setattr('wagtaildale.routing.ejection.LEAVING_SECONDS', 1e9)
     calls = pair.near.calls
     pair.ask('GET', '/files/1')
-    assert pair.far.calls.nodes.open == 1
+    assert pair.far.calls.peer_port.open_connections == 1
     pair.far.calls.drain()
-    wait_until(lambda: not pair.far.calls.nodes.open)
-    calls.loop.submit(calls.entry.look).result(PATIENCE)
+    wait_until(lambda: not pair.far.calls.peer_port.open_connections)
+    calls.loop.submit(calls.entry.look).result(TIMEOUT_SECONDS)
     # The owner accepts in order: an earlier connection would show by now.
     entry = EntryLine(pair)
     entry.tell(Ping())
     assert entry.hear(1) == [Pong()]
-    assert pair.far.calls.nodes.open == 1
+    assert pair.far.calls.peer_port.open_connections == 1
     entry.sock.close()
 
 
@@ -157,7 +157,7 @@
         asked = executor.submit(pair.ask, 'GET', '/files/1')
         wait_until(lambda: pair.backend.counts.runs == 1)
         pair.far.calls.drain()
-        response, _text = asked.result(PATIENCE)
+        response, _text = asked.result(TIMEOUT_SECONDS)
     assert response.status == 200
-    wait_until(lambda: not pair.far.calls.nodes.open)
+    wait_until(lambda: not pair.far.calls.peer_port.open_connections)
     assert pair.backend.counts.cancelled == 0
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -9,7 +9,12 @@
 from msgspec import json, structs
 
 from wagtaildale.admission.limits import Ending
-from wagtaildale.calls.tests.pairs import OUTCOME, PATIENCE, Pair, wait_until
+from wagtaildale.calls.tests.pairs import (
+    OUTCOME,
+    TIMEOUT_SECONDS,
+    Pair,
+    wait_until,
+)
 from wagtaildale.testing.builders import SLOTS, build_record
 from wagtaildale.testing.mesh import MeshNode
 from wagtaildale.types import ListedState
@@ -35,7 +40,7 @@
     gate = node.gate
     node.calls.loop.submit(
         lambda: gate.leave(ticket, seconds=0, ending=Ending.abandoned),
-    ).result(PATIENCE)
+    ).result(TIMEOUT_SECONDS)
 
 
 def test_lookup_that_has_run_is_never_called_not_run(
@@ -91,6 +96,6 @@
         far.show(structs.replace(far.record, state=ListedState.leaving))
         for ticket in held:
             give_back(far, ticket)
-        response, _text = asked.result(PATIENCE)
+        response, _text = asked.result(TIMEOUT_SECONDS)
     assert pair.backend.counts.runs == 0
     assert response.headers[OUTCOME].startswith('not-run')
--- a/wagtaildale/calls/tests/test_owner_listener.py
+++ b/wagtaildale/calls/tests/test_owner_listener.py
@@ -8,7 +8,7 @@
 from msgspec import structs
 
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.frames import Load
+from wagtaildale.calls.frames import LoadReport
 from wagtaildale.calls.owner_listener import OwnerListener
 from wagtaildale.routing.leavers import Leaver
 from wagtaildale.routing.statistics import FleetStatistics
@@ -26,7 +26,7 @@
 MINE: Final = InstanceId('mine')
 OTHER: Final = InstanceId('other')
 ADDRESS: Final = Address('127.0.9.1', OWNER_PORT)
-LOAD: Final = Load(MINE, 0, 4, 0, is_up=True)
+LOAD: Final = LoadReport(MINE, 0, 4, 0, is_up=True)
 
 
 class Entry:
@@ -47,7 +47,7 @@
             recorder=self.recorder,
         )
 
-    def hear(self, load: Load) -> None:
+    def hear(self, load: LoadReport) -> None:
         self.listener.note_load(ADDRESS, load)
 
 
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -272,7 +272,7 @@
     incarnation tells them apart.
     """
     verdict = pair.far.hold_slot()
-    answer = pair.tell_owner(build_run(lease=verdict.ticket, incarnation=99))
+    answer = pair.send_to_owner(build_run(lease=verdict.ticket, incarnation=99))
     assert isinstance(answer, Failed)
     assert answer.answer.code is Code.wrong_instance
     assert answer.answer.outcome is Outcome.not_run
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -10,9 +10,14 @@
 from msgspec import json
 
 from standins.hosted import HostedBackend
-from wagtaildale.calls.peers import REFUSED
+from wagtaildale.calls.peers import REFUSED_REASON
 from wagtaildale.calls.tests.owners import BODY, SilentOwner
-from wagtaildale.calls.tests.pairs import PATIENCE, Pair, read_code, wait_until
+from wagtaildale.calls.tests.pairs import (
+    TIMEOUT_SECONDS,
+    Pair,
+    read_code,
+    wait_until,
+)
 from wagtaildale.errors.codes import Code
 from wagtaildale.lifecycle.stop import Stop
 from wagtaildale.testing.builders import MESH_TEXT, build_record
@@ -94,12 +99,12 @@
     stop = Stop(calls=near.calls, inbox=Inbox(), recorder=near.recorder)
     with ThreadPoolExecutor() as executor:
         asked = executor.submit(lone_pair.ask, 'GET', '/files/1')
-        assert owner.has_run.wait(PATIENCE)
+        assert owner.has_run.wait(TIMEOUT_SECONDS)
         stop.begin()
-        stopped = executor.submit(stop.wait, seconds=2 * PATIENCE)
-        response, text = asked.result(PATIENCE)
+        stopped = executor.submit(stop.wait, seconds=2 * TIMEOUT_SECONDS)
+        response, text = asked.result(TIMEOUT_SECONDS)
         assert (response.status, text) == (200, BODY)
-        assert stopped.result(2 * PATIENCE)
+        assert stopped.result(2 * TIMEOUT_SECONDS)
     assert len(owner.runs) == 1
 
 
@@ -128,9 +133,9 @@
     near = lone_pair.near
     with backend, MeshNode(other), ThreadPoolExecutor() as executor:
         asked = executor.submit(lone_pair.ask, 'GET', '/files/1')
-        assert owner.has_run.wait(PATIENCE)
+        assert owner.has_run.wait(TIMEOUT_SECONDS)
         near.show(lone_pair.far.record, other)
-        response, text = asked.result(PATIENCE)
+        response, text = asked.result(TIMEOUT_SECONDS)
         assert response.status == 200
         assert json.decode(text)['by'] == 'c'
 
@@ -149,7 +154,7 @@
             asked = executor.submit(lone_pair.ask, 'GET', '/files/1')
             wait_until(lambda: owner.unanswered_pings >= SILENT_PINGS)
             lone_pair.near.show(lone_pair.far.record, other)
-            response, text = asked.result(PATIENCE)
+            response, text = asked.result(TIMEOUT_SECONDS)
     assert response.status == 200
     assert json.decode(text)['by'] == 'c'
 
@@ -197,7 +202,7 @@
     """
     lone_pair.near.publish(MESH_TEXT)
     with closing(build_owner(lone_pair, silent_pings=FOR_GOOD, begins=True)):
-        answer = lone_pair.talk(LOOKUP)
+        answer = lone_pair.send_raw_request(LOOKUP)
     assert answer.endswith(BODY)
     assert b'content-length: 8' in answer.lower()
 
@@ -224,9 +229,9 @@
     owner = build_owner(lone_pair, silent_pings=FOR_GOOD)
     with ThreadPoolExecutor() as executor:
         asked = executor.submit(lone_pair.ask, 'POST', '/bookings', b'x')
-        assert owner.has_run.wait(PATIENCE)
+        assert owner.has_run.wait(TIMEOUT_SECONDS)
         owner.close()
-        response, text = asked.result(PATIENCE)
+        response, text = asked.result(TIMEOUT_SECONDS)
     assert response.status == 502
     assert read_code(text) is Code.outcome_unknown
-    assert REFUSED.encode() in text
+    assert REFUSED_REASON.encode() in text
--- a/wagtaildale/calls/tests/test_transit.py
+++ b/wagtaildale/calls/tests/test_transit.py
@@ -10,14 +10,14 @@
 
 from wagtaildale.calls.fields import CallFields
 from wagtaildale.calls.frames import Cancel, Reserve, Run
-from wagtaildale.calls.tests.lines import HeldLine
+from wagtaildale.calls.tests.pausable_proxies import PausableProxy
 from wagtaildale.calls.tests.pairs import Pair, build_run
 from wagtaildale.calls.transit import (
-    FURTHEST_SECONDS,
+    MAX_CLOCK_LEAD_SECONDS,
     WINDOW_SECONDS,
-    Transit,
-    shorten,
-    stamp,
+    TransitDelayEstimator,
+    subtract_delay,
+    add_send_time,
 )
 
 if TYPE_CHECKING:
@@ -33,10 +33,10 @@
 
 
 @pytest.fixture
-def line(pair: Pair) -> Iterator[HeldLine]:
+def line(pair: Pair) -> Iterator[PausableProxy]:
     """The line between both nodes of the pair."""
     record = pair.far.record
-    made = HeldLine(
+    made = PausableProxy(
         (record.host, LINE_PORT),
         beyond=(record.host, record.owner_port),
     )
@@ -47,7 +47,7 @@
 
 def test_lookup_that_the_line_held_up_is_run_for_nobody(
     pair: Pair,
-    line: HeldLine,
+    line: PausableProxy,
 ) -> None:
     """A server works on a lookup whose caller was given an error long ago.
 
@@ -59,12 +59,12 @@
     for claim in range(3):
         response, _text = pair.ask('GET', f'/files/{claim}')
         assert response.status == 200
-    line.hold()
+    line.pause()
     late = {'wagtaildale-deadline-ms': '200', 'x-booking': 'late'}
     response, _text = pair.ask('GET', '/files/3', headers=late)
     assert response.status == 504
     time.sleep(MARGIN_SECONDS)
-    line.release()
+    line.resume()
     # It comes after the late one, on the same connection.
     response, _text = pair.ask('GET', '/files/4')
     assert response.status == 200
@@ -72,7 +72,7 @@
 
 
 def test_message_that_is_held_up_is_late() -> None:
-    transit = Transit(opened_at=OPENED_AT)
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
     delay = transit.measure_delay(2000, now=OPENED_AT + 5.5)
     assert delay == pytest.approx(3.5, abs=NEARLY)
@@ -84,13 +84,13 @@
     The line stands still between the opening and the first message. There
     is no message before it to compare it with, but there is the opening.
     """
-    transit = Transit(opened_at=OPENED_AT)
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
     delay = transit.measure_delay(500, now=OPENED_AT + 4)
     assert delay == pytest.approx(3.5, abs=NEARLY)
 
 
 def test_opening_that_was_held_up_is_corrected_by_a_later_message() -> None:
-    transit = Transit(opened_at=OPENED_AT)
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(2400, now=OPENED_AT + 2) == 0
     delay = transit.measure_delay(2500, now=OPENED_AT + 2.5)
     assert delay == pytest.approx(0.4, abs=NEARLY)
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize('sent_ms', [0, -1, int(-1e18), int(1e18)])
 def test_what_is_no_time_of_sending_counts_as_not_told(sent_ms: int) -> None:
-    transit = Transit(opened_at=OPENED_AT)
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(sent_ms, now=OPENED_AT + 1) == 0
     # Nothing is learnt from it either.
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
@@ -109,8 +109,8 @@
 
     What an entry sends then seems to come before it was sent.
     """
-    transit = Transit(opened_at=OPENED_AT)
-    for second in range(1, int(FURTHEST_SECONDS)):
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
+    for second in range(1, int(MAX_CLOCK_LEAD_SECONDS)):
         ahead_ms = 1000 * second + 5000
         assert transit.measure_delay(ahead_ms, now=OPENED_AT + second) == 0
 
@@ -121,7 +121,7 @@
     Its steady clock stood still meanwhile, so that all it sends looks late
     by its sleep.
     """
-    transit = Transit(opened_at=OPENED_AT)
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
     delays = [
         transit.measure_delay(1000 * second, now=OPENED_AT + second + 2)
         for second in range(1, int(2 * WINDOW_SECONDS) + 3)
@@ -136,7 +136,7 @@
     Nothing was sent on a connection for hours, and the clocks of both
     machines have run apart by seconds.
     """
-    transit = Transit(opened_at=OPENED_AT)
+    transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
     night = 36_000
     apart = 3.6
@@ -154,23 +154,23 @@
 def test_delay_is_taken_off_both_times() -> None:
     fields = build_run(remaining_ms=2700).fields
     assert fields.within_ms == 100
-    shortened = shorten(fields, delay=0.06)
+    shortened = subtract_delay(fields, delay=0.06)
     assert (shortened.within_ms, shortened.remaining_ms) == (40, 2640)
-    over = shorten(fields, delay=3.5)
+    over = subtract_delay(fields, delay=3.5)
     assert (over.within_ms, over.remaining_ms) == (0, 0)
-    assert shorten(fields, delay=0) is fields
+    assert subtract_delay(fields, delay=0) is fields
 
 
 def test_only_what_asks_an_owner_to_work_tells_when_it_was_sent() -> None:
     run = build_run()
-    stamped = stamp(run, passed=1.5)
+    stamped = add_send_time(run, elapsed_seconds=1.5)
     assert isinstance(stamped, Run)
     assert stamped.fields.sent_ms == 1500
-    reserve = stamp(Reserve(run.call, run.fields), passed=0)
+    reserve = add_send_time(Reserve(run.call, run.fields), elapsed_seconds=0)
     assert isinstance(reserve, Reserve)
     assert reserve.fields.sent_ms == 1
     cancel = Cancel(run.call)
-    assert stamp(cancel, passed=1.5) is cancel
+    assert add_send_time(cancel, elapsed_seconds=1.5) is cancel
 
 
 def test_entry_of_an_older_build_tells_nothing() -> None:
--- a/wagtaildale/calls/transit.py
+++ b/wagtaildale/calls/transit.py
@@ -45,14 +45,14 @@
 DRIFT: Final = 0.001
 # Nothing comes before it is sent. By a clock that stood still it may look so;
 # what seems to come more than this too early does not tell when it was sent.
-FURTHEST_SECONDS: Final = 60.0
+MAX_CLOCK_LEAD_SECONDS: Final = 60.0
 
 
-class Transit:
+class TransitDelayEstimator:
     """The messages of one connection on their way, as its owner sees it.
 
     Example:
-        >>> transit = Transit(opened_at=100)
+        >>> transit = TransitDelayEstimator(opened_at=100)
         >>> round(transit.measure_delay(1000, now=101), 1)
         0.0
         >>> round(transit.measure_delay(1500, now=105), 1)
@@ -87,13 +87,13 @@
             Seconds, never negative; 0 if it is not told when it was sent.
         """
         sent = sent_ms / MILLISECONDS
-        furthest = now - self._opened_at + FURTHEST_SECONDS
+        furthest = now - self._opened_at + MAX_CLOCK_LEAD_SECONDS
         if not 0 < sent < furthest:
             return 0
         return self._seen.measure_excess(now - sent, now=now)
 
 
-def shorten(fields: CallFields, *, delay: float) -> CallFields:
+def subtract_delay(fields: CallFields, *, delay: float) -> CallFields:
     """Take a delay off the times that a call has left.
 
     Args:
@@ -114,12 +114,12 @@
 
 
 @singledispatch
-def stamp(frame: ToOwner, *, passed: float) -> ToOwner:
+def add_send_time(frame: ToOwner, *, elapsed_seconds: float) -> ToOwner:
     """Write into a message when it is sent, if an owner goes by that.
 
     Args:
         frame: the message.
-        passed: seconds since the entry began to open the connection.
+        elapsed_seconds: seconds since the entry began to open the connection.
 
     Returns:
         The message as it is to be sent.
@@ -127,10 +127,10 @@
     return frame
 
 
-@stamp.register(Reserve)
-@stamp.register(Run)
-def _stamp_call(frame: Reserve | Run, *, passed: float) -> ToOwner:
+@add_send_time.register(Reserve)
+@add_send_time.register(Run)
+def _stamp_call(frame: Reserve | Run, *, elapsed_seconds: float) -> ToOwner:
     # 0 would mean that it is not told.
-    sent_ms = max(1, int(passed * MILLISECONDS))
+    sent_ms = max(1, int(elapsed_seconds * MILLISECONDS))
     fields = structs.replace(frame.fields, sent_ms=sent_ms)
     return structs.replace(frame, fields=fields)
--- a/wagtaildale/calls/trials.py
+++ b/wagtaildale/calls/trials.py
@@ -7,7 +7,7 @@
 
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.server_ends import ServerEnds
-from wagtaildale.calls.turns import Turns
+from wagtaildale.calls.serial_runs import SerialRuns
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.trials import list_places
 from wagtaildale.suspects.answered import AnsweredLately
@@ -80,7 +80,7 @@
         )
         self._view = view
         self._on_trial: Run | None = None
-        self._turns = Turns()
+        self._turns = SerialRuns()
         self._begun: dict[int, Begun] = {}
 
     def may_end(self, run: Run) -> bool:
--- a/wagtaildale/integration.py
+++ b/wagtaildale/integration.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
+from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.settings.model import Settings
 from wagtaildale.source.feed import DocumentFeed, Feed
 from wagtaildale.source.http import HttpPlatform
@@ -68,7 +68,7 @@
 
 
 OWN_INTEGRATION = Integration(
-    dialect=OWN_DIALECT,
+    dialect=DEFAULT_DIALECT,
     make_feeds=make_own_feeds,
     has_parts=True,
 )
--- a/wagtaildale/lifecycle/stop.py
+++ b/wagtaildale/lifecycle/stop.py
@@ -86,7 +86,7 @@
     def begin(self) -> None:
         """Tell callers to go elsewhere."""
         self._recorder.record(EventKind.node_leaving, detail='callers first')
-        self._calls.announce()
+        self._calls.announce_drain()
 
     def wait(self, *, seconds: float) -> bool:
         """Wait until nothing is in flight.
@@ -99,7 +99,7 @@
         """
         is_done = self._work_off(seconds)
         left = 0 if is_done else self.count_in_flight()
-        self._calls.finish_nodes()
+        self._calls.finish_peers()
         if left:
             self._recorder.record(
                 EventKind.node_leaving,
@@ -114,7 +114,7 @@
         Returns:
             Of callers, of other nodes, and at the backend server.
         """
-        return self._calls.busy
+        return self._calls.active_calls
 
     def _work_off(self, seconds: float) -> bool:
         left = max(0, seconds - self._announce_seconds)
@@ -143,12 +143,15 @@
         # The gate admits no more, so that the runs come to an end, however
         # many callers keep coming.
         if is_late or not self._calls.has_runs:
-            self._calls.close_callers_port()
+            self._calls.close_caller_port()
 
     def _is_done(self, elapsed: float) -> bool:
-        if self.count_in_flight() or not self._calls.callers.is_closed:
+        if self.count_in_flight() or not self._calls.caller_port.is_closed:
             return False
-        if self._calls.callers.open and elapsed < self._linger_seconds:
+        if (
+            self._calls.caller_port.open_connections
+            and elapsed < self._linger_seconds
+        ):
             return False
         return self._have_entries_closed()
 
@@ -156,10 +159,10 @@
         now = read_clock()
         if self._quiet_since is None:
             self._quiet_since = now
-            self._calls.close_nodes_port()
-        if self._calls.nodes.is_closed:
+            self._calls.close_peer_port()
+        if self._calls.peer_port.is_closed:
             return True
         if now > self._quiet_since + NODES_SECONDS:
             # They read the end and close; the next look finds none.
-            self._calls.finish_nodes()
+            self._calls.finish_peers()
         return False
--- a/wagtaildale/lifecycle/tests/test_owner_stop.py
+++ b/wagtaildale/lifecycle/tests/test_owner_stop.py
@@ -11,7 +11,7 @@
 
 from standins.hosted import HostedBackend
 from wagtaildale.calls.frames import PLAIN, Ping, Pong, encode_frame
-from wagtaildale.calls.tests.pairs import PATIENCE, Pair, wait_until
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS, Pair, wait_until
 from wagtaildale.calls.tests.relays import Relay
 from wagtaildale.lifecycle.stop import Stop
 from wagtaildale.testing.builders import build_record
@@ -59,7 +59,7 @@
     def end_process(self) -> None:
         """Stop as the daemon does, and end."""
         self.stop.begin()
-        self.stop.wait(seconds=2 * PATIENCE)
+        self.stop.wait(seconds=2 * TIMEOUT_SECONDS)
         self.pair.far.close()
 
 
@@ -75,7 +75,7 @@
     """Let a stop wait for entries longer than any pause of a busy machine."""
     monkeypatch.setattr(
         'wagtaildale.lifecycle.stop.NODES_SECONDS',
-        PATIENCE,
+        TIMEOUT_SECONDS,
         raising=False,
     )
 
@@ -99,16 +99,16 @@
     with backend, MeshNode(other), ThreadPoolExecutor(2) as executor:
         pair.near.show(relayed)
         pair.ask('GET', '/files/1')
-        returned = relay.returned
-        relay.hold()
+        returned = relay.returned_bytes
+        relay.pause()
         asked = executor.submit(pair.ask, 'GET', '/files/2')
-        wait_until(lambda: relay.held > 0)
+        wait_until(lambda: relay.held_bytes > 0)
         pair.near.show(relayed, other)
         ended = executor.submit(leaving.end_process)
-        wait_until(lambda: ended.done() or relay.returned > returned)
-        relay.release()
-        response, text = asked.result(PATIENCE)
-        ended.result(2 * PATIENCE)
+        wait_until(lambda: ended.done() or relay.returned_bytes > returned)
+        relay.resume()
+        response, text = asked.result(TIMEOUT_SECONDS)
+        ended.result(2 * TIMEOUT_SECONDS)
     relay.close()
     assert response.status == 200
     assert json.decode(text)['by'] == 'c'
@@ -122,10 +122,10 @@
 ) -> None:
     """A stop is over, and entries still send on their open connections."""
     leaving.pair.ask('GET', '/files/1')
-    assert leaving.pair.far.calls.nodes.open == 1
+    assert leaving.pair.far.calls.peer_port.open_connections == 1
     leaving.stop.begin()
-    assert leaving.stop.wait(seconds=PATIENCE)
-    assert not leaving.pair.far.calls.nodes.open
+    assert leaving.stop.wait(seconds=TIMEOUT_SECONDS)
+    assert not leaving.pair.far.calls.peer_port.open_connections
 
 
 def test_peer_that_never_closes_does_not_hold_the_stop(
@@ -138,7 +138,7 @@
     """
     record = leaving.pair.far.record
     address = (record.host, record.owner_port)
-    with socket.create_connection(address, PATIENCE) as sock:
+    with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
         sock.sendall(PLAIN + encode_frame(Ping()))
         assert sock.recv(READ_BYTES) == encode_frame(Pong())
         leaving.stop.begin()
@@ -167,13 +167,13 @@
         asked = executor.submit(pair.ask, 'GET', '/chain/1')
         wait_until(lambda: pair.backend.counts.runs == 1)
         leaving.stop.begin()
-        assert leaving.stop.wait(seconds=2 * PATIENCE)
-        response, text = asked.result(PATIENCE)
+        assert leaving.stop.wait(seconds=2 * TIMEOUT_SECONDS)
+        response, text = asked.result(TIMEOUT_SECONDS)
     assert response.status == 200
     assert backend.counts.runs == 1
     assert json.decode(text)['by'] == 'b'
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(pair.far.entry, PATIENCE)
+        socket.create_connection(pair.far.entry, TIMEOUT_SECONDS)
 
 
 def test_port_is_not_held_open_until_the_bound(leaving: LeavingOwner) -> None:
@@ -185,4 +185,4 @@
     leaving.stop.begin()
     assert not leaving.stop.wait(seconds=2)
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(leaving.pair.far.entry, PATIENCE)
+        socket.create_connection(leaving.pair.far.entry, TIMEOUT_SECONDS)
--- a/wagtaildale/lifecycle/tests/test_signals.py
+++ b/wagtaildale/lifecycle/tests/test_signals.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 from wagtaildale.daemon import Signals
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.testing.builders import build_recorder
@@ -47,7 +47,7 @@
 
     def ends(self) -> bool:
         self._thread.start()
-        self._thread.join(PATIENCE)
+        self._thread.join(TIMEOUT_SECONDS)
         return not self._thread.is_alive()
 
     def _wait(self) -> None:
--- a/wagtaildale/lifecycle/tests/test_stop.py
+++ b/wagtaildale/lifecycle/tests/test_stop.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from wagtaildale.calls.tests.pairs import PATIENCE, Pair, wait_until
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS, Pair, wait_until
 from wagtaildale.distribution.messages import Leave
 from wagtaildale.lifecycle.stop import Stop
 from wagtaildale.timers.inbox import Inbox
@@ -58,7 +58,7 @@
     worker.start()
     wait_until(lambda: stopping.pair.backend.counts.runs == 1)
     stopping.stop.begin()
-    assert stopping.stop.wait(seconds=PATIENCE)
+    assert stopping.stop.wait(seconds=TIMEOUT_SECONDS)
     worker.join()
     assert answers == [200]
     assert isinstance(stopping.inbox.take_all()[0], Leave)
@@ -72,13 +72,15 @@
     Its caller had an idle connection and sent just when the port closed.
     While it is open the stop waits, and the next answer says close.
     """
-    connection = HTTPConnection(*stopping.pair.near.entry, timeout=PATIENCE)
+    connection = HTTPConnection(
+        *stopping.pair.near.entry, timeout=TIMEOUT_SECONDS
+    )
     connection.request('GET', '/files/1')
     connection.getresponse().read()
     stopping.stop.begin()
     done: list[bool] = []
     waiter = threading.Thread(
-        target=lambda: done.append(stopping.stop.wait(seconds=PATIENCE)),
+        target=lambda: done.append(stopping.stop.wait(seconds=TIMEOUT_SECONDS)),
     )
     waiter.start()
     connection.request('GET', '/files/2')
@@ -132,7 +134,7 @@
     for caller in callers:
         caller.start()
     stopping.stop.begin()
-    assert stopping.stop.wait(seconds=3 * PATIENCE)
+    assert stopping.stop.wait(seconds=3 * TIMEOUT_SECONDS)
     ended.set()
     for caller in callers:
         caller.join()
@@ -151,7 +153,9 @@
     stopping.pair.backend.faults.service_ms = 100
     request = b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
     answers = b''
-    with socket.create_connection(stopping.pair.near.entry, PATIENCE) as sock:
+    with socket.create_connection(
+        stopping.pair.near.entry, TIMEOUT_SECONDS
+    ) as sock:
         sock.sendall(request)
         wait_until(lambda: stopping.pair.backend.counts.runs == 1)
         # Half-way through the first: from here on each answer finds the
@@ -161,14 +165,14 @@
         stopping.stop.begin()
         waiter = ThreadPoolExecutor(1).submit(
             stopping.stop.wait,
-            seconds=PATIENCE,
+            seconds=TIMEOUT_SECONDS,
         )
         piece = b'begun'
         while piece and not waiter.done():
             sock.sendall(request)
             piece = sock.recv(65536)
             answers += piece
-        assert waiter.result(PATIENCE)
+        assert waiter.result(TIMEOUT_SECONDS)
     assert answers.count(b'HTTP/1.1 200') == answers.count(b'"by"')
     assert stopping.pair.backend.counts.cancelled == 0
 
@@ -187,14 +191,14 @@
     wait_until(lambda: is_refused(near.entry))
     stopper = threading.Thread(target=stopping.stop.begin, daemon=True)
     stopper.start()
-    stopper.join(PATIENCE)
+    stopper.join(TIMEOUT_SECONDS)
     assert not stopper.is_alive()
-    assert stopping.stop.wait(seconds=PATIENCE)
+    assert stopping.stop.wait(seconds=TIMEOUT_SECONDS)
 
 
 def is_refused(address: tuple[str, int]) -> bool:
     try:
-        socket.create_connection(address, PATIENCE).close()
+        socket.create_connection(address, TIMEOUT_SECONDS).close()
     except ConnectionRefusedError:
         return True
     except ConnectionResetError:
--- a/wagtaildale/platform/dialect.py
+++ b/wagtaildale/platform/dialect.py
@@ -18,9 +18,9 @@
     load=b'x-server-load',
     rate_limit=b'server-limit',
     leaving=b'server-leaving',
-    takes_request_id=True,
+    accepts_request_id=True,
     echoes_request_id=True,
     describes_calls=False,
-    counts_tries=True,
-    fractional_retry=True,
+    deadline_spans_retries=True,
+    fractional_retry_after=True,
 )
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -10,9 +10,13 @@
 from wagtaildale.admission.messages import Arrived, TicketId, Verdict
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.callers import CallerLimits
-from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
+from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.owner import Identity
-from wagtaildale.calls.task import CallFigures, CallsTask, CallSurroundings
+from wagtaildale.calls.task import (
+    CallsTaskSettings,
+    CallsTask,
+    CallsTaskDependencies,
+)
 from wagtaildale.configuration.compiled import decode_part
 from wagtaildale.document.model import make_document
 from wagtaildale.invariants import Invariants
@@ -59,7 +63,7 @@
         *,
         slots: int = SLOTS,
         mesh_text: str = MESH_TEXT,
-        dialect: Dialect = OWN_DIALECT,
+        dialect: Dialect = DEFAULT_DIALECT,
         suspects: SharedSuspects | None = None,
     ) -> None:
         """Open the ports.
@@ -80,7 +84,7 @@
         self.invariants = Invariants(self.recorder)
         self.calls = CallsTask(
             _make_figures(record, slots, dialect),
-            around=CallSurroundings(
+            dependencies=CallsTaskDependencies(
                 identity=Identity(
                     instance=record.instance,
                     incarnation=Incarnation(1),
@@ -193,13 +197,13 @@
     record: InstanceRecord,
     slots: int,
     dialect: Dialect,
-) -> CallFigures:
-    return CallFigures(
+) -> CallsTaskSettings:
+    return CallsTaskSettings(
         service=record.service,
         data_centre=record.data_centre,
-        entry=Address(record.host, record.entry_port),
-        owner=Address(record.host, record.owner_port),
-        backend=Address(record.host, BACKEND_PORT),
+        entry_address=Address(record.host, record.entry_port),
+        owner_address=Address(record.host, record.owner_port),
+        backend_address=Address(record.host, BACKEND_PORT),
         slots=slots,
         limits=CallerLimits(
             head_bytes=HEAD_BYTES,
