--- a/wagtaildale/calls/bodies.py
+++ b/wagtaildale/calls/bodies.py
@@ -12,10 +12,10 @@
 
 # A body up to this size is whole before the first attempt and can be sent
 # to another upstream; a larger one is passed on as it comes, once.
-REPLAY_BYTES: Final = 65_536
+MAX_REPLAYABLE_BYTES: Final = 65_536
 # Above this much that has not been passed on the caller has to wait.
-HELD_MOST: Final = 262_144
-PIECE_BYTES: Final = 65_536
+MAX_BUFFERED_BYTES: Final = 262_144
+MAX_PIECE_BYTES: Final = 65_536
 
 
 class RequestBody:
@@ -33,11 +33,11 @@
         """
         self._exchange = exchange
         self._limit = limit
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._size = 0
         self.is_replayable = True
         if exchange.message.length > limit:
-            raise _describe_large(limit)
+            raise _make_too_large_error(limit)
         self.read()
 
     @property
@@ -53,7 +53,7 @@
     @property
     def is_exhausted(self) -> bool:
         """Whether all of a body that is sent once has been given."""
-        return self.is_complete and not self._held
+        return self.is_complete and not self._buffer
 
     @property
     def length(self) -> int:
@@ -69,12 +69,12 @@
         piece = self._exchange.message.take_body()
         self._size += len(piece)
         if self._size > self._limit:
-            raise _describe_large(self._limit)
-        self._held += piece
-        if self._size > REPLAY_BYTES:
+            raise _make_too_large_error(self._limit)
+        self._buffer += piece
+        if self._size > MAX_REPLAYABLE_BYTES:
             self.is_replayable = False
-        if len(self._held) > HELD_MOST:
-            self._exchange.read_more(wanted=False)
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            self._exchange.set_reading(enabled=False)
 
     def peek(self) -> bytes:
         """Look at the body before any of it is passed on.
@@ -83,7 +83,7 @@
             All of a body that can be sent again; of a larger one the first
             piece.
         """
-        return bytes(self._held[:PIECE_BYTES])
+        return bytes(self._buffer[:MAX_PIECE_BYTES])
 
     def take(self) -> bytes:
         """Give what is to be passed on now.
@@ -93,15 +93,15 @@
             piece.
         """
         if self.is_replayable:
-            return bytes(self._held)
-        given = bytes(self._held[:PIECE_BYTES])
-        self._held = self._held[PIECE_BYTES:]
-        if not self.is_complete and len(self._held) < HELD_MOST:
-            self._exchange.read_more(wanted=True)
-        return given
+            return bytes(self._buffer)
+        piece = bytes(self._buffer[:MAX_PIECE_BYTES])
+        self._buffer = self._buffer[MAX_PIECE_BYTES:]
+        if not self.is_complete and len(self._buffer) < MAX_BUFFERED_BYTES:
+            self._exchange.set_reading(enabled=True)
+        return piece
 
 
-def _describe_large(limit: int) -> CallFailed:
+def _make_too_large_error(limit: int) -> CallFailed:
     return CallFailed(
         Code.request_too_large,
         detail=f'body over {limit} bytes',
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -31,7 +31,7 @@
     from wagtaildale.reactor.loop import Loop
 
 # Requests of one connection that are under way at once; more wait unread.
-PIPELINED_MOST: Final = 16
+MAX_PIPELINED_REQUESTS: Final = 16
 # Between two looks at what has been idle or half a head for too long.
 TIMEOUT_CHECK_SECONDS: Final = 1.0
 
@@ -111,7 +111,7 @@
     def start(self) -> None:
         """Accept connections; in the loop's thread."""
         self._acceptor.start()
-        self._look()
+        self._check_timeouts()
 
     def drain(self) -> None:
         """Close each connection after what is under way on it.
@@ -139,7 +139,7 @@
         """Close the port and everything on it, as a process that ends."""
         self._acceptor.close_now()
         for connection in tuple(self._connections):
-            connection.abandon()
+            connection.close_now()
 
     def forget(self, connection: CallerConnection) -> None:
         """Forget a connection that is closed.
@@ -157,11 +157,11 @@
                 CallFailed(Code.overloaded, detail='too many connections'),
             )
 
-    def _look(self) -> None:
+    def _check_timeouts(self) -> None:
         now = read_clock()
         for connection in tuple(self._connections):
-            connection.look(now)
-        self.loop.alarms.set(TIMEOUT_CHECK_SECONDS, self._look)
+            connection.check_timeouts(now)
+        self.loop.alarms.set(TIMEOUT_CHECK_SECONDS, self._check_timeouts)
 
 
 class CallerConnection:
@@ -187,10 +187,10 @@
         self._exchanges: deque[Exchange] = deque()
         self._incoming: Exchange | None = None
         self._failure: CallFailed | None = None
-        self._is_held_back = False
+        self._is_parsing_paused = False
         self._has_answered = False
         self._is_finishing = False
-        self._since = read_clock()
+        self._last_activity_at = read_clock()
 
     @property
     def active_calls(self) -> int:
@@ -220,23 +220,23 @@
             Whether to tell the caller so.
         """
         message = exchange.message
-        wanted = self._port.draining or not message.keep_alive
+        closing = self._port.draining or not message.keep_alive
         return self._exchanges[-1] is exchange and (
-            wanted or not message.is_complete or self._failure is not None
+            closing or not message.is_complete or self._failure is not None
         )
 
-    def read_more(self, *, wanted: bool) -> None:
+    def set_reading(self, *, enabled: bool) -> None:
         """Read on, or leave what comes with the caller for now.
 
         Args:
-            wanted: whether to read.
+            enabled: whether to read.
         """
-        if wanted:
+        if enabled:
             self._stream.resume()
         else:
             self._stream.pause()
 
-    def send_for(self, exchange: Exchange, written: bytes) -> None:
+    def send_in_turn(self, exchange: Exchange, written: bytes) -> None:
         """Send a part of a response, or keep it until its turn.
 
         Args:
@@ -246,20 +246,20 @@
         if self._exchanges and self._exchanges[0] is exchange:
             self._stream.send(written)
         else:
-            exchange.keep(written)
+            exchange.defer(written)
 
     def advance(self) -> None:
         """Go on to the next response once the first is done."""
         while self._exchanges and self._exchanges[0].is_done:
             done = self._exchanges.popleft()
             self._has_answered = True
-            self._since = read_clock()
-            if done.closes or done.is_broken:
-                self._finish(broken=done.is_broken)
+            self._last_activity_at = read_clock()
+            if done.announces_close or done.is_aborted:
+                self._finish(aborted=done.is_aborted)
                 return
             if self._exchanges:
-                self._stream.send(self._exchanges[0].take_kept())
-        self._go_on()
+                self._stream.send(self._exchanges[0].take_deferred())
+        self._continue()
 
     def refuse(self, failure: CallFailed) -> None:
         """Answer with a failure after what is under way, and close.
@@ -273,7 +273,7 @@
         if not self._exchanges:
             self._send_failure(failure)
 
-    def look(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Look whether the connection has been idle for too long.
 
         Args:
@@ -283,24 +283,24 @@
             return
         limits = self._port.read_limits()
         if self._parser.has_more():
-            if now - self._since > limits.head_seconds:
+            if now - self._last_activity_at > limits.head_seconds:
                 self.refuse(CallFailed(Code.head_timed_out))
-        elif now - self._since > limits.idle_seconds:
-            self._finish_unless_asked()
+        elif now - self._last_activity_at > limits.idle_seconds:
+            self._finish_unless_input_pending()
 
     def close_idle(self) -> None:
         """Close if nothing is under way.
 
         One that has just connected is about to send its request.
         """
-        active_calls = self.active_calls or self._failure is not None
-        if self._has_answered and not active_calls:
-            self._finish_unless_asked()
+        is_active = self.active_calls or self._failure is not None
+        if self._has_answered and not is_active:
+            self._finish_unless_input_pending()
 
-    def abandon(self) -> None:
+    def close_now(self) -> None:
         """Close at once."""
         self._stream.close()
-        self._leave()
+        self._detach()
 
     def on_open(self) -> None:
         """Do nothing: it was open from the start."""
@@ -314,14 +314,14 @@
         if self._failure is not None or self._is_finishing:
             return
         if not self._parser.has_more():
-            self._since = read_clock()
+            self._last_activity_at = read_clock()
         try:
             self._parser.feed(chunk)
         except CallFailed as failure:
-            self._take_messages()
+            self._process_messages()
             self.refuse(failure)
             return
-        self._take_messages()
+        self._process_messages()
 
     def on_end(self) -> None:
         """Learn that the caller sends no more: it counts as gone."""
@@ -340,55 +340,58 @@
             error: why.
         """
         self._stream.close()
-        self._leave()
+        self._detach()
 
     def on_drained(self) -> None:
         """Learn that the caller has taken what was written."""
-        self._since = read_clock()
+        self._last_activity_at = read_clock()
         if self._is_finishing:
             self._finish()
         elif self._exchanges and self._exchanges[0].receiver is not None:
             self._exchanges[0].receiver.on_writable()
 
-    def _take_messages(self) -> None:
+    def _process_messages(self) -> None:
         while not self._is_ending():
             message = self._parser.peek()
             if message is None:
                 return
-            if self._incoming is None and self.active_calls >= PIPELINED_MOST:
-                self._is_held_back = True
+            if (
+                self._incoming is None
+                and self.active_calls >= MAX_PIPELINED_REQUESTS
+            ):
+                self._is_parsing_paused = True
                 self._stream.pause()
                 return
-            self._take(message)
+            self._process_message(message)
             if not message.is_complete:
                 return
             self._parser.drop()
             self._incoming = None
 
-    def _go_on(self) -> None:
+    def _continue(self) -> None:
         if self._exchanges:
-            self._take_held_back()
+            self._resume_parsing()
             return
         failure = self._failure
         if failure is None:
-            self._go_on_idle()
+            self._continue_idle()
         else:
             self._send_failure(failure)
 
-    def _go_on_idle(self) -> None:
+    def _continue_idle(self) -> None:
         # While the node stops, requests behind others are not begun.
         if self._port.draining and self._parser.has_more():
             self._finish()
         else:
-            self._take_held_back()
+            self._resume_parsing()
 
-    def _take_held_back(self) -> None:
-        if self._is_held_back:
-            self._is_held_back = False
+    def _resume_parsing(self) -> None:
+        if self._is_parsing_paused:
+            self._is_parsing_paused = False
             self._stream.resume()
-            self._take_messages()
+            self._process_messages()
 
-    def _take(self, message: Message) -> None:
+    def _process_message(self, message: Message) -> None:
         if self._incoming is None:
             exchange = Exchange(message, connection=self)
             self._exchanges.append(exchange)
@@ -407,7 +410,11 @@
         if self._incoming is not None or not self._exchanges:
             return False
         last = self._exchanges[-1]
-        return self._port.draining or last.closes or not last.message.keep_alive
+        return (
+            self._port.draining
+            or last.announces_close
+            or not last.message.keep_alive
+        )
 
     def _send_failure(self, failure: CallFailed) -> None:
         head, body = build_error_response(failure)
@@ -415,15 +422,15 @@
         self._stream.send(writer.begin(head, body=body, more=False))
         self._finish()
 
-    def _finish_unless_asked(self) -> None:
+    def _finish_unless_input_pending(self) -> None:
         # Failure: a request has come and is not read yet when its idle
         # connection is closed, and is lost. It is read and answered first.
         if peek_input(self._stream) is not PendingInput.bytes_came:
             self._finish()
 
-    def _finish(self, *, broken: bool = False) -> None:
+    def _finish(self, *, aborted: bool = False) -> None:
         self._is_finishing = True
-        if broken:
+        if aborted:
             self._stream.close()
         elif self._stream.unsent:
             # Failure: a slow reader's answer is cut a moment after the last
@@ -432,15 +439,15 @@
             return
         else:
             self._stream.finish()
-        self._leave()
+        self._detach()
 
-    def _leave(self) -> None:
+    def _detach(self) -> None:
         self._port.forget(self)
         self._drop_exchanges()
 
     def _drop_exchanges(self) -> None:
-        left = tuple(self._exchanges)
+        pending = tuple(self._exchanges)
         self._exchanges.clear()
-        for exchange in left:
+        for exchange in pending:
             if exchange.receiver is not None:
                 exchange.receiver.on_caller_gone()
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -393,7 +393,7 @@
         self._report.note_failure(failure, obstacle=self._find_obstacle())
         head, body = build_error_response(
             failure,
-            extra=self._describe(),
+            extra_headers=self._describe(),
             dialect=self._entry.parts.dialect,
         )
         self._exchange.begin_response(head, body=body)
--- a/wagtaildale/calls/error_responses.py
+++ b/wagtaildale/calls/error_responses.py
@@ -22,9 +22,9 @@
 
 DEFAULT_STATUS: Final = 503
 # Whole seconds are what the field holds in plain HTTP.
-LEAST_RETRY_SECONDS: Final = 1
-LEAST_FRACTION: Final = 0.01
-STATUSES: Final = MappingProxyType(
+MIN_RETRY_AFTER_SECONDS: Final = 1
+MIN_FRACTIONAL_RETRY_SECONDS: Final = 0.01
+STATUS_BY_CODE: Final = MappingProxyType(
     {
         Code.request_malformed: 400,
         Code.request_too_large: 413,
@@ -43,8 +43,8 @@
 )
 # Statuses that leave open whether the request has run; for one that has
 # not, the status that says so is given in their place.
-UNCERTAIN: Final = frozenset((502, 504))
-RETRY_LATER: Final = frozenset(
+AMBIGUOUS_STATUSES: Final = frozenset((502, 504))
+RETRYABLE_CODES: Final = frozenset(
     (
         Code.no_configuration,
         Code.no_upstream,
@@ -91,26 +91,26 @@
     Returns:
         The status; 503 in place of 502 and 504 where it has not run.
     """
-    status = STATUSES.get(failure.code, DEFAULT_STATUS)
-    if status in UNCERTAIN and failure.outcome is Outcome.not_run:
+    status = STATUS_BY_CODE.get(failure.code, DEFAULT_STATUS)
+    if status in AMBIGUOUS_STATUSES and failure.outcome is Outcome.not_run:
         return DEFAULT_STATUS
     if status == DEFAULT_STATUS and failure.outcome is Outcome.unknown:
         # Callers take 503 for a promise that nothing has run.
-        return STATUSES[Code.outcome_unknown]
+        return STATUS_BY_CODE[Code.outcome_unknown]
     return status
 
 
 def build_error_response(
     failure: CallFailed,
     *,
-    extra: Sequence[Header] = (),
+    extra_headers: Sequence[Header] = (),
     dialect: Dialect = DEFAULT_DIALECT,
 ) -> tuple[ResponseHead, bytes]:
     """Describe the whole answer of a failed call.
 
     Args:
         failure: why it failed.
-        extra: headers that go along.
+        extra_headers: headers that go along.
         dialect: how callers are spoken to.
 
     Returns:
@@ -124,15 +124,15 @@
         outcome=failure.outcome,
         detail=failure.detail,
     )
-    headers = [(b'content-type', b'application/problem+json'), *extra]
-    told = status == DEFAULT_STATUS or failure.retry_after > 0
-    if failure.code in RETRY_LATER and told:
-        headers.append((b'retry-after', _write_retry(failure, dialect)))
+    headers = [(b'content-type', b'application/problem+json'), *extra_headers]
+    may_retry_later = status == DEFAULT_STATUS or failure.retry_after > 0
+    if failure.code in RETRYABLE_CODES and may_retry_later:
+        headers.append((b'retry-after', _format_retry_after(failure, dialect)))
     head = ResponseHead(status=status, headers=headers)
     return head, json.encode(problem)
 
 
-def _write_retry(failure: CallFailed, dialect: Dialect) -> bytes:
+def _format_retry_after(failure: CallFailed, dialect: Dialect) -> bytes:
     if dialect.fractional_retry_after:
-        return b'%.3f' % max(LEAST_FRACTION, failure.retry_after)
-    return b'%d' % max(LEAST_RETRY_SECONDS, ceil(failure.retry_after))
+        return b'%.3f' % max(MIN_FRACTIONAL_RETRY_SECONDS, failure.retry_after)
+    return b'%d' % max(MIN_RETRY_AFTER_SECONDS, ceil(failure.retry_after))
--- a/wagtaildale/calls/exchanges.py
+++ b/wagtaildale/calls/exchanges.py
@@ -48,8 +48,8 @@
         receiver: answers it.
         is_begun: whether any of the response was written.
         is_done: whether all of it was.
-        is_broken: whether the connection must close after what was written.
-        closes: whether the caller was told that the connection ends here.
+        is_aborted: whether the connection must close after what was written.
+        announces_close: whether the caller was told that the connection ends here.
     """
 
     def __init__(
@@ -68,16 +68,16 @@
         self.receiver: ExchangeReceiver | None = None
         self.is_begun = False
         self.is_done = False
-        self.is_broken = False
-        self.closes = False
+        self.is_aborted = False
+        self.announces_close = False
         self._connection = connection
         self._writer: ResponseWriter | None = None
-        self._kept = bytearray()
+        self._deferred = bytearray()
 
     @property
     def is_full(self) -> bool:
         """Whether more is to be written only after ``on_writable``."""
-        return bool(self._kept) or self._connection.is_full
+        return bool(self._deferred) or self._connection.is_full
 
     def begin_response(
         self,
@@ -95,12 +95,12 @@
         """
         self.is_begun = True
         self.is_done = not more
-        self.closes = self._connection.closes_after(self)
+        self.announces_close = self._connection.closes_after(self)
         self._writer = ResponseWriter(
             self.message.method,
-            closing=self.closes,
+            closing=self.announces_close,
         )
-        self._put(self._writer.begin(head, body=body, more=more))
+        self._send(self._writer.begin(head, body=body, more=more))
 
     def write_body(self, piece: bytes, *, more: bool) -> None:
         """Write a piece of the body.
@@ -111,45 +111,45 @@
         """
         self.is_done = not more
         if self._writer is not None:
-            self._put(self._writer.add(piece, more=more))
+            self._send(self._writer.add(piece, more=more))
 
     def abort(self) -> None:
         """Break the response off so that it cannot pass for a whole one."""
         self.is_done = True
-        self.is_broken = True
+        self.is_aborted = True
         self._connection.advance()
 
     def send_continue(self) -> None:
         """Tell a caller that waits for it to send the body."""
-        self._connection.send_for(self, CONTINUE_RESPONSE)
+        self._connection.send_in_turn(self, CONTINUE_RESPONSE)
 
-    def read_more(self, *, wanted: bool) -> None:
+    def set_reading(self, *, enabled: bool) -> None:
         """Read more of the request's body, or leave it with the caller.
 
         Args:
-            wanted: whether to read on.
+            enabled: whether to read on.
         """
-        self._connection.read_more(wanted=wanted)
+        self._connection.set_reading(enabled=enabled)
 
-    def take_kept(self) -> bytes:
+    def take_deferred(self) -> bytes:
         """Take what was written while others were before this one.
 
         Returns:
             The bytes to send.
         """
-        kept = bytes(self._kept)
-        self._kept.clear()
-        return kept
+        deferred = bytes(self._deferred)
+        self._deferred.clear()
+        return deferred
 
-    def keep(self, written: bytes) -> None:
+    def defer(self, written: bytes) -> None:
         """Keep what was written until it is this one's turn.
 
         Args:
             written: bytes of the response.
         """
-        self._kept += written
+        self._deferred += written
 
-    def _put(self, written: bytes) -> None:
-        self._connection.send_for(self, written)
+    def _send(self, written: bytes) -> None:
+        self._connection.send_in_turn(self, written)
         if self.is_done:
             self._connection.advance()
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -18,7 +18,7 @@
     RequestId,
 )
 
-MILLI: Final = 1000
+MILLI_PER_UNIT: Final = 1000
 # Thousandths of a request a second: no limit is named, or it is not known.
 UNLIMITED_RATE: Final = -1
 UNKNOWN_RATE: Final = -2
@@ -159,7 +159,11 @@
     Returns:
         Thousandths of a request a second, or ``UNLIMITED_RATE``.
     """
-    return UNLIMITED_RATE if per_second is None else round(per_second * MILLI)
+    return (
+        UNLIMITED_RATE
+        if per_second is None
+        else round(per_second * MILLI_PER_UNIT)
+    )
 
 
 def decode_rate(rate_milli: int) -> float | None:
@@ -171,4 +175,4 @@
     Returns:
         Requests a second; nothing if no limit is told.
     """
-    return None if rate_milli < 0 else rate_milli / MILLI
+    return None if rate_milli < 0 else rate_milli / MILLI_PER_UNIT
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -25,14 +25,14 @@
 
 LENGTH_PREFIX: Final = struct.Struct('>I')
 # A piece of a body is at most what one read gives; heads are far smaller.
-LARGEST_FRAME: Final = 1_000_000
+MAX_FRAME_BYTES: Final = 1_000_000
 # One read of 64 KB compressed a hundredfold: bodies compress far less.
-LARGEST_READ: Final = 6_553_600
+MAX_DECOMPRESSED_BYTES: Final = 6_553_600
 # A window of 4 KB holds the last dozen heads; larger ones saved 2% more for
 # eight times the memory (trial with heads of the users' requests).
 WINDOW_BITS: Final = -12
-MEMORY_LEVEL: Final = 5
-LEVEL: Final = 6
+COMPRESSION_MEMORY_LEVEL: Final = 5
+COMPRESSION_LEVEL: Final = 6
 # The first byte of a connection says how the rest of it is written.
 PLAIN: Final = b'p'
 COMPRESSED: Final = b'z'
@@ -257,10 +257,10 @@
         self._compressor = None
         if compressed:
             self._compressor = zlib.compressobj(
-                LEVEL,
+                COMPRESSION_LEVEL,
                 zlib.DEFLATED,
                 WINDOW_BITS,
-                MEMORY_LEVEL,
+                COMPRESSION_MEMORY_LEVEL,
             )
 
     def write(self, frame: Frame) -> bytes:
@@ -275,8 +275,8 @@
         encoded = encode_frame(frame)
         if self._compressor is None:
             return encoded
-        begun = self._compressor.compress(encoded)
-        return begun + self._compressor.flush(zlib.Z_SYNC_FLUSH)
+        compressed = self._compressor.compress(encoded)
+        return compressed + self._compressor.flush(zlib.Z_SYNC_FLUSH)
 
 
 class FrameReader:
@@ -307,24 +307,26 @@
         """
         self._buffer += self._decompress(chunk)
         frames: list[Frame] = []
-        at = 0
-        while len(self._buffer) - at >= LENGTH_PREFIX.size:
-            size = LENGTH_PREFIX.unpack_from(self._buffer, at)[0]
-            if size > LARGEST_FRAME:
+        offset = 0
+        while len(self._buffer) - offset >= LENGTH_PREFIX.size:
+            size = LENGTH_PREFIX.unpack_from(self._buffer, offset)[0]
+            if size > MAX_FRAME_BYTES:
                 raise CallFailed(Code.message_malformed, detail='frame size')
-            end = at + LENGTH_PREFIX.size + size
+            end = offset + LENGTH_PREFIX.size + size
             if len(self._buffer) < end:
                 break
             frames.append(decode_frame(self._buffer[end - size : end]))
-            at = end
-        self._buffer = self._buffer[at:]
+            offset = end
+        self._buffer = self._buffer[offset:]
         return frames
 
     def _decompress(self, chunk: bytes) -> bytes:
         if self._decompressor is None:
             return chunk
         try:
-            taken = self._decompressor.decompress(chunk, LARGEST_READ)
+            decompressed = self._decompressor.decompress(
+                chunk, MAX_DECOMPRESSED_BYTES
+            )
         except zlib.error as error:
             raise CallFailed(
                 Code.message_malformed,
@@ -333,7 +335,7 @@
         if self._decompressor.unconsumed_tail:
             # A few bytes that grow without bound are no message of ours.
             raise CallFailed(Code.message_malformed, detail='grows too far')
-        return taken
+        return decompressed
 
 
 def decode_frame(encoded: bytes | bytearray) -> Frame:
--- a/wagtaildale/calls/heads.py
+++ b/wagtaildale/calls/heads.py
@@ -32,7 +32,7 @@
         b'upgrade',
     ),
 )
-REASONS: Final = MappingProxyType(
+REASON_PHRASES: Final = MappingProxyType(
     {status.value: status.phrase for status in HTTPStatus},
 )
 
@@ -46,17 +46,22 @@
     Returns:
         Its headers, less those of the connection and of the system.
     """
-    named = message.find(b'connection')
+    connection_header = message.find(b'connection')
     headers = [
         header
         for header in message.headers
         if header[0] not in HOP_BY_HOP
         and not header[0].startswith(INTERNAL_HEADER_PREFIX)
     ]
-    if named is None or named in {b'keep-alive', b'close'}:
+    if connection_header is None or connection_header in {
+        b'keep-alive',
+        b'close',
+    }:
         return headers
-    listed = {name.strip().lower() for name in named.split(b',')}
-    return [header for header in headers if header[0] not in listed]
+    connection_options = {
+        name.strip().lower() for name in connection_header.split(b',')
+    }
+    return [header for header in headers if header[0] not in connection_options]
 
 
 def write_request_head(
@@ -90,28 +95,28 @@
     Returns:
         Bytes, with the empty line at the end.
     """
-    reason = REASONS.get(status, '')
+    reason = REASON_PHRASES.get(status, '')
     lines = [f'HTTP/1.1 {status} {reason}'.encode()]
     lines.extend(b'%b: %b' % header for header in headers)
     return b'\r\n'.join((*lines, b'', b''))
 
 
 def choose_body_framing(
-    message: Message, *, whole: bytes | None
+    message: Message, *, complete_body: bytes | None
 ) -> Sequence[Header]:
     """Choose the header that says where a body ends.
 
     Args:
         message: as it came.
-        whole: the body if all of it is here.
+        complete_body: the body if all of it is here.
 
     Returns:
         Content-Length, or chunks, or nothing for a request without a body.
     """
-    if whole is not None:
-        if not whole and message.method and message.length <= 0:
-            return _frame_empty(message)
-        return ((b'content-length', b'%d' % len(whole)),)
+    if complete_body is not None:
+        if not complete_body and message.method and message.length <= 0:
+            return _choose_empty_framing(message)
+        return ((b'content-length', b'%d' % len(complete_body)),)
     if message.length != UNKNOWN_LENGTH:
         return ((b'content-length', b'%d' % message.length),)
     return (CHUNKED_ENCODING,)
@@ -129,7 +134,7 @@
     return b'%x\r\n%b\r\n' % (len(piece), piece)
 
 
-def _frame_empty(message: Message) -> Sequence[Header]:
+def _choose_empty_framing(message: Message) -> Sequence[Header]:
     if message.length == UNKNOWN_LENGTH and not message.is_chunked:
         return ()
     return ((b'content-length', b'0'),)
--- a/wagtaildale/calls/parsing.py
+++ b/wagtaildale/calls/parsing.py
@@ -74,9 +74,9 @@
         Returns:
             Its text, or nothing.
         """
-        for known, text in self.headers:
-            if known == name:
-                return text
+        for known_name, header_value in self.headers:
+            if known_name == name:
+                return header_value
         return None
 
     def take_body(self) -> bytes:
@@ -88,9 +88,9 @@
         pieces = self.pieces
         if not pieces:
             return b''
-        taken = pieces[0] if len(pieces) == 1 else b''.join(pieces)
+        body = pieces[0] if len(pieces) == 1 else b''.join(pieces)
         pieces.clear()
-        return taken
+        return body
 
 
 class MessageParser:
@@ -109,7 +109,7 @@
         self._messages: deque[Message] = deque()
         self._of_requests = of_requests
         self._head_bytes = head_bytes
-        self._head_seen = 0
+        self._pending_head_bytes = 0
         self._parser: Any = (
             httptools.HttpRequestParser(self)
             if of_requests
@@ -163,7 +163,7 @@
     def on_message_begin(self) -> None:
         """Begin a message."""
         self._messages.append(Message())
-        self._head_seen = 0
+        self._pending_head_bytes = 0
 
     def on_url(self, target: bytes) -> None:
         """Take a piece of the target.
@@ -175,17 +175,17 @@
         message.target += target
         message.head_bytes += len(target)
 
-    def on_header(self, name: bytes, text: bytes) -> None:
+    def on_header(self, name: bytes, header_value: bytes) -> None:
         """Take a header; those of a trailer are left out.
 
         Args:
             name: as it came.
-            text: as it came.
+            header_value: as it came.
         """
         message = self._messages[-1]
         if not message.has_head:
-            message.headers.append((name.lower(), text))
-            message.head_bytes += len(name) + len(text)
+            message.headers.append((name.lower(), header_value))
+            message.head_bytes += len(name) + len(header_value)
 
     def on_headers_complete(self) -> None:
         """Close the head."""
@@ -221,8 +221,8 @@
         if not latest.has_head:
             # A field of which the end is not here yet is not counted by the
             # callbacks; what was read bounds it.
-            self._head_seen += size
-        if max(self._head_seen, latest.head_bytes) > self._head_bytes:
+            self._pending_head_bytes += size
+        if max(self._pending_head_bytes, latest.head_bytes) > self._head_bytes:
             # Those before it are whole and stay.
             self._messages.pop()
             raise CallFailed(
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -22,10 +22,10 @@
     from wagtaildale.telemetry.events import EventRecorder
 
 MILLISECONDS: Final = 1000
-UNNEEDED: Final = 'no longer needed'
-STOPPING: Final = 'this node stops'
-WANTED_CLOSES: Final = frozenset(
-    (UNNEEDED, STOPPING, SILENT_REASON, OWNER_LEAVES_REASON),
+UNNEEDED_REASON: Final = 'no longer needed'
+STOPPING_REASON: Final = 'this node stops'
+EXPECTED_CLOSE_REASONS: Final = frozenset(
+    (UNNEEDED_REASON, STOPPING_REASON, SILENT_REASON, OWNER_LEAVES_REASON),
 )
 
 
@@ -51,7 +51,7 @@
         self._recorder = recorder
         self._peers: dict[Address, RemotePeer] = {}
         # They begin no new call and end with those under way.
-        self._aside: set[RemotePeer] = set()
+        self._retired: set[RemotePeer] = set()
 
     def find(self, address: Address, *, compressed: bool) -> RemotePeer:
         """Find the connection to an owner, a new one if there is none.
@@ -69,79 +69,79 @@
                 self._loop,
                 address,
                 compressed=compressed,
-                keeper=self,
+                observer=self,
             )
             self._peers[address] = peer
         return peer
 
-    def keep_only(self, wanted: dict[Address, bool]) -> None:
+    def keep_only(self, needed: dict[Address, bool]) -> None:
         """Open what will be needed and close what is idle and is not.
 
         Args:
-            wanted: addresses of the owners that calls may go to, and
+            needed: addresses of the owners that calls may go to, and
                 whether connections to them are compressed.
         """
-        for address, compressed in wanted.items():
+        for address, compressed in needed.items():
             self.find(address, compressed=compressed)
-        for address in self._peers.keys() - wanted.keys():
+        for address in self._peers.keys() - needed.keys():
             if not self._peers[address].active_calls:
-                self._peers[address].close(UNNEEDED)
+                self._peers[address].close(UNNEEDED_REASON)
 
     def close(self) -> None:
         """Close every connection."""
-        for peer in (*self._peers.values(), *self._aside):
-            peer.close(STOPPING)
+        for peer in (*self._peers.values(), *self._retired):
+            peer.close(STOPPING_REASON)
 
     def note_leaving(self, peer: RemotePeer) -> None:
-        """Set a connection aside; see ``PeerKeeper``.
+        """Set a connection aside; see ``PeerObserver``.
 
         Args:
             peer: to an owner that takes no new calls.
         """
         self._listener.note_leaving(peer.address)
-        self._set_aside(peer)
+        self._retire(peer)
 
     def note_silent(self, peer: RemotePeer) -> None:
-        """Set a connection aside; see ``PeerKeeper``.
+        """Set a connection aside; see ``PeerObserver``.
 
         Args:
             peer: on which nothing comes; its calls may wait on it.
         """
-        if peer not in self._aside:
+        if peer not in self._retired:
             _record(
                 self._recorder,
                 EventKind.connection_silent,
                 peer,
                 detail='calls wait',
             )
-            self._set_aside(peer)
+            self._retire(peer)
         # Whether the owner is there is found out on a newer connection.
         newer = self.find(peer.address, compressed=peer.is_compressed)
-        if newer.answered_at > peer.heard_at:
-            peer.note_elsewhere()
+        if newer.last_received_at > peer.silent_since:
+            peer.note_newer_connection_works()
             return
         self._listener.note_silent(peer.address)
-        newer.ask()
+        newer.ping()
 
     def note_refused(self, peer: RemotePeer) -> None:
-        """Give up what is silent; see ``PeerKeeper``.
+        """Give up what is silent; see ``PeerObserver``.
 
         Args:
             peer: a newer connection to an owner whose process is gone.
         """
-        for silent in _list_silent(self._aside, peer.address):
+        for silent in _list_silent(self._retired, peer.address):
             silent.close(REFUSED_REASON)
 
     def note_closed(self, peer: RemotePeer, detail: str) -> None:
-        """Forget a connection; see ``PeerKeeper``.
+        """Forget a connection; see ``PeerObserver``.
 
         Args:
             peer: that is closed.
             detail: why.
         """
-        self._aside.discard(peer)
-        self._leave_out(peer)
-        if peer.active_calls or detail not in WANTED_CLOSES:
+        self._retired.discard(peer)
+        self._remove(peer)
+        if peer.active_calls or detail not in EXPECTED_CLOSE_REASONS:
             _record(
                 self._recorder,
                 EventKind.connection_lost,
@@ -150,7 +150,7 @@
             )
 
     def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
-        """Pass on how full an owner is; see ``PeerKeeper``.
+        """Pass on how full an owner is; see ``PeerObserver``.
 
         Args:
             peer: to that owner.
@@ -158,11 +158,11 @@
         """
         self._listener.note_load(peer.address, load)
 
-    def _set_aside(self, peer: RemotePeer) -> None:
-        self._leave_out(peer)
-        self._aside.add(peer)
+    def _retire(self, peer: RemotePeer) -> None:
+        self._remove(peer)
+        self._retired.add(peer)
 
-    def _leave_out(self, peer: RemotePeer) -> None:
+    def _remove(self, peer: RemotePeer) -> None:
         if self._peers.get(peer.address) is peer:
             self._peers.pop(peer.address)
 
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -43,18 +43,18 @@
 # While calls wait and nothing comes, the other side is asked this often,
 PING_SECONDS: Final = 0.25
 # and the connection is set aside once a ping was unanswered for as long.
-ASIDE_SECONDS: Final = 0.75
+RETIRE_SECONDS: Final = 0.75
 # Calls under way on it go elsewhere after this time: two losses in a row, and
 # still short of what most requests are worth waiting for. By then a newer
 # connection has had the time to show that the owner is there.
-SILENT_SECONDS: Final = 1.0
+FAILOVER_SECONDS: Final = 1.0
 SILENT_REASON: Final = 'silent'
 REPLACED_REASON: Final = 'silent while a newer connection works'
 REFUSED_REASON: Final = 'silent, and a newer connection is refused'
 OWNER_LEAVES_REASON: Final = 'the owner leaves'
 
 # What an owner says of itself, and of no call.
-OwnerNews = LoadReport | DrainNotice
+OwnerNotice = LoadReport | DrainNotice
 
 
 class PeerReceiver(Protocol):
@@ -125,7 +125,7 @@
         self._loop = owner.loop
         self._calls = CallTable(owner, reply=self._deliver)
         self._receivers: dict[CallNumber, PeerReceiver] = {}
-        self._last = 0
+        self._last_number = 0
 
     @property
     def active_calls(self) -> int:
@@ -141,8 +141,8 @@
         Returns:
             The call's number.
         """
-        self._last += 1
-        number = CallNumber(self._last)
+        self._last_number += 1
+        number = CallNumber(self._last_number)
         self._receivers[number] = receiver
         return number
 
@@ -152,7 +152,7 @@
         Args:
             frame: the message.
         """
-        self._calls.take(frame)
+        self._calls.handle_frame(frame)
 
     def close_call(self, number: CallNumber, *, cancelled: bool) -> None:
         """End a call; see ``Peer``.
@@ -163,20 +163,20 @@
         """
         self._receivers.pop(number, None)
         if cancelled:
-            self._calls.take(Cancel(number))
+            self._calls.handle_frame(Cancel(number))
 
     def _deliver(self, frame: ToEntry) -> None:
         # Not from within the entry's own call of ``send``.
-        self._loop.call_soon(lambda: self._hand_over(frame))
+        self._loop.call_soon(lambda: self._dispatch(frame))
 
-    def _hand_over(self, frame: ToEntry) -> None:
+    def _dispatch(self, frame: ToEntry) -> None:
         number = getattr(frame, 'call', None)
         receiver = self._receivers.get(number) if number else None
         if receiver is not None:
             receiver.on_frame(frame)
 
 
-class PeerKeeper(Protocol):
+class PeerObserver(Protocol):
     """Whoever keeps the connections to owners."""
 
     def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
@@ -231,8 +231,8 @@
         is_silent: whether nothing came for so long that it was set aside.
         is_leaving: whether its owner takes no new calls.
         is_closed: whether it is of no more use.
-        heard_at: since when silence counts, seconds on the clock.
-        answered_at: when something last came; 0 before the first.
+        silent_since: since when silence counts, seconds on the clock.
+        last_received_at: when something last came; 0 before the first.
     """
 
     def __init__(
@@ -241,7 +241,7 @@
         address: Address,
         *,
         compressed: bool,
-        keeper: PeerKeeper,
+        observer: PeerObserver,
     ) -> None:
         """Begin to connect.
 
@@ -249,7 +249,7 @@
             loop: carries the connection.
             address: of the owner.
             compressed: whether to compress what goes both ways.
-            keeper: is told what becomes of it.
+            observer: is told what becomes of it.
         """
         self.address = address
         self.is_compressed = compressed
@@ -258,19 +258,19 @@
         self.is_leaving = False
         self.is_closed = False
         self._loop = loop
-        self._keeper = keeper
-        self._given_up_at: float | None = None
+        self._observer = observer
+        self._abandon_at: float | None = None
         self._reader = FrameReader(compressed=compressed)
         self._writer = FrameWriter(compressed=compressed)
         self._receivers: dict[CallNumber, PeerReceiver] = {}
-        self._last = 0
-        self._begun_at = read_clock()
-        self.heard_at = self._begun_at
-        self.answered_at = float(0)
+        self._last_number = 0
+        self._connecting_since = read_clock()
+        self.silent_since = self._connecting_since
+        self.last_received_at = float(0)
         self._stream = open_stream(loop, (address.host, address.port), self)
         self._stream.send(COMPRESSED if compressed else PLAIN)
         self.send(Ping(accepts_drain_notice=True))
-        self._alarm = loop.alarms.set(CONNECT_SECONDS, self._watch)
+        self._alarm = loop.alarms.set(CONNECT_SECONDS, self._check_liveness)
 
     @property
     def active_calls(self) -> int:
@@ -280,7 +280,7 @@
     @property
     def silent_seconds(self) -> float:
         """Time since anything was heard of the owner, or it was asked."""
-        return read_clock() - self.heard_at
+        return read_clock() - self.silent_since
 
     @property
     def unsent(self) -> int:
@@ -298,12 +298,14 @@
         """
         if not self._receivers:
             # Silence counts from when somebody began to wait.
-            self.heard_at = read_clock()
-        self._last += 1
-        number = CallNumber(self._last)
+            self.silent_since = read_clock()
+        self._last_number += 1
+        number = CallNumber(self._last_number)
         self._receivers[number] = receiver
         if self.is_open and not self._alarm.is_set:
-            self._alarm = self._loop.alarms.set(PING_SECONDS, self._watch)
+            self._alarm = self._loop.alarms.set(
+                PING_SECONDS, self._check_liveness
+            )
         return number
 
     def send(self, frame: ToOwner) -> None:
@@ -312,10 +314,10 @@
         Args:
             frame: the message.
         """
-        stamped = add_send_time(
-            frame, elapsed_seconds=read_clock() - self._begun_at
+        timed_frame = add_send_time(
+            frame, elapsed_seconds=read_clock() - self._connecting_since
         )
-        self._stream.send(self._writer.write(stamped))
+        self._stream.send(self._writer.write(timed_frame))
 
     def close_call(self, number: CallNumber, *, cancelled: bool) -> None:
         """End a call; see ``Peer``.
@@ -324,17 +326,17 @@
             number: the call.
             cancelled: whether the owner is to stop what it does for it.
         """
-        known = self._receivers.pop(number, None)
-        if known is not None and cancelled and not self.is_closed:
+        receiver = self._receivers.pop(number, None)
+        if receiver is not None and cancelled and not self.is_closed:
             self.send(Cancel(number))
-        self._close_if_over()
+        self._close_if_unused()
 
-    def ask(self) -> None:
+    def ping(self) -> None:
         """Ask whether the owner is there."""
         if self.is_open:
             self.send(Ping())
 
-    def note_elsewhere(self) -> None:
+    def note_newer_connection_works(self) -> None:
         """Learn that the owner answers on a newer connection; told again.
 
         Failure guarded here: a connection goes silent for good while new
@@ -343,9 +345,9 @@
         that much is given to a line that was only held up.
         """
         now = read_clock()
-        if self._given_up_at is None:
-            self._given_up_at = now + self.silent_seconds
-        elif now >= self._given_up_at:
+        if self._abandon_at is None:
+            self._abandon_at = now + self.silent_seconds
+        elif now >= self._abandon_at:
             self.close(REPLACED_REASON)
 
     def close(self, detail: str) -> None:
@@ -359,7 +361,7 @@
         self.is_closed = True
         self._alarm.cancel()
         self._stream.close()
-        self._keeper.note_closed(self, detail)
+        self._observer.note_closed(self, detail)
         receivers = tuple(self._receivers.values())
         self._receivers.clear()
         for receiver in receivers:
@@ -368,7 +370,7 @@
     def on_open(self) -> None:
         """Learn that the connection stands."""
         self.is_open = True
-        self.heard_at = read_clock()
+        self.silent_since = read_clock()
 
     def on_bytes(self, chunk: bytes) -> None:
         """Take frames.
@@ -376,16 +378,16 @@
         Args:
             chunk: as read.
         """
-        self.heard_at = read_clock()
-        self.answered_at = self.heard_at
-        self._given_up_at = None
+        self.silent_since = read_clock()
+        self.last_received_at = self.silent_since
+        self._abandon_at = None
         try:
             frames = self._reader.feed(chunk)
         except CallFailed as failure:
             self.close(failure.detail)
             return
         for frame in frames:
-            self._take(frame)
+            self._handle_frame(frame)
 
     def on_end(self) -> None:
         """Learn that the owner has closed."""
@@ -398,36 +400,36 @@
             error: why.
         """
         if error.errno == errno.ECONNREFUSED:
-            self._keeper.note_refused(self)
+            self._observer.note_refused(self)
         self.close(str(error))
 
     def on_drained(self) -> None:
         """Do nothing: windows bound what is sent."""
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         if isinstance(frame, Ping):
             self.send(Pong())
-        elif isinstance(frame, OwnerNews):
-            self._take_news(frame)
+        elif isinstance(frame, OwnerNotice):
+            self._handle_notice(frame)
         elif not isinstance(frame, Pong):
             receiver = self._receivers.get(frame.call)
             if receiver is not None:
                 receiver.on_frame(frame)  # type: ignore[arg-type]
 
-    def _take_news(self, news: OwnerNews) -> None:
-        if isinstance(news, LoadReport):
-            self._keeper.note_load(self, news)
+    def _handle_notice(self, notice: OwnerNotice) -> None:
+        if isinstance(notice, LoadReport):
+            self._observer.note_load(self, notice)
         else:
-            self._leave()
+            self._note_drain()
 
-    def _leave(self) -> None:
+    def _note_drain(self) -> None:
         if self.is_leaving:
             return
         self.is_leaving = True
-        self._keeper.note_leaving(self)
-        self._close_if_over()
+        self._observer.note_leaving(self)
+        self._close_if_unused()
 
-    def _close_if_over(self) -> None:
+    def _close_if_unused(self) -> None:
         # Failure: a leaving owner closes while a run message is on the wire.
         # With no call under way nothing is, and this side closes first.
         if self._receivers:
@@ -437,40 +439,40 @@
         elif self.is_silent:
             self.close(SILENT_REASON)
 
-    def _watch(self) -> None:
+    def _check_liveness(self) -> None:
         if not self.is_open:
             self.close('connecting took too long')
             return
         if not self._receivers:
             return
-        self._leave_out_own_pause()
+        self._exclude_own_pause()
         silent = self.silent_seconds
-        if silent > ASIDE_SECONDS:
-            self._note_silence(silent)
+        if silent > RETIRE_SECONDS:
+            self._handle_silence(silent)
         if self.is_closed:
             return
         if silent > PING_SECONDS:
             self.send(Ping())
-        self._alarm = self._loop.alarms.set(PING_SECONDS, self._watch)
+        self._alarm = self._loop.alarms.set(PING_SECONDS, self._check_liveness)
 
-    def _leave_out_own_pause(self) -> None:
+    def _exclude_own_pause(self) -> None:
         # Failure: this process itself stood still, and takes every owner for
         # silent before it has read what they sent meanwhile.
         now = read_clock()
         late = now - self._alarm.at
         if late > PING_SECONDS:
-            self.heard_at = min(now, self.heard_at + late)
+            self.silent_since = min(now, self.silent_since + late)
 
-    def _note_silence(self, seconds: float) -> None:
+    def _handle_silence(self, seconds: float) -> None:
         # Failure: a line stands still for some seconds, and every call on it
         # is told 502 while its server works on it. Silence is no word of the
         # owner; a call leaves it for another or waits, as the call decides.
         self.is_silent = True
-        self._keeper.note_silent(self)
-        if seconds > SILENT_SECONDS:
+        self._observer.note_silent(self)
+        if seconds > FAILOVER_SECONDS:
             for receiver in tuple(self._receivers.values()):
                 receiver.on_peer_silent(self._make_failure(SILENT_REASON))
-        self._close_if_over()
+        self._close_if_unused()
 
     def _make_failure(self, detail: str) -> CallFailed:
         # What was handed to a connection that never opened has not left
--- a/wagtaildale/calls/pending_input.py
+++ b/wagtaildale/calls/pending_input.py
@@ -35,9 +35,9 @@
     if stream.is_closed:
         return PendingInput.ended
     try:
-        came = stream.sock.recv(1, socket.MSG_PEEK)
+        peeked = stream.sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return PendingInput.nothing
     except OSError:
         return PendingInput.ended
-    return PendingInput.bytes_came if came else PendingInput.ended
+    return PendingInput.bytes_came if peeked else PendingInput.ended
--- a/wagtaildale/calls/readiness.py
+++ b/wagtaildale/calls/readiness.py
@@ -12,10 +12,10 @@
 
     from wagtaildale.calls.exchanges import Exchange
 
-READY_TARGET: Final = b'/ready'
+READY_PATH: Final = b'/ready'
 READY_STATUS: Final = 200
 UNREADY_STATUS: Final = 503
-UNKNOWN_STATUS: Final = 404
+NOT_FOUND_STATUS: Final = 404
 
 
 class ReadinessHandler:
@@ -41,8 +41,8 @@
         """
         state = self._read_state()
         status = UNREADY_STATUS
-        if exchange.message.target.partition(b'?')[0] != READY_TARGET:
-            status = UNKNOWN_STATUS
+        if exchange.message.target.partition(b'?')[0] != READY_PATH:
+            status = NOT_FOUND_STATUS
         elif state is NodeState.ready:
             status = READY_STATUS
         headers = ((b'content-type', b'text/plain'),)
--- a/wagtaildale/calls/responses.py
+++ b/wagtaildale/calls/responses.py
@@ -53,8 +53,8 @@
             closing: whether the connection closes after it.
         """
         self._has_body = method != b'HEAD'
-        self._closing = closing
-        self._chunked = False
+        self._closes_connection = closing
+        self._is_chunked = False
 
     def begin(self, head: ResponseHead, *, body: bytes, more: bool) -> bytes:
         """Write the head and the beginning of the body.
@@ -69,8 +69,8 @@
         """
         if head.status in BODILESS_STATUSES:
             self._has_body = False
-        headers = [*head.headers, *self._frame(head, body, more)]
-        if self._closing:
+        headers = [*head.headers, *self._choose_framing(head, body, more)]
+        if self._closes_connection:
             headers.append(CONNECTION_CLOSE)
         written = write_response_head(head.status, headers=headers)
         return written + self.add(body, more=more) if body else written
@@ -87,12 +87,12 @@
         """
         if not self._has_body:
             return b''
-        if not self._chunked:
+        if not self._is_chunked:
             return piece
-        framed = write_chunk(piece) if piece else b''
-        return framed if more else framed + LAST_CHUNK
+        chunk = write_chunk(piece) if piece else b''
+        return chunk if more else chunk + LAST_CHUNK
 
-    def _frame(
+    def _choose_framing(
         self,
         head: ResponseHead,
         body: bytes,
@@ -105,6 +105,6 @@
         if not more:
             return ((b'content-length', b'%d' % len(body)),)
         if head.length == UNKNOWN_LENGTH:
-            self._chunked = True
+            self._is_chunked = True
             return (CHUNKED_ENCODING,)
         return ((b'content-length', b'%d' % head.length),)
--- a/wagtaildale/calls/serial_runs.py
+++ b/wagtaildale/calls/serial_runs.py
@@ -14,9 +14,9 @@
     from wagtaildale.calls.frames import Run
     from wagtaildale.suspects.fingerprints import Subject
 
-Ask = Callable[[], None]
+RetryCallback = Callable[[], None]
 # Runs that wait for one before them; more are refused.
-WAITING_MOST: Final = 16
+MAX_WAITING_RUNS: Final = 16
 
 
 class SerialRuns:
@@ -25,14 +25,14 @@
     def __init__(self) -> None:
         """Begin with none."""
         self._running: dict[Subject, Run] = {}
-        self._waiting: dict[Subject, deque[Ask]] = {}
+        self._waiting: dict[Subject, deque[RetryCallback]] = {}
 
-    def take(
+    def acquire(
         self,
         subject: Subject,
         run: Run,
         *,
-        on_turn: Ask,
+        on_turn: RetryCallback,
     ) -> bool:
         """Take a turn, or wait for it.
 
@@ -59,7 +59,7 @@
         Returns:
             Whether there are enough.
         """
-        return len(self._waiting.get(subject, ())) >= WAITING_MOST
+        return len(self._waiting.get(subject, ())) >= MAX_WAITING_RUNS
 
     def release(self, run: Run) -> None:
         """End a turn; those that wait ask again, until one has it.
@@ -67,12 +67,12 @@
         Args:
             run: that is over, whether it had a turn or not.
         """
-        mine = [each for each, having in self._running.items() if having is run]
-        for subject in mine:
+        held = [each for each, having in self._running.items() if having is run]
+        for subject in held:
             self._running.pop(subject)
-            self._pass_on(subject)
+            self._retry_waiting(subject)
 
-    def _pass_on(self, subject: Subject) -> None:
+    def _retry_waiting(self, subject: Subject) -> None:
         waiting = self._waiting.get(subject)
         while waiting and subject not in self._running:
             waiting.popleft()()
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -44,7 +44,7 @@
 
 # Calls of one entry that an owner holds at once; the queue in front of its
 # backend server is far shorter.
-CALLS_MOST: Final = 4096
+MAX_CALLS_PER_ENTRY: Final = 4096
 
 
 class PeerPort:
@@ -67,7 +67,7 @@
         self.recorder = recorder
         self._sessions: set[PeerSession] = set()
         self.acceptor = Acceptor(owner.loop, on_accept=self._accept)
-        owner.teller.listeners.append(self._tell_load)
+        owner.teller.listeners.append(self._send_load)
 
     @property
     def open_connections(self) -> int:
@@ -99,10 +99,10 @@
         """Accept connections; in the loop's thread."""
         self.acceptor.start()
 
-    def announce_leaving(self) -> None:
+    def announce_drain(self) -> None:
         """Tell every entry that this owner takes no new calls."""
         for session in tuple(self._sessions):
-            session.calls.announce_leaving()
+            session.calls.announce_drain()
 
     def finish(self) -> None:
         """Close what entries have left open, without a reset."""
@@ -123,9 +123,9 @@
         """
         self._sessions.discard(session)
 
-    def _tell_load(self, load: LoadReport) -> None:
+    def _send_load(self, load: LoadReport) -> None:
         for session in tuple(self._sessions):
-            session.tell_load(load)
+            session.send_load(load)
 
     def _accept(self, sock: socket.socket) -> None:
         self._sessions.add(PeerSession(self, sock))
@@ -152,9 +152,9 @@
         """
         self.owner = owner
         self.reply = reply
-        self._hears_leaving = False
+        self._accepts_drain_notice = False
         self._calls: dict[CallNumber, OwnedCall] = {}
-        self._transit = TransitDelayEstimator(opened_at=read_clock())
+        self._transit_delay = TransitDelayEstimator(opened_at=read_clock())
 
     @property
     def active_calls(self) -> int:
@@ -174,18 +174,18 @@
         for call in tuple(self._calls.values()):
             call.cancel()
 
-    def note_hears_leaving(self) -> None:
+    def enable_drain_notice(self) -> None:
         """Learn that the entry knows ``DrainNotice``; it may be due already.
 
         So may be what other entries were told unasked before this one came.
         """
-        self._hears_leaving = True
-        self.announce_leaving()
+        self._accepts_drain_notice = True
+        self.announce_drain()
         load = self.owner.teller.describe_need()
         if load is not None:
             self.reply(load)
 
-    def announce_leaving(self) -> None:
+    def announce_drain(self) -> None:
         """Tell the entry that the owner takes no new calls, if it does not.
 
         Failure guarded here: a run message is on the wire when the owner of
@@ -193,10 +193,10 @@
         entry cannot know that nothing ran. Told of the stop the entry sends
         nothing more, and closes from its side when its calls are over.
         """
-        if self._hears_leaving and self.owner.gate.state.draining:
+        if self._accepts_drain_notice and self.owner.gate.state.draining:
             self.reply(DrainNotice())
 
-    def take(self, frame: object) -> None:
+    def handle_frame(self, frame: object) -> None:
         """Take a message of the entry.
 
         Args:
@@ -205,7 +205,7 @@
         Raises:
             TypeError: for a message that no owner takes.
         """
-        take_frame(frame, self)
+        dispatch_frame(frame, self)
 
     def measure_delay(self, fields: CallFields) -> float:
         """Measure how long the message that has just come was held up.
@@ -216,7 +216,9 @@
         Returns:
             Seconds; 0 if the entry does not tell when it was sent.
         """
-        return self._transit.measure_delay(fields.sent_ms, now=read_clock())
+        return self._transit_delay.measure_delay(
+            fields.sent_ms, now=read_clock()
+        )
 
     def find(self, number: CallNumber) -> OwnedCall | None:
         """Find a call.
@@ -229,7 +231,7 @@
         """
         return self._calls.get(number)
 
-    def find_or_begin(self, number: CallNumber) -> OwnedCall | None:
+    def find_or_create(self, number: CallNumber) -> OwnedCall | None:
         """Find a call, a new one if there is none with the number.
 
         Args:
@@ -239,14 +241,14 @@
             The call, or nothing if the entry has too many.
         """
         call = self._calls.get(number)
-        if call is None and len(self._calls) < CALLS_MOST:
+        if call is None and len(self._calls) < MAX_CALLS_PER_ENTRY:
             call = OwnedCall(self.owner, number, channel=self)
             self._calls[number] = call
         return call
 
 
 @singledispatch
-def take_frame(frame: object, calls: CallTable) -> None:
+def dispatch_frame(frame: object, calls: CallTable) -> None:
     """Give an owner a message of an entry.
 
     Args:
@@ -259,52 +261,52 @@
     raise TypeError(f'got {frame!r}, expected a message to an owner')
 
 
-@take_frame.register
-def _take_reserve(frame: Reserve, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_reserve(frame: Reserve, calls: CallTable) -> None:
     delay = calls.measure_delay(frame.fields)
-    call = calls.find_or_begin(frame.call)
+    call = calls.find_or_create(frame.call)
     if call is not None:
         call.take_reserve(frame, delay=delay)
 
 
-@take_frame.register
-def _take_run(frame: Run, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_run(frame: Run, calls: CallTable) -> None:
     delay = calls.measure_delay(frame.fields)
-    call = calls.find_or_begin(frame.call)
+    call = calls.find_or_create(frame.call)
     if call is not None:
         call.take_run(frame, delay=delay)
 
 
-@take_frame.register
-def _take_piece(frame: BodyPiece, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_body_piece(frame: BodyPiece, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.take_piece(frame)
 
 
-@take_frame.register
-def _take_taken(frame: WindowUpdate, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_window_update(frame: WindowUpdate, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.take_taken(frame)
 
 
-@take_frame.register
-def _take_cancel(frame: Cancel, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_cancel(frame: Cancel, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.cancel()
 
 
-@take_frame.register
-def _take_ping(frame: Ping, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_ping(frame: Ping, calls: CallTable) -> None:
     calls.reply(Pong())
     if frame.accepts_drain_notice:
-        calls.note_hears_leaving()
+        calls.enable_drain_notice()
 
 
-@take_frame.register
-def _take_pong(frame: Pong, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_pong(frame: Pong, calls: CallTable) -> None:
     """Do nothing: that it came is all it says."""
 
 
@@ -337,7 +339,7 @@
         """
         return self.calls.active_calls or int(self._stream.unsent > 0)
 
-    def tell_load(self, load: LoadReport) -> None:
+    def send_load(self, load: LoadReport) -> None:
         """Tell the entry how full and how fast the owner is.
 
         Failure guarded here: until the entry's first byte has come nobody
@@ -371,7 +373,7 @@
             chunk: as read.
         """
         try:
-            self._take(chunk)
+            self._handle_bytes(chunk)
         except (CallFailed, TypeError) as error:
             # Failure: something that is no node of ours connects, or one of
             # another build; nothing it sends is guessed at.
@@ -396,20 +398,20 @@
     def on_drained(self) -> None:
         """Do nothing: windows bound what is sent."""
 
-    def _take(self, chunk: bytes) -> None:
+    def _handle_bytes(self, chunk: bytes) -> None:
         if self._reader is None:
-            compressed = _read_mark(chunk[:1])
+            compressed = _read_compression_mark(chunk[:1])
             self._reader = FrameReader(compressed=compressed)
             self._writer = FrameWriter(compressed=compressed)
             chunk = chunk[1:]
         for frame in self._reader.feed(chunk):
-            self.calls.take(frame)
+            self.calls.handle_frame(frame)
 
     def _send(self, frame: ToEntry) -> None:
         self._stream.send(self._writer.write(frame))
 
 
-def _read_mark(mark: bytes) -> bool:
+def _read_compression_mark(mark: bytes) -> bool:
     if mark not in {PLAIN, COMPRESSED}:
         raise CallFailed(Code.message_malformed, detail='first byte')
     return mark == COMPRESSED
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -50,10 +50,10 @@
 
 MILLISECONDS: Final = 1000
 # How soon what the list tells of the backend server here is taken up.
-LOOK_SECONDS: Final = 0.5
+SLOTS_CHECK_SECONDS: Final = 0.5
 # How long another thread waits until the loop has done what it asks; far
 # longer than a step of the loop.
-ASK_SECONDS: Final = 0.5
+SUBMIT_WAIT_SECONDS: Final = 0.5
 READY_HEAD_BYTES: Final = 8192
 READY_CONNECTIONS: Final = 64
 READY_LIMITS: Final = CallerLimits(
@@ -165,8 +165,10 @@
                 recorder=dependencies.recorder,
             ),
         )
-        self.owner.server.denial_listeners.append(self._make_question().ask)
-        dependencies.suspects.listeners.append(self._review_runs)
+        self.owner.server.denial_listeners.append(
+            self._make_identity_question().ask
+        )
+        dependencies.suspects.listeners.append(self._review_suspected_runs)
         self.local = LocalPeer(self.owner)
         self.entry = Entry(self._make_parts())
         self.caller_port = CallerPort(
@@ -180,7 +182,7 @@
                 self.entry.parts.listener.note_load, settings.owner_address
             ),
         )
-        self._ready = CallerPort(
+        self._readiness_port = CallerPort(
             self.loop,
             request_handler=ReadinessHandler(self._read_state),
             read_limits=lambda: READY_LIMITS,
@@ -214,7 +216,7 @@
         if settings.ready_address is None:
             return bound
         ready = settings.ready_address
-        return bound.and_then(lambda _none: self._ready.bind(ready))
+        return bound.and_then(lambda _none: self._readiness_port.bind(ready))
 
     def run(self) -> None:
         """Carry calls until stopped, then close everything."""
@@ -222,7 +224,7 @@
         self.loop.run()
         self.caller_port.stop()
         self.peer_port.stop()
-        self._ready.stop()
+        self._readiness_port.stop()
         self.entry.parts.peers.close()
         self.owner.pool.close()
         self.loop.close()
@@ -233,27 +235,27 @@
 
     def announce_drain(self) -> None:
         """Tell callers to go elsewhere; may be called from another thread."""
-        self._ask(self.caller_port.drain)
+        self._run_in_loop(self.caller_port.drain)
 
     def drain(self) -> None:
         """Take no new work; may be called from another thread."""
-        self._ask(self._drain)
+        self._run_in_loop(self._drain)
 
     def close_caller_port(self) -> None:
         """Let no caller connect any more; may be called from another thread."""
-        self._ask(self.caller_port.close_port)
+        self._run_in_loop(self.caller_port.close_port)
 
     def close_peer_port(self) -> None:
         """Let no node connect any more; may be called from another thread."""
-        self._ask(self.peer_port.acceptor.close)
+        self._run_in_loop(self.peer_port.acceptor.close)
 
     def finish_peers(self) -> None:
         """Close what nodes left open; may be called from another thread."""
-        self._ask(self.peer_port.finish)
+        self._run_in_loop(self.peer_port.finish)
 
     def close_idle(self) -> None:
         """Close idle callers; may be called from another thread."""
-        self._ask(self.caller_port.close_idle)
+        self._run_in_loop(self.caller_port.close_idle)
 
     def read_limits(self) -> CallerLimits:
         """Give what callers may send now.
@@ -261,35 +263,35 @@
         Returns:
             The configuration's limits, or the settings'.
         """
-        usual = self._settings.limits
+        defaults = self._settings.limits
         published = self._dependencies.view.current.limits
         if published is None:
-            return usual
+            return defaults
         return CallerLimits(
             head_bytes=published.head_bytes,
-            body_bytes=min(published.body_bytes, usual.body_bytes),
+            body_bytes=min(published.body_bytes, defaults.body_bytes),
             head_seconds=published.head_ms / MILLISECONDS,
             idle_seconds=published.idle_ms / MILLISECONDS,
-            connections=usual.connections,
+            connections=defaults.connections,
         )
 
-    def _ask(self, work: Callable[[], None]) -> None:
+    def _run_in_loop(self, work: Callable[[], None]) -> None:
         # Failure: this task has ended by a defect, and whoever stops the
         # node waits for its answer for ever; the process never ends, and no
         # other is started. What is asked of a loop that is only slow is done
         # later.
-        asked = self.loop.submit(work)
-        wait((asked,), timeout=ASK_SECONDS)
-        if asked.done():
-            asked.result()
+        submitted = self.loop.submit(work)
+        wait((submitted,), timeout=SUBMIT_WAIT_SECONDS)
+        if submitted.done():
+            submitted.result()
 
-    def _review_runs(self) -> None:
+    def _review_suspected_runs(self) -> None:
         self.loop.submit(self.owner.trials.review).add_done_callback(
-            self._note_outcome,
+            self._note_submitted_error,
         )
 
-    def _note_outcome(self, asked: Future[None]) -> None:
-        error = asked.exception()
+    def _note_submitted_error(self, submitted: Future[None]) -> None:
+        error = submitted.exception()
         if error is not None:
             self._note_defect(error)
 
@@ -297,15 +299,15 @@
         self.caller_port.start()
         self.peer_port.start()
         if self._settings.ready_address is not None:
-            self._ready.start()
+            self._readiness_port.start()
         self.entry.look()
-        self._look()
+        self._update_slots()
 
     def _drain(self) -> None:
         self.owner.gate.drain()
-        self.peer_port.announce_leaving()
+        self.peer_port.announce_drain()
 
-    def _make_question(self) -> IdentityQuestion:
+    def _make_identity_question(self) -> IdentityQuestion:
         return IdentityQuestion(
             self.owner.pool,
             address=self._settings.backend_address,
@@ -369,14 +371,14 @@
             return NodeState.leaving
         return self._dependencies.states[-1]
 
-    def _look(self) -> None:
+    def _update_slots(self) -> None:
         records = self._dependencies.view.current.records.values()
         port = self._settings.backend_address.port
         for record in records:
             if record.host == self._settings.owner_address.host:
                 if record.backend_port == port:
                     self.owner.gate.note_server(SlotsTold(slots=record.slots))
-        self.loop.alarms.set(LOOK_SECONDS, self._look)
+        self.loop.alarms.set(SLOTS_CHECK_SECONDS, self._update_slots)
 
     def _find_record(self, instance: InstanceId) -> InstanceRecord | None:
         return self._dependencies.view.current.records.get(instance)
--- a/wagtaildale/calls/transit.py
+++ b/wagtaildale/calls/transit.py
@@ -42,7 +42,7 @@
 # Clocks that are being set right run up to 0.05% fast or slow. Without this,
 # two that run apart by a second over a night would make the first calls of
 # the morning look a second late.
-DRIFT: Final = 0.001
+MAX_CLOCK_DRIFT: Final = 0.001
 # Nothing comes before it is sent. By a clock that stood still it may look so;
 # what seems to come more than this too early does not tell when it was sent.
 MAX_CLOCK_LEAD_SECONDS: Final = 60.0
@@ -66,15 +66,15 @@
             opened_at: when the owner took it, seconds on the owner's clock.
         """
         self._opened_at = opened_at
-        self._seen = LeastDifference(
+        self._clock_differences = LeastDifference(
             window=WINDOW_SECONDS,
             since=opened_at,
-            drift=DRIFT,
+            drift=MAX_CLOCK_DRIFT,
         )
         # The entry counts from when it began to open the connection, so the
         # opening came like a message that was sent at zero. Without it the
         # first message would look prompt however late it is.
-        self._seen.measure_excess(opened_at, now=opened_at)
+        self._clock_differences.measure_excess(opened_at, now=opened_at)
 
     def measure_delay(self, sent_ms: int, *, now: float) -> float:
         """Measure how long a message was held up.
@@ -87,10 +87,10 @@
             Seconds, never negative; 0 if it is not told when it was sent.
         """
         sent = sent_ms / MILLISECONDS
-        furthest = now - self._opened_at + MAX_CLOCK_LEAD_SECONDS
-        if not 0 < sent < furthest:
+        latest_plausible = now - self._opened_at + MAX_CLOCK_LEAD_SECONDS
+        if not 0 < sent < latest_plausible:
             return 0
-        return self._seen.measure_excess(now - sent, now=now)
+        return self._clock_differences.measure_excess(now - sent, now=now)
 
 
 def subtract_delay(fields: CallFields, *, delay: float) -> CallFields:
@@ -129,7 +129,9 @@
 
 @add_send_time.register(Reserve)
 @add_send_time.register(Run)
-def _stamp_call(frame: Reserve | Run, *, elapsed_seconds: float) -> ToOwner:
+def _add_call_send_time(
+    frame: Reserve | Run, *, elapsed_seconds: float
+) -> ToOwner:
     # 0 would mean that it is not told.
     sent_ms = max(1, int(elapsed_seconds * MILLISECONDS))
     fields = structs.replace(frame.fields, sent_ms=sent_ms)
--- a/wagtaildale/calls/trials.py
+++ b/wagtaildale/calls/trials.py
@@ -252,7 +252,7 @@
         subject = find_subject(fingerprint)
         if self._turns.is_full(subject):
             raise refuse_suspect(Code.request_on_trial, fingerprint, ends=ends)
-        return self._turns.take(subject, run, on_turn=on_turn)
+        return self._turns.acquire(subject, run, on_turn=on_turn)
 
     def _begin_trial(
         self,
