--- a/wagtaildale/calls/addresses.py
+++ b/wagtaildale/calls/addresses.py
@@ -1,4 +1,4 @@
-"""Where a connection goes."""
+"""IP address and port of a listener."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Address(Struct, frozen=True, order=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
--- a/wagtaildale/calls/bodies.py
+++ b/wagtaildale/calls/bodies.py
@@ -10,26 +10,31 @@
 if TYPE_CHECKING:
     from wagtaildale.calls.exchanges import Exchange
 
-# A body up to this size is whole before the first attempt and can be sent
-# to another upstream; a larger one is passed on as it comes, once.
+# A body of up to this size is read before the first attempt and can be sent to
+# another upstream again. A larger one is forwarded as it arrives, once.
 MAX_REPLAYABLE_BYTES: Final = 65_536
-# Above this much that has not been passed on the caller has to wait.
+# Reading from the caller stops above this number of bytes that wait to be
+# forwarded.
 MAX_BUFFERED_BYTES: Final = 262_144
 MAX_PIECE_BYTES: Final = 65_536
 
 
 class RequestBody:
-    """A body that is kept while it is small, and else passed on."""
+    """A body that is kept while it is small, and streamed otherwise.
+
+    Attributes:
+        is_replayable: whether the whole body can be sent again.
+    """
 
     def __init__(self, exchange: Exchange, *, limit: int) -> None:
-        """Take what has come with the head.
+        """Take what has arrived with the head.
 
         Args:
-            exchange: of the request.
-            limit: largest body, bytes.
+            exchange: exchange of the request.
+            limit: largest body in bytes.
 
         Raises:
-            CallFailed: when the head announces more than the limit.
+            CallFailed: if the announced length is above the limit.
         """
         self._exchange = exchange
         self._limit = limit
@@ -42,7 +47,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether nothing more is to come."""
+        """Whether the whole body has arrived."""
         return self._exchange.message.is_complete
 
     @property
@@ -52,19 +57,19 @@
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether all of a body that is sent once has been given."""
+        """Whether all of a streamed body has been taken."""
         return self.is_complete and not self._buffer
 
     @property
     def length(self) -> int:
-        """Of the whole body where it was announced, else -1."""
+        """Announced length of the body in bytes, or -1."""
         return self._exchange.message.length
 
     def read(self) -> None:
-        """Take what has come since.
+        """Take what has arrived since the last call.
 
         Raises:
-            CallFailed: when it is over the limit.
+            CallFailed: if the body is above the limit.
         """
         piece = self._exchange.message.take_body()
         self._size += len(piece)
@@ -77,20 +82,18 @@
             self._exchange.set_reading(enabled=False)
 
     def peek(self) -> bytes:
-        """Look at the body before any of it is passed on.
+        """Return the beginning of the body before any of it is sent.
 
         Returns:
-            All of a body that can be sent again; of a larger one the first
-            piece.
+            The whole body if it can be sent again, otherwise its first piece.
         """
         return bytes(self._buffer[:MAX_PIECE_BYTES])
 
     def take(self) -> bytes:
-        """Give what is to be passed on now.
+        """Return what is to be sent next.
 
         Returns:
-            All of a body that can be sent again; of a larger one the next
-            piece.
+            The whole body if it can be sent again, otherwise the next piece.
         """
         if self.is_replayable:
             return bytes(self._buffer)
@@ -104,5 +107,5 @@
 def _make_too_large_error(limit: int) -> CallFailed:
     return CallFailed(
         Code.request_too_large,
-        detail=f'body over {limit} bytes',
+        detail=f'body exceeds the limit of {limit} bytes',
     )
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections, and the port on which they come."""
+"""Connections of callers, and the port that accepts them."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
     from wagtaildale.errors.faults import Fault
     from wagtaildale.reactor.loop import Loop
 
-# Requests of one connection that are under way at once; more wait unread.
+# Requests of one connection in progress at once; further ones stay unread.
 MAX_PIPELINED_REQUESTS: Final = 16
-# Between two looks at what has been idle or half a head for too long.
+# Interval between checks for idle connections and incomplete heads.
 TIMEOUT_CHECK_SECONDS: Final = 1.0
 
 
 class CallerLimits(Struct, frozen=True, kw_only=True):
-    """What callers may send, and how long they may take.
+    """Limits on what callers send and on how long they take.
 
     Attributes:
         head_bytes: largest request head.
         body_bytes: largest request body.
-        head_seconds: from the first byte of a head to its last.
-        idle_seconds: that a connection may stay open without a request.
-        connections: open at once at most.
+        head_seconds: longest time from the first byte of a head to its last.
+        idle_seconds: how long a connection may stay open without a request.
+        connections: largest number of open connections.
     """
 
     head_bytes: int
@@ -55,10 +55,13 @@
 
 
 class CallerPort:
-    """The port on which callers' requests come.
+    """The port that accepts connections of callers.
 
     Attributes:
-        draining: whether connections close after what is under way on them.
+        loop: event loop of the connections.
+        request_handler: answers the requests.
+        read_limits: returns the limits that are in force.
+        draining: whether connections close once their requests are answered.
     """
 
     def __init__(
@@ -68,12 +71,12 @@
         request_handler: RequestHandler,
         read_limits: Callable[[], CallerLimits],
     ) -> None:
-        """Prepare; ``bind`` opens the port.
+        """Prepare the port; ``bind`` opens it.
 
         Args:
-            loop: carries the connections.
-            request_handler: answers requests.
-            read_limits: gives what is in force for callers now.
+            loop: event loop of the connections.
+            request_handler: answers the requests.
+            read_limits: returns the limits that are in force.
         """
         self.loop = loop
         self.request_handler = request_handler
@@ -84,68 +87,68 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
     def active_calls(self) -> int:
-        """How many requests are under way, answers not yet sent included."""
+        """Number of requests in progress, with unsent answers counted."""
         return sum(each.active_calls for each in tuple(self._connections))
 
     @property
     def is_closed(self) -> bool:
-        """Whether no new connection can come."""
+        """Whether the port accepts no new connections."""
         return self._acceptor.is_closed
 
     def bind(self, address: Address) -> Result[None, Fault]:
         """Open the port.
 
         Args:
-            address: to listen on.
+            address: address to listen on.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault that prevented it.
         """
         return self._acceptor.bind(address.host, address.port)
 
     def start(self) -> None:
-        """Accept connections; in the loop's thread."""
+        """Start to accept connections; call it in the loop's thread."""
         self._acceptor.start()
         self._check_timeouts()
 
     def drain(self) -> None:
-        """Close each connection after what is under way on it.
+        """Close each connection once its requests are answered.
 
-        Connections are still accepted: whoever has not heard yet that this
-        node leaves gets an answer, and is told to close.
+        New connections are still accepted: a caller that does not know yet that
+        the node leaves gets an answer, and is told to close the connection.
         """
         self.draining = True
 
     def close_port(self) -> None:
-        """Accept nothing more; what is open stays open."""
+        """Accept no more connections; open ones stay open."""
         self._acceptor.close()
 
     def close_idle(self) -> None:
-        """Close whoever has had an answer and has nothing under way.
+        """Close connections that have had an answer and have no request.
 
-        Failure guarded here: the node waits for a long answer to one caller,
-        and meanwhile another one sends on its open connection, and is cut
-        at the end of the stop.
+        Without this, while the node waits for a long answer to one caller,
+        another one would send a request on its open connection and be cut off
+        when the stop ends.
         """
         for connection in tuple(self._connections):
             connection.close_idle()
 
     def stop(self) -> None:
-        """Close the port and everything on it, as a process that ends."""
+        """Close the port and all its connections at once."""
         self._acceptor.close_now()
         for connection in tuple(self._connections):
             connection.close_now()
 
     def forget(self, connection: CallerConnection) -> None:
-        """Forget a connection that is closed.
+        """Remove a closed connection.
 
         Args:
-            connection: of this port.
+            connection: connection of this port.
         """
         self._connections.discard(connection)
 
@@ -167,16 +170,16 @@
 class CallerConnection:
     """One connection of a caller.
 
-    Requests that come behind one another are answered side by side, and
-    their responses go out in order.
+    Pipelined requests are answered in parallel; their responses are sent in the
+    order of the requests.
     """
 
     def __init__(self, port: CallerPort, sock: socket.socket) -> None:
-        """Take a connection.
+        """Take over an accepted connection.
 
         Args:
-            port: that accepted it.
-            sock: the socket.
+            port: port that accepted it.
+            sock: socket of the connection.
         """
         self._port = port
         self._stream = Stream(port.loop, sock, self)
@@ -194,30 +197,29 @@
 
     @property
     def active_calls(self) -> int:
-        """How many requests are under way.
+        """Number of requests in progress.
 
-        Failure guarded here: a long answer is written but not sent, since
-        its caller reads slowly, and the node takes the call for done and
-        ends. What is not sent is under way.
+        Unsent output counts as one request: otherwise the node would consider a
+        long answer to a slow reader done, and end before it is sent.
         """
         return len(self._exchanges) or int(self._stream.unsent > 0)
 
     @property
     def is_full(self) -> bool:
-        """Whether the caller has yet to take what was written."""
+        """Whether output waits for the caller to read."""
         return self._stream.is_full
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Tell whether a response is the connection's last one.
+        """Tell whether a response is the last one of the connection.
 
-        With others behind it the connection stays: they are under way, and
-        closing would lose their answers.
+        The connection stays open for requests that follow: they are in
+        progress, and closing would lose their answers.
 
         Args:
-            exchange: whose response is written.
+            exchange: exchange whose response is written.
 
         Returns:
-            Whether to tell the caller so.
+            Whether the response tells the caller that the connection closes.
         """
         message = exchange.message
         closing = self._port.draining or not message.keep_alive
@@ -226,7 +228,7 @@
         )
 
     def set_reading(self, *, enabled: bool) -> None:
-        """Read on, or leave what comes with the caller for now.
+        """Start or stop to read from the socket.
 
         Args:
             enabled: whether to read.
@@ -237,11 +239,11 @@
             self._stream.pause()
 
     def send_in_turn(self, exchange: Exchange, written: bytes) -> None:
-        """Send a part of a response, or keep it until its turn.
+        """Send a part of a response, or defer it until its turn.
 
         Args:
-            exchange: whose response it is.
-            written: the bytes.
+            exchange: exchange that the response belongs to.
+            written: bytes to send.
         """
         if self._exchanges and self._exchanges[0] is exchange:
             self._stream.send(written)
@@ -249,7 +251,7 @@
             exchange.defer(written)
 
     def advance(self) -> None:
-        """Go on to the next response once the first is done."""
+        """Remove finished exchanges and send output of the next one."""
         while self._exchanges and self._exchanges[0].is_done:
             done = self._exchanges.popleft()
             self._has_answered = True
@@ -262,10 +264,10 @@
         self._continue()
 
     def refuse(self, failure: CallFailed) -> None:
-        """Answer with a failure after what is under way, and close.
+        """Send an error once earlier requests are answered, then close.
 
         Args:
-            failure: what is wrong.
+            failure: reason for the refusal.
         """
         if self._failure is not None:
             return
@@ -274,10 +276,10 @@
             self._send_failure(failure)
 
     def check_timeouts(self, now: float) -> None:
-        """Look whether the connection has been idle for too long.
+        """Refuse a head that takes too long; close an idle connection.
 
         Args:
-            now: seconds on the clock.
+            now: time on the clock, in seconds.
         """
         if self.active_calls or self._failure is not None:
             return
@@ -289,9 +291,10 @@
             self._finish_unless_input_pending()
 
     def close_idle(self) -> None:
-        """Close if nothing is under way.
+        """Close if no request is in progress.
 
-        One that has just connected is about to send its request.
+        A connection without any answer so far is kept: the caller has just
+        connected and is about to send its request.
         """
         is_active = self.active_calls or self._failure is not None
         if self._has_answered and not is_active:
@@ -303,13 +306,13 @@
         self._detach()
 
     def on_open(self) -> None:
-        """Do nothing: it was open from the start."""
+        """Do nothing: accepted connections are open from the start."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take bytes of requests.
+        """Parse bytes of requests.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
         """
         if self._failure is not None or self._is_finishing:
             return
@@ -324,9 +327,9 @@
         self._process_messages()
 
     def on_end(self) -> None:
-        """Learn that the caller sends no more: it counts as gone."""
+        """Treat a caller that sends no more as disconnected."""
         if self._is_finishing:
-            # It may read on; if it does not, sending will tell.
+            # The caller may still read; if it does not, sending fails.
             return
         if not self._exchanges and self._failure is None:
             self._finish()
@@ -334,16 +337,16 @@
         self.on_lost(OSError('the caller hung up'))
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the caller is gone.
+        """Release a lost connection.
 
         Args:
-            error: why.
+            error: error of the socket.
         """
         self._stream.close()
         self._detach()
 
     def on_drained(self) -> None:
-        """Learn that the caller has taken what was written."""
+        """Continue to write, or finish, once all output is sent."""
         self._last_activity_at = read_clock()
         if self._is_finishing:
             self._finish()
@@ -379,7 +382,7 @@
             self._send_failure(failure)
 
     def _continue_idle(self) -> None:
-        # While the node stops, requests behind others are not begun.
+        # Pipelined requests are not started while the node stops.
         if self._port.draining and self._parser.has_more():
             self._finish()
         else:
@@ -401,10 +404,10 @@
             self._incoming.receiver.on_body()
 
     def _is_ending(self) -> bool:
-        # Whatever comes behind a request that asks to close, or behind one
-        # whose answer has announced the end, belongs to nobody. And a caller
-        # that always has a further request under way would never let a node
-        # stop: what comes behind others is not begun any more.
+        # Requests that follow one that asks to close, or one whose answer has
+        # announced the close, are ignored. While the node drains, no further
+        # pipelined requests are started: a caller that always has another one
+        # in progress would never let the node stop.
         if self._stream.is_closed or self._is_finishing:
             return True
         if self._incoming is not None or not self._exchanges:
@@ -423,8 +426,8 @@
         self._finish()
 
     def _finish_unless_input_pending(self) -> None:
-        # Failure: a request has come and is not read yet when its idle
-        # connection is closed, and is lost. It is read and answered first.
+        # Closing now would lose a request that has arrived on the idle
+        # connection but is not read yet. It is read and answered first.
         if peek_input(self._stream) is not PendingInput.bytes_came:
             self._finish()
 
@@ -433,8 +436,8 @@
         if aborted:
             self._stream.close()
         elif self._stream.unsent:
-            # Failure: a slow reader's answer is cut a moment after the last
-            # of it was written. The connection ends once all of it is sent.
+            # Closing now would cut off the answer to a slow reader. The
+            # connection closes once all of it is sent.
             self._drop_exchanges()
             return
         else:
--- a/wagtaildale/calls/dialect.py
+++ b/wagtaildale/calls/dialect.py
@@ -1,6 +1,6 @@
-"""The header fields by which callers and backend servers are spoken to.
+"""Header fields that are used with callers and backend servers.
 
-The product has its own; a platform that speaks otherwise gives another
+The product has its own fields; a platform with other fields passes another
 ``Dialect``. Everything else of a call is the same.
 """
 
@@ -10,32 +10,34 @@
 
 
 class Dialect(Struct, frozen=True, kw_only=True):
-    """Names of header fields, in lower case, and what they promise.
+    """Names of header fields in lower case, and how they are used.
 
     Attributes:
-        request_id: names a request towards its backend server.
-        deadline_ms: milliseconds that whoever asks still waits.
-        depth: how many calls led to this one; nothing if it is not told.
-        retries: attempts left to the calls below; nothing if not told.
-        expected_instance: which instance a request is meant for; nothing
-            if backend servers do not look at one.
-        instance: in the answer to a health check, which instance a backend
-            server is; nothing if none says so.
-        caller_service: which service a request came from; nothing if it is
-            not told.
+        request_id: identifies a request towards its backend server.
+        deadline_ms: milliseconds for which the sender of a request still waits.
+        depth: number of calls that led to this one; None if it is not sent.
+        retries: attempts that calls further down may make; None if not sent.
+        expected_instance: instance that a request is meant for; None if backend
+            servers do not check it.
+        instance: in a health check's answer, instance of the backend server;
+            None if backend servers do not send it.
+        caller_service: service that a request came from; None if it is not
+            sent.
         not_run: set in a response by a backend server that did not run the
-            request; nothing if none says so.
-        load: a backend server's running, waiting and slots in a response;
-            nothing if none tells.
-        rate_limit: in a response, how many requests a second a backend
-            server takes from all nodes together; nothing if none names it.
-        leaving: set in a response by a backend server that will end;
-            nothing if none says so.
-        accepts_request_id: whether callers name their requests themselves.
-        echoes_request_id: whether a response names its request.
-        describes_calls: whether callers are told how a call went.
+            request; None if backend servers do not send it.
+        load: in a response, running and waiting requests and slots of a backend
+            server; None if backend servers do not send it.
+        rate_limit: in a response, number of requests per second that a backend
+            server accepts from all nodes together; None if backend servers do
+            not send it.
+        leaving: set in a response by a backend server that is about to end;
+            None if backend servers do not send it.
+        accepts_request_id: whether callers choose the identifiers of requests.
+        echoes_request_id: whether a response contains the request's identifier.
+        describes_calls: whether responses tell callers how the call went.
         deadline_spans_retries: whether a caller that retries sends the time
-            left of its first try, so that the target counts from there.
+            left of its first attempt, so that the target time counts from
+            there.
         fractional_retry_after: whether ``Retry-After`` may have a fraction.
     """
 
@@ -58,7 +60,7 @@
 
     @property
     def rewritten_fields(self) -> frozenset[bytes]:
-        """Fields of a request that are set anew on its way."""
+        """Fields of a request that nodes replace when they forward it."""
         names = (
             self.deadline_ms,
             self.depth,
--- a/wagtaildale/calls/error_responses.py
+++ b/wagtaildale/calls/error_responses.py
@@ -1,4 +1,4 @@
-"""The answers that a node gives by itself, when a call fails."""
+"""Error responses that a node itself gives to callers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from wagtaildale.calls.parsing import Header
 
 DEFAULT_STATUS: Final = 503
-# Whole seconds are what the field holds in plain HTTP.
+# In plain HTTP, ``Retry-After`` holds whole seconds.
 MIN_RETRY_AFTER_SECONDS: Final = 1
 MIN_FRACTIONAL_RETRY_SECONDS: Final = 0.01
 STATUS_BY_CODE: Final = MappingProxyType(
@@ -41,8 +41,8 @@
         Code.too_deep: 508,
     },
 )
-# Statuses that leave open whether the request has run; for one that has
-# not, the status that says so is given in their place.
+# These statuses leave open whether the request ran. If it is known that it did
+# not, ``DEFAULT_STATUS`` is sent instead.
 AMBIGUOUS_STATUSES: Final = frozenset((502, 504))
 RETRYABLE_CODES: Final = frozenset(
     (
@@ -65,14 +65,14 @@
 
 
 class Problem(Struct, frozen=True, kw_only=True):
-    """The body of an answer that a node gives by itself (RFC 9457).
+    """The body of an error response (RFC 9457).
 
     Attributes:
-        title: what went wrong.
+        title: short description of the error.
         status: HTTP status.
         code: numbered result code; docs/errors.md explains each.
-        outcome: what the caller may conclude of its request.
-        detail: anything more.
+        outcome: whether the request ran, as far as is known.
+        detail: further description for people.
     """
 
     title: str
@@ -86,16 +86,16 @@
     """Find the HTTP status of a failed call.
 
     Args:
-        failure: why it failed, and whether the request may have run.
+        failure: reason, and whether the request may have run.
 
     Returns:
-        The status; 503 in place of 502 and 504 where it has not run.
+        The status; 503 instead of 502 and 504 if the request did not run.
     """
     status = STATUS_BY_CODE.get(failure.code, DEFAULT_STATUS)
     if status in AMBIGUOUS_STATUSES and failure.outcome is Outcome.not_run:
         return DEFAULT_STATUS
     if status == DEFAULT_STATUS and failure.outcome is Outcome.unknown:
-        # Callers take 503 for a promise that nothing has run.
+        # Callers rely on 503 to mean that nothing ran.
         return STATUS_BY_CODE[Code.outcome_unknown]
     return status
 
@@ -106,12 +106,12 @@
     extra_headers: Sequence[Header] = (),
     dialect: Dialect = DEFAULT_DIALECT,
 ) -> tuple[ResponseHead, bytes]:
-    """Describe the whole answer of a failed call.
+    """Build the error response for a failed call.
 
     Args:
-        failure: why it failed.
-        extra_headers: headers that go along.
-        dialect: how callers are spoken to.
+        failure: reason of the failure.
+        extra_headers: further headers of the response.
+        dialect: header fields used with callers.
 
     Returns:
         Head and body.
--- a/wagtaildale/calls/exchanges.py
+++ b/wagtaildale/calls/exchanges.py
@@ -13,43 +13,45 @@
 
 
 class ExchangeReceiver(Protocol):
-    """Whoever answers a request."""
+    """Receives the events of a request that is being answered."""
 
     def on_body(self) -> None:
-        """Learn that more of the request's body is here, or its end."""
+        """Handle more of the request's body, or its end."""
 
     def on_caller_gone(self) -> None:
-        """Learn that the caller waits no longer."""
+        """Handle a caller that has disconnected."""
 
     def on_writable(self) -> None:
-        """Learn that the caller has taken what was written so far."""
+        """Handle that all output has been sent to the caller."""
 
 
 class RequestHandler(Protocol):
-    """What answers the requests on a port."""
+    """Answers the requests of a port."""
 
     def handle_request(self, exchange: Exchange) -> None:
-        """Begin to answer a request.
+        """Start to answer a request.
 
         Args:
-            exchange: its head is here; it gets a receiver.
+            exchange: exchange with the head of the request; the handler sets
+                its receiver.
         """
 
 
 class Exchange:
-    """A request and the place of its response.
+    """A request and its response.
 
-    Several may be under way on one connection; what is written for one that
-    is not the first is kept until those before it are done, so that
-    responses go out in the order of the requests.
+    Several may be in progress on one connection. Output of an exchange that is
+    not the first is deferred until those before it are finished, so that
+    responses are sent in the order of the requests.
 
     Attributes:
-        message: the request, its body perhaps still coming.
-        receiver: answers it.
-        is_begun: whether any of the response was written.
-        is_done: whether all of it was.
+        message: the request; its body may be incomplete.
+        receiver: receives further events of the request.
+        is_begun: whether a part of the response was written.
+        is_done: whether all of the response was written.
         is_aborted: whether the connection must close after what was written.
-        announces_close: whether the caller was told that the connection ends here.
+        announces_close: whether the response tells the caller that the
+            connection closes.
     """
 
     def __init__(
@@ -58,11 +60,11 @@
         *,
         connection: CallerConnection,
     ) -> None:
-        """Begin.
+        """Create an exchange without a response.
 
         Args:
             message: the request.
-            connection: on which it came.
+            connection: connection that the request arrived on.
         """
         self.message = message
         self.receiver: ExchangeReceiver | None = None
@@ -76,7 +78,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether more is to be written only after ``on_writable``."""
+        """Whether the writer must wait for ``on_writable``."""
         return bool(self._deferred) or self._connection.is_full
 
     def begin_response(
@@ -89,9 +91,9 @@
         """Write the head of the response and the beginning of its body.
 
         Args:
-            head: of the response.
-            body: all of it, or its beginning.
-            more: whether pieces follow.
+            head: head of the response.
+            body: the whole body, or its beginning.
+            more: whether more of the body follows.
         """
         self.is_begun = True
         self.is_done = not more
@@ -103,46 +105,50 @@
         self._send(self._writer.begin(head, body=body, more=more))
 
     def write_body(self, piece: bytes, *, more: bool) -> None:
-        """Write a piece of the body.
+        """Write a piece of the response's body.
 
         Args:
-            piece: may be empty where only the end is told.
-            more: whether pieces follow.
+            piece: bytes of the body; may be empty if they only mark the end.
+            more: whether more of the body follows.
         """
         self.is_done = not more
         if self._writer is not None:
             self._send(self._writer.add(piece, more=more))
 
     def abort(self) -> None:
-        """Break the response off so that it cannot pass for a whole one."""
+        """Cut the response off, visibly for the caller.
+
+        The connection closes, so that the caller cannot take the response for a
+        whole one.
+        """
         self.is_done = True
         self.is_aborted = True
         self._connection.advance()
 
     def send_continue(self) -> None:
-        """Tell a caller that waits for it to send the body."""
+        """Send 100 Continue to a caller that waits for it."""
         self._connection.send_in_turn(self, CONTINUE_RESPONSE)
 
     def set_reading(self, *, enabled: bool) -> None:
-        """Read more of the request's body, or leave it with the caller.
+        """Start or stop to read the request's body.
 
         Args:
-            enabled: whether to read on.
+            enabled: whether to read.
         """
         self._connection.set_reading(enabled=enabled)
 
     def take_deferred(self) -> bytes:
-        """Take what was written while others were before this one.
+        """Remove and return the deferred output.
 
         Returns:
-            The bytes to send.
+            Bytes to send.
         """
         deferred = bytes(self._deferred)
         self._deferred.clear()
         return deferred
 
     def defer(self, written: bytes) -> None:
-        """Keep what was written until it is this one's turn.
+        """Keep output until it is this exchange's turn.
 
         Args:
             written: bytes of the response.
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -1,4 +1,4 @@
-"""What an entry tells an owner of a call, and what the owner answers."""
+"""Fields of a call that entry and owner exchange."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 )
 
 MILLI_PER_UNIT: Final = 1000
-# Thousandths of a request a second: no limit is named, or it is not known.
+# Negative values of a rate: the backend server names no limit, or it is not
+# known whether it names one.
 UNLIMITED_RATE: Final = -1
 UNKNOWN_RATE: Final = -2
 INTERNAL_HEADER_PREFIX: Final = b'wagtaildale-'
@@ -36,29 +37,31 @@
     """What an entry tells an owner of a call.
 
     Attributes:
-        request_id: by which logs find the request; the caller's own where
-            it sends one.
-        attempt: counts the attempts of one request, from 1.
-        work_class: service and class.
-        idempotent: whether the class is.
-        within_ms: milliseconds left of the class's target.
-        remaining_ms: until the deadline.
-        instance: for whom it is meant.
-        incarnation: of that instance; 0 if the entry does not know it yet.
-        lease: which slot is held for it; 0 if none.
-        depth: how many calls led to this one.
-        retries: attempts beyond the first that are left to calls below.
-        rank: of the class; 0 goes first.
-        patient: whether it may wait for a slot past its target.
-        sent_ms: milliseconds from when the entry began to open the
-            connection to when it handed the message to it; 0 if not told.
-        ends: servers that ended under the request, one after the other, as
-            far as the entry knows.
-        rate_milli: thousandths of a request a second that its backend server
-            takes, as far as the entry knows; negative if it knows no limit.
-        pass_rank: by which a request is drawn for a limited server.
-        passed_parts: of ten thousand such requests, how many the entry lets
-            through to this owner.
+        request_id: identifies the request in logs; the caller's own if it sends
+            one.
+        attempt: number of the attempt for this request, from 1.
+        work_class: service and class of the request.
+        idempotent: whether the class is idempotent.
+        within_ms: milliseconds left of the class's target time.
+        remaining_ms: milliseconds left until the deadline.
+        instance: instance that the call is meant for.
+        incarnation: incarnation of that instance; 0 if the entry does not know
+            it yet.
+        lease: lease of the slot that is held for the call; 0 if none.
+        depth: number of calls that led to this one.
+        retries: attempts beyond the first that calls further down may make.
+        rank: priority of the class; 0 is served first.
+        patient: whether the call may wait for a slot beyond its target time.
+        sent_ms: milliseconds from when the entry began to open the connection
+            until it sent the message; 0 if unknown.
+        ends: number of successive backend servers that ended during the
+            request, as far as the entry knows.
+        rate_milli: rate limit of the backend server in thousandths of a request
+            per second, as far as the entry knows; negative if it knows none.
+        pass_rank: rank by which requests are sampled for a limited backend
+            server.
+        passed_parts: number of requests out of ten thousand of this rank that
+            the entry sends to this owner.
     """
 
     request_id: RequestId
@@ -82,7 +85,11 @@
 
     @property
     def represented_requests(self) -> float:
-        """How many such requests it was drawn among, by the entry's word."""
+        """Number of requests that this one stands for after sampling.
+
+        The value is derived from ``passed_parts``, which the entry sends; it is
+        clamped to the valid range.
+        """
         parts = min(PARTS, max(LEAST_PARTS, self.passed_parts))
         return PARTS / parts
 
@@ -97,34 +104,34 @@
     """What an owner tells an entry with each answer.
 
     Attributes:
-        request_id: of the request that is answered.
-        attempt: of the attempt that is answered.
+        request_id: identifier of the answered request.
+        attempt: number of the answered attempt.
         code: numbered result code.
         outcome: whether the request ran.
-        instance: who answers.
-        incarnation: of the owner's process.
-        in_flight: requests that run at its backend server.
-        limit: how many may.
-        queued: requests that wait there.
-        owner_us: microseconds spent at the owner, waiting included.
+        instance: instance that answers.
+        incarnation: incarnation of the owner's process.
+        in_flight: number of running requests at the backend server.
+        limit: largest number of running requests.
+        queued: number of requests that wait at the owner.
+        owner_us: microseconds spent at the owner, with the time in its queue.
         backend_us: microseconds spent at the backend server.
-        lease: the slot that is held, in the answer to a reservation.
-        retry_ms: after which asking again is worth it, in a refusal.
-        slot_us: microseconds that a request of any class holds a slot of
+        lease: lease of the granted slot, in the answer to a reservation.
+        retry_ms: milliseconds after which a retry makes sense, in a refusal.
+        slot_us: time in microseconds for which a request of any class holds a
+            slot of the backend server; 0 before the first.
+        class_us: current run time in microseconds of requests of this class at
             the backend server; 0 before the first.
-        class_us: microseconds that requests of the answered class take at
-            the backend server now; 0 before the first.
         class_usual_us: the same over a longer time.
-        has_arrived: whether the backend server itself turned the request
-            away.
-        ends: servers that ended under the request, one after the other, as
-            far as the owner knows; told where the request was not answered.
-        rate_milli: thousandths of a request a second that its backend server
-            takes; ``UNLIMITED_RATE`` if it names no limit, ``UNKNOWN_RATE``
-            if the owner has not heard it yet.
-        share: of the requests of each rank, those that entries may send;
-            nothing if all may be.
-        leaving: its backend server, if that has said that it leaves.
+        has_arrived: whether the backend server itself refused the request.
+        ends: number of successive backend servers that ended during the
+            request, as far as the owner knows; sent if the request was not
+            answered.
+        rate_milli: rate limit of the backend server in thousandths of a request
+            per second; ``UNLIMITED_RATE`` if it names none, ``UNKNOWN_RATE`` if
+            the owner does not know yet.
+        share: fraction of the requests of each rank that entries may send; None
+            if they may send all.
+        leaving: the backend server, if it has announced that it leaves.
     """
 
     request_id: RequestId
@@ -151,13 +158,13 @@
 
 
 def encode_rate(per_second: float | None) -> int:
-    """Write a backend server's limit as it goes between nodes.
+    """Encode a rate limit for a message between nodes.
 
     Args:
-        per_second: requests that it takes; nothing if it names no limit.
+        per_second: requests per second; None if there is no limit.
 
     Returns:
-        Thousandths of a request a second, or ``UNLIMITED_RATE``.
+        Thousandths of a request per second, or ``UNLIMITED_RATE``.
     """
     return (
         UNLIMITED_RATE
@@ -167,12 +174,12 @@
 
 
 def decode_rate(rate_milli: int) -> float | None:
-    """Read a backend server's limit as it comes from another node.
+    """Decode a rate limit from a message between nodes.
 
     Args:
-        rate_milli: thousandths of a request a second, or a negative mark.
+        rate_milli: thousandths of a request per second, or a negative value.
 
     Returns:
-        Requests a second; nothing if no limit is told.
+        Requests per second; None if no limit is known.
     """
     return None if rate_milli < 0 else rate_milli / MILLI_PER_UNIT
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -1,7 +1,7 @@
-"""The messages of calls between two nodes, as MessagePack in frames.
+"""Messages of calls between two nodes: MessagePack in length-prefixed frames.
 
 One connection carries all calls from one node to another; each call has a
-number on it. A frame is four bytes of length and one message.
+number on it. A frame is a length of four bytes and one message.
 """
 
 from __future__ import annotations
@@ -24,16 +24,17 @@
 from wagtaildale.types import CallNumber, InstanceId
 
 LENGTH_PREFIX: Final = struct.Struct('>I')
-# A piece of a body is at most what one read gives; heads are far smaller.
+# A piece of a body is at most what one read returns; heads are far smaller.
 MAX_FRAME_BYTES: Final = 1_000_000
-# One read of 64 KB compressed a hundredfold: bodies compress far less.
+# One read of 64 KB that was compressed by a factor of 100; bodies compress far
+# less.
 MAX_DECOMPRESSED_BYTES: Final = 6_553_600
-# A window of 4 KB holds the last dozen heads; larger ones saved 2% more for
-# eight times the memory (trial with heads of the users' requests).
+# A window of 4 KB holds the last dozen heads. With heads of the users'
+# requests, larger windows saved 2% more for eight times the memory.
 WINDOW_BITS: Final = -12
 COMPRESSION_MEMORY_LEVEL: Final = 5
 COMPRESSION_LEVEL: Final = 6
-# The first byte of a connection says how the rest of it is written.
+# The first byte of a connection tells whether the rest of it is compressed.
 PLAIN: Final = b'p'
 COMPRESSED: Final = b'z'
 
@@ -41,24 +42,29 @@
 
 
 class Reserve(Struct, frozen=True, array_like=True, tag=1, gc=False):
-    """Asks for a slot; nothing runs by it."""
+    """Requests a slot; does not run anything.
+
+    Attributes:
+        call: number of the call on this connection.
+        fields: what the entry tells of the call.
+    """
 
     call: CallNumber
     fields: CallFields
 
 
 class Run(Struct, frozen=True, array_like=True, tag=2, gc=False):
-    """Runs a request: the one message by which anything is ever run.
+    """Runs a request; no other message runs anything.
 
     Attributes:
-        call: its number on this connection.
-        fields: what the entry tells of it.
+        call: number of the call on this connection.
+        fields: what the entry tells of the call.
         method: HTTP method.
-        target: path and query as they came.
-        headers: those that go on.
-        body: all of it, or its beginning.
-        more: whether pieces follow.
-        length: of the body where it was announced, else -1.
+        target: path and query as received.
+        headers: headers that are forwarded.
+        body: the whole body, or its beginning.
+        more: whether more of the body follows.
+        length: announced length of the body in bytes, or -1.
     """
 
     call: CallNumber
@@ -72,12 +78,12 @@
 
 
 class BodyPiece(Struct, frozen=True, array_like=True, tag=3, gc=False):
-    """More of a body, either way.
+    """More of a body, in either direction.
 
     Attributes:
-        call: its number on this connection.
-        body: the bytes; none where only the end is told.
-        more: whether pieces follow.
+        call: number of the call on this connection.
+        body: bytes of the body; empty if they only mark the end.
+        more: whether more of the body follows.
     """
 
     call: CallNumber
@@ -86,27 +92,48 @@
 
 
 class WindowUpdate(Struct, frozen=True, array_like=True, tag=4, gc=False):
-    """The receiver of pieces has passed so many bytes on."""
+    """Flow control: the receiver of a body has forwarded some of it.
+
+    Attributes:
+        call: number of the call on this connection.
+        count: number of forwarded bytes.
+    """
 
     call: CallNumber
     count: int
 
 
 class Cancel(Struct, frozen=True, array_like=True, tag=5, gc=False):
-    """Nobody waits for the call any more."""
+    """Cancels a call that nobody waits for any more.
+
+    Attributes:
+        call: number of the call on this connection.
+    """
 
     call: CallNumber
 
 
 class Granted(Struct, frozen=True, array_like=True, tag=6, gc=False):
-    """A slot is held for a run message."""
+    """Grants the slot that was requested for a run message.
+
+    Attributes:
+        call: number of the call on this connection.
+        answer: state of the owner, with the lease of the slot.
+    """
 
     call: CallNumber
     answer: AnswerFields
 
 
 class Failed(Struct, frozen=True, array_like=True, tag=7, gc=False):
-    """The call ends without a response; ``answer.outcome`` tells if it ran."""
+    """Ends a call without a response.
+
+    Attributes:
+        call: number of the call on this connection.
+        answer: state of the owner; its ``outcome`` tells whether the request
+            ran.
+        detail: description of the failure for people.
+    """
 
     call: CallNumber
     answer: AnswerFields
@@ -117,13 +144,13 @@
     """The backend server's response.
 
     Attributes:
-        call: its number on this connection.
-        answer: what the owner tells along with it.
+        call: number of the call on this connection.
+        answer: state of the owner.
         status: HTTP status.
-        headers: those that go on.
-        body: all of it, or its beginning.
-        more: whether pieces follow.
-        length: of the body where the response announces it, else -1.
+        headers: headers that are forwarded.
+        body: the whole body, or its beginning.
+        more: whether more of the body follows.
+        length: announced length of the body in bytes, or -1.
     """
 
     call: CallNumber
@@ -136,18 +163,21 @@
 
 
 class ResponseAborted(Struct, frozen=True, array_like=True, tag=9, gc=False):
-    """A response broke off after its beginning was sent."""
+    """The response was cut off after its beginning was sent.
+
+    Attributes:
+        call: number of the call on this connection.
+    """
 
     call: CallNumber
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=10, gc=False):
-    """Asks whether the other side is there.
+    """Asks whether the other side is alive.
 
     Attributes:
-        accepts_drain_notice: whether the sender understands
-            ``DrainNotice``. Builds that do not know the field omit or
-            ignore it.
+        accepts_drain_notice: whether the sender understands ``DrainNotice``.
+            Builds that do not know the field omit or ignore it.
     """
 
     accepts_drain_notice: bool = False
@@ -158,21 +188,21 @@
 
 
 class LoadReport(Struct, frozen=True, array_like=True, tag=12, gc=False):
-    """How full an owner's backend server is, told without being asked.
+    """Load and limits of an owner's backend server, sent without a request.
 
     Attributes:
-        instance: the backend server.
-        in_flight: requests that run there.
-        limit: how many may.
-        queued: requests that wait.
-        is_up: whether it takes connections.
-        slowness_percent: the time of its runs now, in percent of what they
-            usually take there; 0 if not told.
-        rate_milli: thousandths of a request a second that it takes;
-            negative marks as in ``AnswerFields``.
-        share: of the requests of each rank, those that entries may send;
-            nothing if all may be.
-        leaving: the backend server, if that has said that it leaves.
+        instance: instance of the backend server.
+        in_flight: number of running requests.
+        limit: largest number of running requests.
+        queued: number of waiting requests.
+        is_up: whether the backend server accepts connections.
+        slowness_percent: current run time in percent of the usual one on this
+            backend server; 0 if unknown.
+        rate_milli: rate limit in thousandths of a request per second; negative
+            values as in ``AnswerFields``.
+        share: fraction of the requests of each rank that entries may send; None
+            if they may send all.
+        leaving: the backend server, if it has announced that it leaves.
     """
 
     instance: InstanceId
@@ -187,10 +217,11 @@
 
 
 class DrainNotice(Struct, frozen=True, array_like=True, tag=13, gc=False):
-    """The owner takes no new call; the entry closes when its calls are over.
+    """Tells an entry that the owner accepts no new calls.
 
-    Sent only to an entry that has said in a ``Ping`` that it knows this: an
-    earlier build would take it for bytes that are no frame.
+    The entry closes the connection once its calls are finished. The notice is
+    only sent to an entry that has declared support in a ``Ping``: an earlier
+    build would treat it as an invalid frame.
     """
 
 
@@ -228,13 +259,13 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Encode a frame.
+    """Encode a message as a frame.
 
     Args:
-        frame: the message.
+        frame: message to encode.
 
     Returns:
-        Its length and its bytes.
+        Length prefix and message.
     """
     encoded = _encoder.encode(frame)
     return LENGTH_PREFIX.pack(len(encoded)) + encoded
@@ -244,12 +275,12 @@
     """Writes the frames of one direction of a connection.
 
     Between data centres the bytes are compressed as one stream: heads of
-    requests and responses repeat each other, and what is sent again of them
-    then costs a few bytes.
+    requests and responses resemble each other, so that repeated parts cost only
+    a few bytes.
     """
 
     def __init__(self, *, compressed: bool) -> None:
-        """Begin at the start of a connection.
+        """Start at the beginning of a connection.
 
         Args:
             compressed: whether the bytes are compressed.
@@ -267,10 +298,10 @@
         """Write a frame.
 
         Args:
-            frame: the message.
+            frame: message to write.
 
         Returns:
-            The bytes to send; the other side can read all of it by them.
+            Bytes to send; they suffice to read the whole frame.
         """
         encoded = encode_frame(frame)
         if self._compressor is None:
@@ -280,10 +311,10 @@
 
 
 class FrameReader:
-    """Takes frames out of the bytes of one direction of a connection."""
+    """Reads the frames of one direction of a connection."""
 
     def __init__(self, *, compressed: bool = False) -> None:
-        """Begin at the start of a connection.
+        """Start at the beginning of a connection.
 
         Args:
             compressed: whether the bytes are compressed.
@@ -294,16 +325,16 @@
             self._decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def feed(self, chunk: bytes) -> list[Frame]:
-        """Take the frames that are whole now.
+        """Read the frames that are complete.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
 
         Returns:
-            In the order they were sent.
+            Messages in the order in which they were sent.
 
         Raises:
-            CallFailed: when the bytes are no frames of ours.
+            CallFailed: if the bytes are not valid frames.
         """
         self._buffer += self._decompress(chunk)
         frames: list[Frame] = []
@@ -311,7 +342,9 @@
         while len(self._buffer) - offset >= LENGTH_PREFIX.size:
             size = LENGTH_PREFIX.unpack_from(self._buffer, offset)[0]
             if size > MAX_FRAME_BYTES:
-                raise CallFailed(Code.message_malformed, detail='frame size')
+                raise CallFailed(
+                    Code.message_malformed, detail='frame too large'
+                )
             end = offset + LENGTH_PREFIX.size + size
             if len(self._buffer) < end:
                 break
@@ -333,22 +366,25 @@
                 detail=str(error),
             ) from None
         if self._decompressor.unconsumed_tail:
-            # A few bytes that grow without bound are no message of ours.
-            raise CallFailed(Code.message_malformed, detail='grows too far')
+            # No valid message decompresses to this size; this stops bytes that
+            # grow without bound.
+            raise CallFailed(
+                Code.message_malformed, detail='decompressed input too large'
+            )
         return decompressed
 
 
 def decode_frame(encoded: bytes | bytearray) -> Frame:
-    """Decode one frame.
+    """Decode one message.
 
     Args:
-        encoded: without its length.
+        encoded: message without its length prefix.
 
     Returns:
         The message.
 
     Raises:
-        CallFailed: when it is none of ours.
+        CallFailed: if the message is invalid.
     """
     try:
         return _decoder.decode(encoded)
--- a/wagtaildale/calls/heads.py
+++ b/wagtaildale/calls/heads.py
@@ -1,4 +1,4 @@
-"""Writes the heads of HTTP messages that are passed on."""
+"""Writes the heads of HTTP messages that are forwarded."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def select_forwarded_headers(message: Message) -> list[Header]:
-    """Choose the headers of a message that go on to the next hop.
+    """Select the headers of a message that are forwarded to the next hop.
 
     Args:
-        message: as it came.
+        message: received message.
 
     Returns:
-        Its headers, less those of the connection and of the system.
+        Its headers without hop-by-hop headers and without internal ones.
     """
     connection_header = message.find(b'connection')
     headers = [
@@ -74,11 +74,11 @@
 
     Args:
         method: HTTP method.
-        target: path and query as they came.
-        headers: all of them.
+        target: path and query as received.
+        headers: headers of the request.
 
     Returns:
-        Bytes, with the empty line at the end.
+        Head with the empty line at its end.
     """
     lines = [b'%b %b HTTP/1.1' % (method, target)]
     lines.extend(b'%b: %b' % header for header in headers)
@@ -90,10 +90,10 @@
 
     Args:
         status: HTTP status.
-        headers: all of them.
+        headers: headers of the response.
 
     Returns:
-        Bytes, with the empty line at the end.
+        Head with the empty line at its end.
     """
     reason = REASON_PHRASES.get(status, '')
     lines = [f'HTTP/1.1 {status} {reason}'.encode()]
@@ -104,14 +104,15 @@
 def choose_body_framing(
     message: Message, *, complete_body: bytes | None
 ) -> Sequence[Header]:
-    """Choose the header that says where a body ends.
+    """Choose the header that tells where a body ends.
 
     Args:
-        message: as it came.
-        complete_body: the body if all of it is here.
+        message: received message.
+        complete_body: the body if all of it has arrived.
 
     Returns:
-        Content-Length, or chunks, or nothing for a request without a body.
+        Content-Length, or chunked Transfer-Encoding; empty for a request
+        without a body.
     """
     if complete_body is not None:
         if not complete_body and message.method and message.length <= 0:
@@ -123,13 +124,13 @@
 
 
 def write_chunk(piece: bytes) -> bytes:
-    """Write one chunk of a body.
+    """Write one chunk of a chunked body.
 
     Args:
-        piece: not empty.
+        piece: bytes of the body, not empty.
 
     Returns:
-        The piece with its marks.
+        The bytes with the chunk's size and line ends.
     """
     return b'%x\r\n%b\r\n' % (len(piece), piece)
 
--- a/wagtaildale/calls/parsing.py
+++ b/wagtaildale/calls/parsing.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages as the C parser of ``httptools`` gives them.
+"""HTTP/1.1 messages, parsed with the C parser of ``httptools``.
 
-The parser refuses what is ambiguous: both Content-Length and
-Transfer-Encoding, two lengths, bare line feeds, blanks before a colon.
+The parser rejects ambiguous messages: both Content-Length and
+Transfer-Encoding, two lengths, bare line feeds, spaces before a colon.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 
 class Message:
-    """One request or response, as far as it has come.
+    """One request or response, as far as it has arrived.
 
     Attributes:
-        target: of a request, as it came.
-        method: of a request.
-        status: of a response.
-        headers: names in lower case, with their texts.
-        pieces: of the body, not yet taken.
-        has_head: whether all headers are here.
+        target: path and query of a request as received.
+        method: HTTP method of a request.
+        status: HTTP status of a response.
+        headers: pairs of a name in lower case and its value.
+        pieces: pieces of the body that were not taken yet.
+        has_head: whether all headers have arrived.
         head_bytes: size of target and headers so far.
-        is_complete: whether the body's end is here.
+        is_complete: whether the end of the body has arrived.
         keep_alive: whether the connection may carry another message.
-        length: of the body if its head says so, else ``UNKNOWN_LENGTH``.
-        is_chunked: whether the body comes in chunks.
+        length: announced length of the body in bytes, or ``UNKNOWN_LENGTH``.
+        is_chunked: whether the body is sent in chunks.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
     )
 
     def __init__(self) -> None:
-        """Begin with nothing."""
+        """Create an empty message."""
         self.target = b''
         self.method = b''
         self.status = 0
@@ -69,10 +69,10 @@
         """Find a header.
 
         Args:
-            name: in lower case.
+            name: name in lower case.
 
         Returns:
-            Its text, or nothing.
+            Value of the first such header, or None.
         """
         for known_name, header_value in self.headers:
             if known_name == name:
@@ -80,10 +80,10 @@
         return None
 
     def take_body(self) -> bytes:
-        """Take what is here of the body.
+        """Remove and return what has arrived of the body.
 
         Returns:
-            Its bytes; empty if none are waiting.
+            Bytes of the body; empty if there are none.
         """
         pieces = self.pieces
         if not pieces:
@@ -94,16 +94,16 @@
 
 
 class MessageParser:
-    """Turns bytes into messages; several may come in one read.
+    """Parses bytes into messages; one read may contain several.
 
     The methods whose names begin with ``on_`` are called by httptools.
     """
 
     def __init__(self, *, of_requests: bool, head_bytes: int) -> None:
-        """Begin at the start of a connection.
+        """Start at the beginning of a connection.
 
         Args:
-            of_requests: whether requests or responses come.
+            of_requests: whether the messages are requests, not responses.
             head_bytes: largest head.
         """
         self._messages: deque[Message] = deque()
@@ -120,16 +120,16 @@
         """Parse more bytes.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
 
         Raises:
-            CallFailed: when they are not valid HTTP or the head is too long.
+            CallFailed: if they are not valid HTTP or the head is too large.
         """
         try:
             self._parser.feed_data(chunk)
         except httptools.HttpParserUpgrade:
-            # An offer to change the protocol is not taken; the request
-            # itself is answered and the connection closed after it.
+            # Protocol upgrades are not supported: the request itself is
+            # answered, and the connection closes after it.
             self._messages[-1].keep_alive = False
         except httptools.HttpParserError as error:
             raise CallFailed(
@@ -139,48 +139,48 @@
         self._check_head(len(chunk))
 
     def peek(self) -> Message | None:
-        """Give the message that comes next.
+        """Return the next message without removing it.
 
         Returns:
-            The message once its head is here, else nothing.
+            The message once its head has arrived, otherwise None.
         """
         if self._messages and self._messages[0].has_head:
             return self._messages[0]
         return None
 
     def drop(self) -> None:
-        """Put the message that comes next aside: it is dealt with."""
+        """Remove the next message, which has been processed."""
         self._messages.popleft()
 
     def has_more(self) -> bool:
-        """Tell whether bytes of another message are here.
+        """Tell whether anything of another message has arrived.
 
         Returns:
-            Whether anything follows the message at hand.
+            Whether there is a message, complete or not.
         """
         return bool(self._messages)
 
     def on_message_begin(self) -> None:
-        """Begin a message."""
+        """Start a message."""
         self._messages.append(Message())
         self._pending_head_bytes = 0
 
     def on_url(self, target: bytes) -> None:
-        """Take a piece of the target.
+        """Append a part of the target.
 
         Args:
-            target: bytes as they came.
+            target: bytes as received.
         """
         message = self._messages[-1]
         message.target += target
         message.head_bytes += len(target)
 
     def on_header(self, name: bytes, header_value: bytes) -> None:
-        """Take a header; those of a trailer are left out.
+        """Add a header; trailer fields are dropped.
 
         Args:
-            name: as it came.
-            header_value: as it came.
+            name: name as received.
+            header_value: value as received.
         """
         message = self._messages[-1]
         if not message.has_head:
@@ -188,7 +188,7 @@
             message.head_bytes += len(name) + len(header_value)
 
     def on_headers_complete(self) -> None:
-        """Close the head."""
+        """Finish the head."""
         message = self._messages[-1]
         parser = self._parser
         message.keep_alive = parser.should_keep_alive()
@@ -203,15 +203,15 @@
         message.has_head = True
 
     def on_body(self, piece: bytes) -> None:
-        """Take a piece of the body.
+        """Append a piece of the body.
 
         Args:
-            piece: bytes as they came, without the marks of chunks.
+            piece: bytes as received, without chunk sizes.
         """
         self._messages[-1].pieces.append(piece)
 
     def on_message_complete(self) -> None:
-        """Close the message."""
+        """Finish the message."""
         self._messages[-1].is_complete = True
 
     def _check_head(self, size: int) -> None:
@@ -219,13 +219,13 @@
             return
         latest = self._messages[-1]
         if not latest.has_head:
-            # A field of which the end is not here yet is not counted by the
-            # callbacks; what was read bounds it.
+            # The callbacks do not count a header that is still incomplete; the
+            # number of bytes read limits it.
             self._pending_head_bytes += size
         if max(self._pending_head_bytes, latest.head_bytes) > self._head_bytes:
-            # Those before it are whole and stay.
+            # Earlier messages are complete and stay.
             self._messages.pop()
             raise CallFailed(
                 Code.request_too_large,
-                detail=f'head over {self._head_bytes} bytes',
+                detail=f'head exceeds the limit of {self._head_bytes} bytes',
             )
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -1,4 +1,4 @@
-"""The connections of an entry to the owners it calls."""
+"""Connections of an entry to the owners that it calls."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class PeerPool:
-    """The connections of an entry to the owners it calls."""
+    """Connections of an entry to the owners that it calls.
+
+    A ``PeerObserver`` of its connections.
+    """
 
     def __init__(
         self,
@@ -39,29 +42,31 @@
         listener: OwnerListener,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with none.
+        """Create a pool without connections.
 
         Args:
-            loop: carries the connections.
-            listener: is told what owners say, and who says nothing.
-            recorder: gets an event for each connection that is lost.
+            loop: event loop of the connections.
+            listener: receives load reports, and which owners leave or are
+                silent.
+            recorder: records an event for each lost connection.
         """
         self._loop = loop
         self._listener = listener
         self._recorder = recorder
         self._peers: dict[Address, RemotePeer] = {}
-        # They begin no new call and end with those under way.
+        # Retired connections open no new call and close after those in
+        # progress.
         self._retired: set[RemotePeer] = set()
 
     def find(self, address: Address, *, compressed: bool) -> RemotePeer:
-        """Find the connection to an owner, a new one if there is none.
+        """Find the connection to an owner, or open one.
 
         Args:
-            address: of the owner.
-            compressed: whether a new one is compressed.
+            address: address of the owner.
+            compressed: whether a new connection is compressed.
 
         Returns:
-            The connection, perhaps not open yet.
+            The connection, which may not be established yet.
         """
         peer = self._peers.get(address)
         if peer is None:
@@ -75,11 +80,11 @@
         return peer
 
     def keep_only(self, needed: dict[Address, bool]) -> None:
-        """Open what will be needed and close what is idle and is not.
+        """Open connections that are needed and close idle ones that are not.
 
         Args:
-            needed: addresses of the owners that calls may go to, and
-                whether connections to them are compressed.
+            needed: addresses of the owners that calls may go to, and whether
+                connections to them are compressed.
         """
         for address, compressed in needed.items():
             self.find(address, compressed=compressed)
@@ -93,19 +98,20 @@
             peer.close(STOPPING_REASON)
 
     def note_leaving(self, peer: RemotePeer) -> None:
-        """Set a connection aside; see ``PeerObserver``.
+        """Retire a connection to a leaving owner; see ``PeerObserver``.
 
         Args:
-            peer: to an owner that takes no new calls.
+            peer: connection to an owner that accepts no new calls.
         """
         self._listener.note_leaving(peer.address)
         self._retire(peer)
 
     def note_silent(self, peer: RemotePeer) -> None:
-        """Set a connection aside; see ``PeerObserver``.
+        """Retire a silent connection; see ``PeerObserver``.
 
         Args:
-            peer: on which nothing comes; its calls may wait on it.
+            peer: connection on which nothing is received; its calls may keep
+                waiting on it.
         """
         if peer not in self._retired:
             _record(
@@ -115,7 +121,7 @@
                 detail='calls wait',
             )
             self._retire(peer)
-        # Whether the owner is there is found out on a newer connection.
+        # A newer connection shows whether the owner is alive.
         newer = self.find(peer.address, compressed=peer.is_compressed)
         if newer.last_received_at > peer.silent_since:
             peer.note_newer_connection_works()
@@ -124,20 +130,20 @@
         newer.ping()
 
     def note_refused(self, peer: RemotePeer) -> None:
-        """Give up what is silent; see ``PeerObserver``.
+        """Close the silent connections to an owner; see ``PeerObserver``.
 
         Args:
-            peer: a newer connection to an owner whose process is gone.
+            peer: newer connection to the owner, whose process has ended.
         """
         for silent in _list_silent(self._retired, peer.address):
             silent.close(REFUSED_REASON)
 
     def note_closed(self, peer: RemotePeer, detail: str) -> None:
-        """Forget a connection; see ``PeerObserver``.
+        """Remove a closed connection; see ``PeerObserver``.
 
         Args:
-            peer: that is closed.
-            detail: why.
+            peer: closed connection.
+            detail: reason for closing.
         """
         self._retired.discard(peer)
         self._remove(peer)
@@ -150,11 +156,11 @@
             )
 
     def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
-        """Pass on how full an owner is; see ``PeerObserver``.
+        """Pass a load report to the listener; see ``PeerObserver``.
 
         Args:
-            peer: to that owner.
-            load: its word.
+            peer: connection to the owner.
+            load: load report.
         """
         self._listener.note_load(peer.address, load)
 
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -1,10 +1,10 @@
 """The entry's side of the connections between nodes.
 
-One connection to each owner carries all calls to it. It is opened before it
-is needed and asked whether it is alive while calls wait on it. When nothing
-comes back it is set aside: further calls take a new connection, and those
-under way on it wait on, since an owner that is silent may still answer. They
-are given up when their owner is known to be gone.
+One connection to each owner carries all calls to it. It is opened before it is
+needed, and pinged while calls wait on it. If the owner does not answer, the
+connection is retired: new calls use a new connection, while calls in progress
+keep waiting, since a silent owner may still answer. They fail once the owner is
+known to be gone.
 """
 
 from __future__ import annotations
@@ -38,89 +38,91 @@
     from wagtaildale.reactor.loop import Loop
 
 # A round trip within a region takes a few milliseconds, and a lost packet is
-# sent again after 200 ms at the least; twice that leaves room for one loss.
+# resent after 200 ms at the earliest; twice that leaves room for one loss.
 CONNECT_SECONDS: Final = 0.5
-# While calls wait and nothing comes, the other side is asked this often,
+# Interval of pings while calls wait and nothing is received.
 PING_SECONDS: Final = 0.25
-# and the connection is set aside once a ping was unanswered for as long.
+# A connection is retired after this time without input: a ping has then been
+# unanswered for a whole interval.
 RETIRE_SECONDS: Final = 0.75
-# Calls under way on it go elsewhere after this time: two losses in a row, and
-# still short of what most requests are worth waiting for. By then a newer
-# connection has had the time to show that the owner is there.
+# Calls move to another upstream after this time without input: two losses in a
+# row, and still shorter than most requests are worth waiting for. By then a
+# newer connection has had time to show that the owner is alive.
 FAILOVER_SECONDS: Final = 1.0
 SILENT_REASON: Final = 'silent'
 REPLACED_REASON: Final = 'silent while a newer connection works'
 REFUSED_REASON: Final = 'silent, and a newer connection is refused'
 OWNER_LEAVES_REASON: Final = 'the owner leaves'
 
-# What an owner says of itself, and of no call.
+# Messages that concern the owner and no single call.
 OwnerNotice = LoadReport | DrainNotice
 
 
 class PeerReceiver(Protocol):
-    """Whoever made a call."""
+    """Receives what becomes of a call."""
 
     def on_frame(self, frame: ToEntry) -> None:
-        """Take a message of the owner.
+        """Handle a message of the owner.
 
         Args:
-            frame: the message.
+            frame: message of the owner.
         """
 
     def on_peer_silent(self, failure: CallFailed) -> None:
-        """Learn that nothing was heard for a while; an answer may yet come.
+        """Handle a silent owner, which may still answer.
 
-        Told again, as long as it lasts, with each ping.
+        Called again with each ping while the owner stays silent.
 
         Args:
-            failure: that the call has if it is given up now.
+            failure: failure of the call if it is given up now.
         """
 
     def on_peer_lost(self, failure: CallFailed) -> None:
-        """Learn that no further message comes.
+        """Handle the loss of the connection: no more messages arrive.
 
         Args:
-            failure: with outcome ``not_run`` if nothing was ever sent.
+            failure: failure of the call; its outcome is ``not_run`` if nothing
+                was ever sent.
         """
 
 
 class Peer(Protocol):
-    """An owner as an entry speaks to it."""
+    """An owner as seen by an entry."""
 
     def open_call(self, receiver: PeerReceiver) -> CallNumber:
-        """Begin a call.
+        """Open a call.
 
         Args:
-            receiver: gets the owner's messages.
+            receiver: receives the owner's messages.
 
         Returns:
-            The number by which messages name the call.
+            Number that identifies the call in messages.
         """
 
     def send(self, frame: ToOwner) -> None:
         """Send a message.
 
         Args:
-            frame: the message.
+            frame: message to the owner.
         """
 
     def close_call(self, number: CallNumber, *, cancelled: bool) -> None:
-        """End a call.
+        """Close a call.
 
         Args:
-            number: the call.
-            cancelled: whether the owner is to stop what it does for it.
+            number: number of the call.
+            cancelled: whether the owner is to stop its work for the call.
         """
 
 
 class LocalPeer:
-    """The owner in this process: no socket between."""
+    """The owner in this process, called without a socket."""
 
     def __init__(self, owner: Owner) -> None:
-        """Speak to the node's own owner.
+        """Connect to the node's own owner.
 
         Args:
-            owner: of the backend server beside this node.
+            owner: owner of the local backend server.
         """
         self._loop = owner.loop
         self._calls = CallTable(owner, reply=self._deliver)
@@ -129,17 +131,17 @@
 
     @property
     def active_calls(self) -> int:
-        """How many calls are under way."""
+        """Number of calls in progress."""
         return self._calls.active_calls
 
     def open_call(self, receiver: PeerReceiver) -> CallNumber:
-        """Begin a call; see ``Peer``.
+        """Open a call; see ``Peer``.
 
         Args:
-            receiver: gets the owner's messages.
+            receiver: receives the owner's messages.
 
         Returns:
-            The call's number.
+            Number of the call.
         """
         self._last_number += 1
         number = CallNumber(self._last_number)
@@ -147,26 +149,27 @@
         return number
 
     def send(self, frame: ToOwner) -> None:
-        """Hand a message over; see ``Peer``.
+        """Pass a message to the owner; see ``Peer``.
 
         Args:
-            frame: the message.
+            frame: message to the owner.
         """
         self._calls.handle_frame(frame)
 
     def close_call(self, number: CallNumber, *, cancelled: bool) -> None:
-        """End a call; see ``Peer``.
+        """Close a call; see ``Peer``.
 
         Args:
-            number: the call.
-            cancelled: whether the owner is to stop what it does for it.
+            number: number of the call.
+            cancelled: whether the owner is to stop its work for the call.
         """
         self._receivers.pop(number, None)
         if cancelled:
             self._calls.handle_frame(Cancel(number))
 
     def _deliver(self, frame: ToEntry) -> None:
-        # Not from within the entry's own call of ``send``.
+        # Deferred, so that the receiver is not called while the entry is still
+        # in its own call of ``send``.
         self._loop.call_soon(lambda: self._dispatch(frame))
 
     def _dispatch(self, frame: ToEntry) -> None:
@@ -177,62 +180,65 @@
 
 
 class PeerObserver(Protocol):
-    """Whoever keeps the connections to owners."""
+    """Receives what happens to connections to owners."""
 
     def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
-        """Learn how full an owner is, and how fast.
+        """Handle a load report of an owner.
 
         Args:
-            peer: to that owner.
-            load: its word.
+            peer: connection to the owner.
+            load: load report.
         """
 
     def note_leaving(self, peer: RemotePeer) -> None:
-        """Learn that an owner takes no new calls.
+        """Handle an owner that accepts no new calls.
 
         Args:
-            peer: the connection to it; it ends with the calls under way.
+            peer: connection to the owner; it closes after the calls in
+                progress.
         """
 
     def note_silent(self, peer: RemotePeer) -> None:
-        """Learn that a connection is not to be used for further calls.
+        """Handle a connection that must not be used for new calls.
+
+        Called again with each ping while the connection stays silent.
 
         Args:
-            peer: on which nothing comes; told with each ping.
+            peer: connection on which nothing is received.
         """
 
     def note_refused(self, peer: RemotePeer) -> None:
-        """Learn that nothing listens at an owner's address any more.
+        """Handle an address of an owner where nothing listens any more.
 
         Args:
-            peer: the connection that was refused.
+            peer: connection that was refused.
         """
 
     def note_closed(self, peer: RemotePeer, detail: str) -> None:
-        """Learn that a connection is gone.
+        """Handle a closed connection.
 
         Args:
-            peer: that is closed.
-            detail: why.
+            peer: closed connection.
+            detail: reason for closing.
         """
 
 
 class RemotePeer:
     """An owner in another process; a ``StreamReceiver``.
 
-    A connection is set aside when its owner leaves, or when nothing comes
-    for a while: it begins no new call and closes after its last one. A
-    silent one is closed sooner when its owner is known to be gone.
+    The connection is retired when its owner leaves, or when nothing is received
+    for a while: it opens no new call and closes after its last one. A silent
+    one closes earlier if its owner is known to be gone.
 
     Attributes:
-        address: of the owner.
-        is_compressed: whether what goes both ways is.
-        is_open: whether the connection stands.
-        is_silent: whether nothing came for so long that it was set aside.
-        is_leaving: whether its owner takes no new calls.
-        is_closed: whether it is of no more use.
-        silent_since: since when silence counts, seconds on the clock.
-        last_received_at: when something last came; 0 before the first.
+        address: address of the owner.
+        is_compressed: whether both directions are compressed.
+        is_open: whether the connection is established.
+        is_silent: whether it was retired because nothing was received.
+        is_leaving: whether its owner accepts no new calls.
+        is_closed: whether it is closed.
+        silent_since: start of the current silence, in seconds on the clock.
+        last_received_at: time of the last input; 0 before the first.
     """
 
     def __init__(
@@ -243,13 +249,13 @@
         compressed: bool,
         observer: PeerObserver,
     ) -> None:
-        """Begin to connect.
+        """Start to connect.
 
         Args:
-            loop: carries the connection.
-            address: of the owner.
-            compressed: whether to compress what goes both ways.
-            observer: is told what becomes of it.
+            loop: event loop of the connection.
+            address: address of the owner.
+            compressed: whether to compress both directions.
+            observer: receives what happens to the connection.
         """
         self.address = address
         self.is_compressed = compressed
@@ -274,30 +280,31 @@
 
     @property
     def active_calls(self) -> int:
-        """How many calls are under way."""
+        """Number of calls in progress."""
         return len(self._receivers)
 
     @property
     def silent_seconds(self) -> float:
-        """Time since anything was heard of the owner, or it was asked."""
+        """Seconds since the last input, or since calls began to wait."""
         return read_clock() - self.silent_since
 
     @property
     def unsent(self) -> int:
-        """Bytes that the connection has yet to take."""
+        """Number of bytes not yet sent."""
         return self._stream.unsent
 
     def open_call(self, receiver: PeerReceiver) -> CallNumber:
-        """Begin a call; see ``Peer``.
+        """Open a call; see ``Peer``.
 
         Args:
-            receiver: gets the owner's messages.
+            receiver: receives the owner's messages.
 
         Returns:
-            The call's number.
+            Number of the call.
         """
         if not self._receivers:
-            # Silence counts from when somebody began to wait.
+            # An idle connection is not silent: count from the first waiting
+            # call.
             self.silent_since = read_clock()
         self._last_number += 1
         number = CallNumber(self._last_number)
@@ -312,7 +319,7 @@
         """Send a message; see ``Peer``.
 
         Args:
-            frame: the message.
+            frame: message to the owner.
         """
         timed_frame = add_send_time(
             frame, elapsed_seconds=read_clock() - self._connecting_since
@@ -320,11 +327,11 @@
         self._stream.send(self._writer.write(timed_frame))
 
     def close_call(self, number: CallNumber, *, cancelled: bool) -> None:
-        """End a call; see ``Peer``.
+        """Close a call; see ``Peer``.
 
         Args:
-            number: the call.
-            cancelled: whether the owner is to stop what it does for it.
+            number: number of the call.
+            cancelled: whether the owner is to stop its work for the call.
         """
         receiver = self._receivers.pop(number, None)
         if receiver is not None and cancelled and not self.is_closed:
@@ -332,17 +339,18 @@
         self._close_if_unused()
 
     def ping(self) -> None:
-        """Ask whether the owner is there."""
+        """Ping the owner if the connection is open."""
         if self.is_open:
             self.send(Ping())
 
     def note_newer_connection_works(self) -> None:
-        """Learn that the owner answers on a newer connection; told again.
+        """Close if a newer connection has worked for long enough.
 
-        Failure guarded here: a connection goes silent for good while new
-        ones work, and the calls on it wait until their deadline for nothing.
-        After an outage TCP sends again after up to as long as it lasted, so
-        that much is given to a line that was only held up.
+        Called repeatedly while a newer connection to the owner gets answers. A
+        connection may stay silent for good while newer ones work, and its calls
+        would wait until their deadline for nothing. After an outage, TCP
+        resends after a delay of up to the length of the outage, so a connection
+        that was only interrupted is given that much time.
         """
         now = read_clock()
         if self._abandon_at is None:
@@ -351,10 +359,10 @@
             self.close(REPLACED_REASON)
 
     def close(self, detail: str) -> None:
-        """Give the connection up; every call on it hears so.
+        """Close the connection and fail all its calls.
 
         Args:
-            detail: why.
+            detail: reason for closing.
         """
         if self.is_closed:
             return
@@ -368,15 +376,15 @@
             receiver.on_peer_lost(self._make_failure(detail))
 
     def on_open(self) -> None:
-        """Learn that the connection stands."""
+        """Note that the connection is established."""
         self.is_open = True
         self.silent_since = read_clock()
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take frames.
+        """Handle received frames.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
         """
         self.silent_since = read_clock()
         self.last_received_at = self.silent_since
@@ -390,21 +398,21 @@
             self._handle_frame(frame)
 
     def on_end(self) -> None:
-        """Learn that the owner has closed."""
-        self.close('closed by the other side')
+        """Close because the owner has closed."""
+        self.close('closed by the owner')
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the connection is gone.
+        """Close because the connection is lost.
 
         Args:
-            error: why.
+            error: error of the socket.
         """
         if error.errno == errno.ECONNREFUSED:
             self._observer.note_refused(self)
         self.close(str(error))
 
     def on_drained(self) -> None:
-        """Do nothing: windows bound what is sent."""
+        """Do nothing: flow control windows limit the output."""
 
     def _handle_frame(self, frame: Frame) -> None:
         if isinstance(frame, Ping):
@@ -430,8 +438,9 @@
         self._close_if_unused()
 
     def _close_if_unused(self) -> None:
-        # Failure: a leaving owner closes while a run message is on the wire.
-        # With no call under way nothing is, and this side closes first.
+        # If the owner closed first, a run message could be on the wire and be
+        # lost. Without calls in progress there is none, so this side closes
+        # first.
         if self._receivers:
             return
         if self.is_leaving:
@@ -441,7 +450,7 @@
 
     def _check_liveness(self) -> None:
         if not self.is_open:
-            self.close('connecting took too long')
+            self.close('connecting timed out')
             return
         if not self._receivers:
             return
@@ -456,17 +465,18 @@
         self._alarm = self._loop.alarms.set(PING_SECONDS, self._check_liveness)
 
     def _exclude_own_pause(self) -> None:
-        # Failure: this process itself stood still, and takes every owner for
-        # silent before it has read what they sent meanwhile.
+        # If this process was paused, input of that time is not read yet.
+        # Without this, every owner would count as silent after the pause.
         now = read_clock()
         late = now - self._alarm.at
         if late > PING_SECONDS:
             self.silent_since = min(now, self.silent_since + late)
 
     def _handle_silence(self, seconds: float) -> None:
-        # Failure: a line stands still for some seconds, and every call on it
-        # is told 502 while its server works on it. Silence is no word of the
-        # owner; a call leaves it for another or waits, as the call decides.
+        # A connection that stalls for some seconds must not fail its calls with
+        # 502 while the backend server works on them. Silence does not prove
+        # that the owner is gone: each call decides whether it waits or moves to
+        # another upstream.
         self.is_silent = True
         self._observer.note_silent(self)
         if seconds > FAILOVER_SECONDS:
@@ -475,7 +485,7 @@
         self._close_if_unused()
 
     def _make_failure(self, detail: str) -> CallFailed:
-        # What was handed to a connection that never opened has not left
+        # Messages for a connection that was never established have not left
         # this process.
         return CallFailed(
             Code.peer_lost if self.is_open else Code.backend_unreachable,
--- a/wagtaildale/calls/pending_input.py
+++ b/wagtaildale/calls/pending_input.py
@@ -1,7 +1,7 @@
-"""Looks at what has come on a connection without taking it.
+"""Checks for unread input of a connection without reading it.
 
-A task looks at its sockets one after the other: what came on a connection a
-moment ago may not have been handled yet when something is decided on it.
+The event loop handles its sockets one after another: input of a connection may
+have arrived but not be handled yet when a decision depends on it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @final
 class PendingInput(Enum):
-    """What waits to be read on a connection."""
+    """Kind of unread input on a connection."""
 
     nothing = 'nothing'
     bytes_came = 'bytes_came'
@@ -24,13 +24,13 @@
 
 
 def peek_input(stream: Stream) -> PendingInput:
-    """Look at what waits to be read on a connection.
+    """Check for unread input on a connection.
 
     Args:
-        stream: the connection.
+        stream: connection to check.
 
     Returns:
-        Whether bytes have come, or the connection has ended.
+        Whether bytes are waiting, or the connection has ended.
     """
     if stream.is_closed:
         return PendingInput.ended
--- a/wagtaildale/calls/readiness.py
+++ b/wagtaildale/calls/readiness.py
@@ -1,4 +1,4 @@
-"""Tells whoever asks over HTTP whether this node takes callers."""
+"""HTTP endpoint that tells whether this node accepts callers."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 
 class ReadinessHandler:
-    """Answers ``GET /ready``; an ``RequestHandler``.
+    """Answers ``GET /ready``; a ``RequestHandler``.
 
-    It runs in the loop that carries the calls, so that a node whose calls
-    stand still does not say it is ready.
+    It runs in the event loop that carries the calls, so that a node whose calls
+    are stuck does not report that it is ready.
     """
 
     def __init__(self, read_state: Callable[[], NodeState]) -> None:
-        """Tell what the node's state says.
+        """Report a state that is read for each request.
 
         Args:
-            read_state: gives it.
+            read_state: returns the state of the node.
         """
         self._read_state = read_state
 
     def handle_request(self, exchange: Exchange) -> None:
-        """Answer one question; see ``RequestHandler``.
+        """Answer one request; see ``RequestHandler``.
 
         Args:
-            exchange: the question.
+            exchange: exchange with the request.
         """
         state = self._read_state()
         status = UNREADY_STATUS
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -1,4 +1,4 @@
-"""What an owner answers on one call, as messages to its entry."""
+"""Messages that an owner sends to an entry for one call."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
 
 
 class EntryChannel(Protocol):
-    """The way back to the entry that a call came from."""
+    """Connection back to the entry that a call came from."""
 
     def reply(self, frame: ToEntry) -> None:
         """Send a message to the entry.
 
         Args:
-            frame: the message.
+            frame: message to the entry.
         """
 
     def forget(self, number: CallNumber) -> None:
-        """Learn that a call is over.
+        """Remove a finished call.
 
         Args:
-            number: the call.
+            number: number of the call.
         """
 
 
 class ReplyWriter:
-    """Writes the answers on one call."""
+    """Writes the messages to the entry for one call."""
 
     def __init__(
         self,
@@ -58,13 +58,13 @@
         channel: EntryChannel,
         times: CallTimes,
     ) -> None:
-        """Prepare.
+        """Prepare the writer.
 
         Args:
-            owner: describes itself in each answer.
-            number: of the call, on the entry's connection.
-            channel: the way back.
-            times: of the call.
+            owner: owner whose state is sent with each answer.
+            number: number of the call on the entry's connection.
+            channel: connection to the entry.
+            times: times of the call.
         """
         self._owner = owner
         self._number = number
@@ -72,11 +72,11 @@
         self._times = times
 
     def send_grant(self, fields: CallFields, *, lease: TicketId) -> None:
-        """Tell that a slot is held.
+        """Tell the entry that a slot is held for the call.
 
         Args:
-            fields: of the call.
-            lease: names the slot in the run message.
+            fields: fields of the call.
+            lease: identifies the slot in the run message.
         """
         answer = structs.replace(self._owner.describe(fields), lease=lease)
         self._channel.reply(Granted(self._number, answer))
@@ -89,13 +89,13 @@
         more: bool,
         length: int,
     ) -> None:
-        """Pass the backend server's answer on, or its beginning.
+        """Send the backend server's response, or its beginning.
 
         Args:
-            fields: of the call.
-            answer: what has come of it.
-            more: whether pieces follow.
-            length: of the body where the response announces it, else -1.
+            fields: fields of the call.
+            answer: response as far as it has arrived.
+            more: whether more of the body follows.
+            length: announced length of the body in bytes, or -1.
         """
         self._channel.reply(
             Answered(
@@ -114,11 +114,11 @@
         )
 
     def replay(self, fields: CallFields, kept: KeptAnswer) -> None:
-        """Give the answer that a repeated idempotency key had before.
+        """Send the answer that was kept for a repeated idempotency key.
 
         Args:
-            fields: of the call.
-            kept: the answer.
+            fields: fields of the call.
+            kept: the kept answer.
         """
         self._channel.reply(
             Answered(
@@ -133,32 +133,32 @@
         )
 
     def send_body(self, piece: bytes, *, more: bool) -> None:
-        """Pass more of the answer on.
+        """Send more of the response's body.
 
         Args:
-            piece: of its body.
-            more: whether pieces follow.
+            piece: bytes of the body.
+            more: whether more of the body follows.
         """
         self._channel.reply(BodyPiece(self._number, piece, more=more))
 
     def send_window_update(self, size: int) -> None:
-        """Tell that the backend server has taken a part of the request.
+        """Tell the entry that the backend server has taken a part of the body.
 
         Args:
-            size: of it, bytes.
+            size: size of the part in bytes.
         """
         self._channel.reply(WindowUpdate(self._number, size))
 
     def abort(self) -> None:
-        """Tell that an answer that was begun breaks off."""
+        """Tell the entry that a response is cut off."""
         self._channel.reply(ResponseAborted(self._number))
 
     def send_failure(self, fields: CallFields, failure: CallFailed) -> None:
-        """Tell that there is no answer.
+        """Tell the entry that there is no response.
 
         Args:
-            fields: of the call.
-            failure: why, and whether the request has run.
+            fields: fields of the call.
+            failure: reason, and whether the request ran.
         """
         answer = self._owner.describe(
             fields,
--- a/wagtaildale/calls/responses.py
+++ b/wagtaildale/calls/responses.py
@@ -1,4 +1,4 @@
-"""Writes responses to callers: whole where they are small, else in pieces."""
+"""Writes responses to callers, at once or in pieces."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class ResponseHead(Struct, frozen=True, kw_only=True, gc=False):
-    """The head of a response on its way to a caller.
+    """The head of a response to a caller.
 
     Attributes:
         status: HTTP status.
-        headers: those that go on, without the body's framing.
-        length: of the body if it was announced, else ``UNKNOWN_LENGTH``.
+        headers: headers without those that frame the body.
+        length: announced length of the body in bytes, or ``UNKNOWN_LENGTH``.
     """
 
     status: int
@@ -46,11 +46,11 @@
     """
 
     def __init__(self, method: bytes, *, closing: bool) -> None:
-        """Begin a response.
+        """Start a response.
 
         Args:
-            method: of the request; HEAD gets no body.
-            closing: whether the connection closes after it.
+            method: HTTP method of the request; HEAD gets no body.
+            closing: whether the connection closes after the response.
         """
         self._has_body = method != b'HEAD'
         self._closes_connection = closing
@@ -60,12 +60,12 @@
         """Write the head and the beginning of the body.
 
         Args:
-            head: of the response.
-            body: all of it, or its beginning.
-            more: whether pieces follow.
+            head: head of the response.
+            body: the whole body, or its beginning.
+            more: whether more of the body follows.
 
         Returns:
-            The bytes to send.
+            Bytes to send.
         """
         if head.status in BODILESS_STATUSES:
             self._has_body = False
@@ -79,11 +79,11 @@
         """Write a piece of the body.
 
         Args:
-            piece: may be empty where only the end is told.
-            more: whether pieces follow.
+            piece: bytes of the body; may be empty if they only mark the end.
+            more: whether more of the body follows.
 
         Returns:
-            The bytes to send.
+            Bytes to send.
         """
         if not self._has_body:
             return b''
--- a/wagtaildale/calls/serial_runs.py
+++ b/wagtaildale/calls/serial_runs.py
@@ -1,7 +1,7 @@
-"""One run at a time of each request that may end its server.
+"""Runs each request that may end its backend server one at a time.
 
-Failure guarded here: a request comes thirty times a second, and all of its
-runs that wait for one server reach it in the moment in which it is back.
+Without this, if such a request comes thirty times a second, all of its runs
+that wait for one backend server reach it at the moment it is back.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
     from wagtaildale.suspects.fingerprints import Subject
 
 RetryCallback = Callable[[], None]
-# Runs that wait for one before them; more are refused.
+# Runs of a request that wait for another one; further runs are refused.
 MAX_WAITING_RUNS: Final = 16
 
 
 class SerialRuns:
-    """Whose turn it is, of each request that is asked for by many."""
+    """Allows one run at a time for each suspected request."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without runs."""
         self._running: dict[Subject, Run] = {}
         self._waiting: dict[Subject, deque[RetryCallback]] = {}
 
@@ -34,15 +34,15 @@
         *,
         on_turn: RetryCallback,
     ) -> bool:
-        """Take a turn, or wait for it.
+        """Start a run, or wait until the current one is over.
 
         Args:
-            subject: what is asked for.
-            run: that asks for it.
-            on_turn: asks again when the one before is over.
+            subject: identifies the request.
+            run: run that wants to start.
+            on_turn: called to try again when the current run is over.
 
         Returns:
-            Whether it is its turn.
+            Whether the run may start now.
         """
         if subject not in self._running:
             self._running[subject] = run
@@ -51,21 +51,21 @@
         return False
 
     def is_full(self, subject: Subject) -> bool:
-        """Tell whether no more may wait for a request.
+        """Tell whether no more runs of a request may wait.
 
         Args:
-            subject: what is asked for.
+            subject: identifies the request.
 
         Returns:
-            Whether there are enough.
+            Whether the limit of waiting runs is reached.
         """
         return len(self._waiting.get(subject, ())) >= MAX_WAITING_RUNS
 
     def release(self, run: Run) -> None:
-        """End a turn; those that wait ask again, until one has it.
+        """End a run and let waiting ones try again until one starts.
 
         Args:
-            run: that is over, whether it had a turn or not.
+            run: run that is over, whether or not it was started here.
         """
         held = [each for each, having in self._running.items() if having is run]
         for subject in held:
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -42,26 +42,26 @@
     from wagtaildale.errors.faults import Fault
     from wagtaildale.telemetry.events import EventRecorder
 
-# Calls of one entry that an owner holds at once; the queue in front of its
-# backend server is far shorter.
+# Calls of one entry that an owner holds at once; far more than the queue in
+# front of its backend server.
 MAX_CALLS_PER_ENTRY: Final = 4096
 
 
 class PeerPort:
-    """The port on which other nodes' calls come to this node's owner.
+    """The port where the owner accepts connections of other nodes.
 
     Attributes:
-        owner: of the backend server.
-        recorder: gets an event for bytes that are no frames.
+        owner: owner of the backend server.
+        recorder: records an event for invalid frames.
         acceptor: listens on the port.
     """
 
     def __init__(self, owner: Owner, *, recorder: EventRecorder) -> None:
-        """Prepare; ``bind`` opens the port.
+        """Prepare the port; ``bind`` opens it.
 
         Args:
-            owner: of the backend server.
-            recorder: gets an event for bytes that are no frames.
+            owner: owner of the backend server.
+            recorder: records an event for invalid frames.
         """
         self.owner = owner
         self.recorder = recorder
@@ -71,55 +71,55 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._sessions)
 
     @property
     def is_closed(self) -> bool:
-        """Whether no connection is open and none can come."""
+        """Whether no connection is open and none is accepted."""
         return self.acceptor.is_closed and not self._sessions
 
     @property
     def active_calls(self) -> int:
-        """How many calls are under way."""
+        """Number of calls in progress."""
         return sum(session.active_calls for session in tuple(self._sessions))
 
     def bind(self, address: Address) -> Result[None, Fault]:
         """Open the port.
 
         Args:
-            address: to listen on.
+            address: address to listen on.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault that prevented it.
         """
         return self.acceptor.bind(address.host, address.port)
 
     def start(self) -> None:
-        """Accept connections; in the loop's thread."""
+        """Start to accept connections; call it in the loop's thread."""
         self.acceptor.start()
 
     def announce_drain(self) -> None:
-        """Tell every entry that this owner takes no new calls."""
+        """Tell every entry that this owner accepts no new calls."""
         for session in tuple(self._sessions):
             session.calls.announce_drain()
 
     def finish(self) -> None:
-        """Close what entries have left open, without a reset."""
+        """Close connections that entries have left open, without a reset."""
         for session in tuple(self._sessions):
             session.finish()
 
     def stop(self) -> None:
-        """Close the port and everything on it."""
+        """Close the port and all its connections."""
         self.acceptor.close_now()
         for session in tuple(self._sessions):
             session.close()
 
     def forget(self, session: PeerSession) -> None:
-        """Forget a connection that is closed.
+        """Remove a closed connection.
 
         Args:
-            session: of this port.
+            session: session of this port.
         """
         self._sessions.discard(session)
 
@@ -132,10 +132,11 @@
 
 
 class CallTable:
-    """The calls of one entry at this owner, by their numbers.
+    """The calls of one entry at this owner, by call number.
 
     Attributes:
-        owner: of the backend server.
+        owner: owner of the backend server.
+        reply: sends a message to the entry.
     """
 
     def __init__(
@@ -144,10 +145,10 @@
         *,
         reply: Callable[[ToEntry], None],
     ) -> None:
-        """Begin with none.
+        """Create a table without calls.
 
         Args:
-            owner: of the backend server.
+            owner: owner of the backend server.
             reply: sends a message to the entry.
         """
         self.owner = owner
@@ -158,26 +159,27 @@
 
     @property
     def active_calls(self) -> int:
-        """How many calls are under way."""
+        """Number of calls in progress."""
         return len(self._calls)
 
     def forget(self, number: CallNumber) -> None:
-        """Forget a call that is over.
+        """Remove a finished call.
 
         Args:
-            number: the call.
+            number: number of the call.
         """
         self._calls.pop(number, None)
 
     def cancel_all(self) -> None:
-        """Stop every call: the entry is gone."""
+        """Cancel every call because the entry is disconnected."""
         for call in tuple(self._calls.values()):
             call.cancel()
 
     def enable_drain_notice(self) -> None:
-        """Learn that the entry knows ``DrainNotice``; it may be due already.
+        """Note that the entry understands ``DrainNotice``.
 
-        So may be what other entries were told unasked before this one came.
+        Sends the notice if the owner already drains, and the current load
+        report, which other entries got before this one connected.
         """
         self._accepts_drain_notice = True
         self.announce_drain()
@@ -186,35 +188,36 @@
             self.reply(load)
 
     def announce_drain(self) -> None:
-        """Tell the entry that the owner takes no new calls, if it does not.
+        """Send a ``DrainNotice`` if the owner drains.
 
-        Failure guarded here: a run message is on the wire when the owner of
-        a planned stop closes the connection. It is lost unread, and its
-        entry cannot know that nothing ran. Told of the stop the entry sends
-        nothing more, and closes from its side when its calls are over.
+        Prevents lost run messages in a planned stop: if the owner closed the
+        connection while a run message is on the wire, it would be lost unread
+        and the entry could not know that nothing ran. After the notice the
+        entry sends no new calls, and closes the connection itself once its
+        calls are finished.
         """
         if self._accepts_drain_notice and self.owner.gate.state.draining:
             self.reply(DrainNotice())
 
     def handle_frame(self, frame: object) -> None:
-        """Take a message of the entry.
+        """Handle a message of the entry.
 
         Args:
-            frame: the message.
+            frame: message of the entry.
 
         Raises:
-            TypeError: for a message that no owner takes.
+            TypeError: if the message is not one to an owner.
         """
         dispatch_frame(frame, self)
 
     def measure_delay(self, fields: CallFields) -> float:
-        """Measure how long the message that has just come was held up.
+        """Measure how long the network delayed the message just received.
 
         Args:
-            fields: of the message.
+            fields: fields of the message.
 
         Returns:
-            Seconds; 0 if the entry does not tell when it was sent.
+            Delay in seconds; 0 if the message has no send time.
         """
         return self._transit_delay.measure_delay(
             fields.sent_ms, now=read_clock()
@@ -224,21 +227,21 @@
         """Find a call.
 
         Args:
-            number: the call.
+            number: number of the call.
 
         Returns:
-            The call, or nothing if it is over.
+            The call, or None if it is finished.
         """
         return self._calls.get(number)
 
     def find_or_create(self, number: CallNumber) -> OwnedCall | None:
-        """Find a call, a new one if there is none with the number.
+        """Find a call, or create it if the number is new.
 
         Args:
-            number: the call.
+            number: number of the call.
 
         Returns:
-            The call, or nothing if the entry has too many.
+            The call, or None if the entry has too many.
         """
         call = self._calls.get(number)
         if call is None and len(self._calls) < MAX_CALLS_PER_ENTRY:
@@ -249,16 +252,16 @@
 
 @singledispatch
 def dispatch_frame(frame: object, calls: CallTable) -> None:
-    """Give an owner a message of an entry.
+    """Pass a message of an entry to the handler of its type.
 
     Args:
-        frame: the message.
-        calls: of the entry.
+        frame: message of the entry.
+        calls: calls of the entry.
 
     Raises:
-        TypeError: for a message that no owner takes.
+        TypeError: if the message is not one to an owner.
     """
-    raise TypeError(f'got {frame!r}, expected a message to an owner')
+    raise TypeError(f'got {frame!r}, expected a message from an entry')
 
 
 @dispatch_frame.register
@@ -307,22 +310,22 @@
 
 @dispatch_frame.register
 def _handle_pong(frame: Pong, calls: CallTable) -> None:
-    """Do nothing: that it came is all it says."""
+    """Do nothing: only its arrival matters."""
 
 
 class PeerSession:
     """One connection of another node; a ``StreamReceiver``.
 
     Attributes:
-        calls: of the entry there.
+        calls: calls of that node's entry.
     """
 
     def __init__(self, port: PeerPort, sock: socket.socket) -> None:
-        """Take a connection.
+        """Take over an accepted connection.
 
         Args:
-            port: that accepted it.
-            sock: the socket.
+            port: port that accepted it.
+            sock: socket of the connection.
         """
         self._port = port
         self._stream = Stream(port.owner.loop, sock, self)
@@ -332,51 +335,51 @@
 
     @property
     def active_calls(self) -> int:
-        """How many calls are under way.
+        """Number of calls in progress.
 
-        Failure guarded here: a slow line has answers yet to take, their
-        calls are over, and a stop ends the process with them unsent.
+        Unsent output counts as one call: otherwise a stop would end the process
+        with answers unsent that a slow connection has yet to take.
         """
         return self.calls.active_calls or int(self._stream.unsent > 0)
 
     def send_load(self, load: LoadReport) -> None:
-        """Tell the entry how full and how fast the owner is.
+        """Send a load report to the entry.
 
-        Failure guarded here: until the entry's first byte has come nobody
-        knows whether it reads compressed frames.
+        Nothing is sent before the entry's first byte has arrived, since only
+        that tells whether the entry reads compressed frames.
 
         Args:
-            load: the owner's word.
+            load: load report of the owner.
         """
         if self._reader is not None:
             self._send(load)
 
     def finish(self) -> None:
-        """Close quietly; every call of the entry is cancelled."""
+        """Cancel all calls and close without a reset."""
         self.calls.cancel_all()
         self._stream.finish()
         self._port.forget(self)
 
     def close(self) -> None:
-        """Close at once; every call of the entry is cancelled."""
+        """Close at once and cancel all calls."""
         self._stream.close()
         self._port.forget(self)
         self.calls.cancel_all()
 
     def on_open(self) -> None:
-        """Do nothing: it was open from the start."""
+        """Do nothing: accepted connections are open from the start."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take frames.
+        """Handle received frames.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
         """
         try:
             self._handle_bytes(chunk)
         except (CallFailed, TypeError) as error:
-            # Failure: something that is no node of ours connects, or one of
-            # another build; nothing it sends is guessed at.
+            # The other side is not a node, or an incompatible build. The
+            # connection is closed; nothing it sends is interpreted.
             self._port.recorder.record(
                 EventKind.message_refused,
                 detail=str(error),
@@ -384,19 +387,19 @@
             self.close()
 
     def on_end(self) -> None:
-        """Learn that the entry has closed."""
+        """Close because the entry has closed."""
         self.close()
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the entry is gone.
+        """Close because the connection to the entry is lost.
 
         Args:
-            error: why.
+            error: error of the socket.
         """
         self.close()
 
     def on_drained(self) -> None:
-        """Do nothing: windows bound what is sent."""
+        """Do nothing: flow control windows limit the output."""
 
     def _handle_bytes(self, chunk: bytes) -> None:
         if self._reader is None:
@@ -413,5 +416,8 @@
 
 def _read_compression_mark(mark: bytes) -> bool:
     if mark not in {PLAIN, COMPRESSED}:
-        raise CallFailed(Code.message_malformed, detail='first byte')
+        raise CallFailed(
+            Code.message_malformed,
+            detail='first byte is no known compression mark',
+        )
     return mark == COMPRESSED
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -1,4 +1,4 @@
-"""The task that carries all calls of a node: its ports and its loop."""
+"""The task that carries all calls of a node: its ports and its event loop."""
 
 from __future__ import annotations
 
@@ -49,10 +49,11 @@
     from wagtaildale.types import InstanceId
 
 MILLISECONDS: Final = 1000
-# How soon what the list tells of the backend server here is taken up.
+# Interval at which the gate takes over the number of slots that the instance
+# list gives for the local backend server.
 SLOTS_CHECK_SECONDS: Final = 0.5
-# How long another thread waits until the loop has done what it asks; far
-# longer than a step of the loop.
+# How long a caller from another thread waits for the loop to run a submitted
+# function; far longer than one iteration of the loop.
 SUBMIT_WAIT_SECONDS: Final = 0.5
 READY_HEAD_BYTES: Final = 8192
 READY_CONNECTIONS: Final = 64
@@ -64,16 +65,16 @@
 
 
 class CallsTaskDependencies(Struct, frozen=True, kw_only=True):
-    """What the task that carries calls shares with the rest of the node.
+    """Parts that the task shares with the rest of the node.
 
     Attributes:
-        identity: of this process.
-        view: what calls are routed by.
-        tallies: counts of calls.
-        recorder: gets events.
-        invariants: are checked on each call.
-        states: the node's state, the latest last.
-        suspects: requests under which servers have ended.
+        identity: instance and incarnation of this process.
+        view: configuration and instance records that calls are routed by.
+        tallies: counters of calls.
+        recorder: records events.
+        invariants: checks that are made on each call.
+        states: states of the node; the last one is current.
+        suspects: requests during which backend servers have ended.
     """
 
     identity: Identity
@@ -86,21 +87,21 @@
 
 
 class CallsTaskSettings(Struct, frozen=True, kw_only=True):
-    """Where a node's calls come and go, and how they are carried.
+    """Addresses that calls use, and how calls are carried.
 
     Attributes:
-        service: of the backend server beside the node.
-        data_centre: the node's own.
-        entry_address: where callers' requests come.
-        owner_address: where other nodes' calls come.
-        ready_address: where the readiness endpoint listens; None to have
-            none.
-        backend_address: the backend server.
-        slots: requests that it runs at once, until the list tells.
-        limits: on callers, until a configuration has others.
+        service: service of the local backend server.
+        data_centre: data centre of this node.
+        entry_address: where the entry listens for callers.
+        owner_address: where the owner listens for other nodes.
+        ready_address: where the readiness endpoint listens; None disables it.
+        backend_address: where the local backend server listens.
+        slots: number of requests that the backend server runs at once, used
+            until the instance list gives one.
+        limits: limits on callers, used until a configuration has others.
         bounds: limits that the platform's operators publish.
-        chooser: of upstreams.
-        dialect: how callers and backend servers are spoken to.
+        chooser: algorithm that chooses an upstream.
+        dialect: header fields used with callers and backend servers.
         reserves: whether a non-idempotent request reserves a slot first.
         hedges: whether slow idempotent requests get a second attempt.
     """
@@ -121,15 +122,15 @@
 
 
 class CallsTask:
-    """Carries callers' requests and other nodes' calls in one loop.
+    """Carries callers' requests and other nodes' calls in one event loop.
 
     Attributes:
-        loop: carries the connections.
-        owner: of the backend server beside the node.
-        entry: takes callers' requests to upstreams.
-        callers: the port on which they come.
-        peer_port: the port on which other nodes' calls come.
-        local: calls of this entry to this owner.
+        loop: event loop of all connections.
+        owner: owner of the local backend server.
+        entry: sends callers' requests to upstreams.
+        caller_port: port that callers connect to.
+        peer_port: port that other nodes connect to.
+        local: calls from this node's entry to its own owner.
     """
 
     def __init__(
@@ -141,8 +142,8 @@
         """Build the parts; ``bind`` opens the ports.
 
         Args:
-            settings: where calls come and go.
-            dependencies: what is shared with the rest of the node.
+            settings: addresses and options of calls.
+            dependencies: parts shared with the rest of the node.
         """
         self._settings = settings
         self._dependencies = dependencies
@@ -190,7 +191,7 @@
 
     @property
     def active_calls(self) -> int:
-        """How many requests are under way."""
+        """Number of requests in progress."""
         owned = self.peer_port.active_calls + self.local.active_calls
         return max(
             self.caller_port.active_calls,
@@ -200,14 +201,14 @@
 
     @property
     def has_runs(self) -> bool:
-        """Whether the backend server here has requests under way."""
+        """Whether the local backend server has requests in progress."""
         return bool(self.owner.gate.state.running)
 
     def bind(self) -> Result[None, Fault]:
         """Open the ports.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault that prevented it.
         """
         settings = self._settings
         bound = self.caller_port.bind(settings.entry_address).and_then(
@@ -219,7 +220,7 @@
         return bound.and_then(lambda _none: self._readiness_port.bind(ready))
 
     def run(self) -> None:
-        """Carry calls until stopped, then close everything."""
+        """Carry calls until ``stop`` is called, then close everything."""
         self._start()
         self.loop.run()
         self.caller_port.stop()
@@ -230,38 +231,38 @@
         self.loop.close()
 
     def stop(self) -> None:
-        """End ``run``."""
+        """Make ``run`` return."""
         self.loop.stop()
 
     def announce_drain(self) -> None:
-        """Tell callers to go elsewhere; may be called from another thread."""
+        """Tell callers to close their connections; thread-safe."""
         self._run_in_loop(self.caller_port.drain)
 
     def drain(self) -> None:
-        """Take no new work; may be called from another thread."""
+        """Accept no new work; thread-safe."""
         self._run_in_loop(self._drain)
 
     def close_caller_port(self) -> None:
-        """Let no caller connect any more; may be called from another thread."""
+        """Accept no more connections from callers; thread-safe."""
         self._run_in_loop(self.caller_port.close_port)
 
     def close_peer_port(self) -> None:
-        """Let no node connect any more; may be called from another thread."""
+        """Accept no more connections from nodes; thread-safe."""
         self._run_in_loop(self.peer_port.acceptor.close)
 
     def finish_peers(self) -> None:
-        """Close what nodes left open; may be called from another thread."""
+        """Close the connections that nodes have left open; thread-safe."""
         self._run_in_loop(self.peer_port.finish)
 
     def close_idle(self) -> None:
-        """Close idle callers; may be called from another thread."""
+        """Close idle connections of callers; thread-safe."""
         self._run_in_loop(self.caller_port.close_idle)
 
     def read_limits(self) -> CallerLimits:
-        """Give what callers may send now.
+        """Return the limits on callers that are in force.
 
         Returns:
-            The configuration's limits, or the settings'.
+            Limits of the configuration, or of the settings if it has none.
         """
         defaults = self._settings.limits
         published = self._dependencies.view.current.limits
@@ -276,9 +277,9 @@
         )
 
     def _run_in_loop(self, work: Callable[[], None]) -> None:
-        # Failure: this task has ended by a defect, and whoever stops the
-        # node waits for its answer for ever; the process never ends, and no
-        # other is started. What is asked of a loop that is only slow is done
+        # If this task has ended because of a defect, the thread that stops the
+        # node must not wait for it forever: the process would never end and no
+        # other would be started. A loop that is only slow runs the function
         # later.
         submitted = self.loop.submit(work)
         wait((submitted,), timeout=SUBMIT_WAIT_SECONDS)
--- a/wagtaildale/calls/transit.py
+++ b/wagtaildale/calls/transit.py
@@ -1,23 +1,25 @@
-"""How long the line between two nodes held a call's messages up.
-
-An entry tells with ``Reserve`` and ``Run`` when it handed them to the
-connection, by its own steady clock, and the owner takes off the time left
-what a message was under way longer than others of its connection.
-
-Failure guarded here: a line stands still for seconds, or an owner is
-stopped, and what was sent meanwhile comes when nobody waits for it. An owner
-that counted the time left from the arrival would have its backend server
-run it for nobody.
-
-What the estimate cannot see counts as no delay, as if nothing were told:
-
-- the usual way itself, some milliseconds;
-- what held up the opening of the connection too, unless a later message
-  came faster: the opening counts as the first message;
-- what a machine slept through, where the clock does not count that
-  (``read_clock`` does), if it is the owner's. If it is the entry's, all it
-  sends looks late by its sleep, and what has less time left is refused,
-  unrun, until the window is over.
+"""Estimates how long the network delayed the messages of a call.
+
+An entry writes into ``Reserve`` and ``Run`` when it sent them, by its own
+steady clock. The owner estimates by how much a message took longer than others
+of its connection, and subtracts that from the time left.
+
+Without this, when a connection stalls for seconds or an owner is stopped,
+messages arrive after nobody waits for them any more. An owner that counted the
+time left from the arrival would run them at its backend server for nobody.
+
+Delays that the estimate cannot see count as zero, as if no send time were
+given:
+
+- the usual delay itself, some milliseconds;
+- a delay that affected the opening of the connection too, unless a later
+  message came faster: the opening counts as the first message;
+- time for which the owner's machine slept, if its clock does not count sleep
+  (``read_clock`` does).
+
+If the entry's machine slept and its clock stopped, everything it sends looks
+late by that time, and calls with less time left are refused without a run until
+the window has passed.
 """
 
 from __future__ import annotations
@@ -35,21 +37,21 @@
     from wagtaildale.calls.frames import ToOwner
 
 MILLISECONDS: Final = 1000
-# Outlasts what a connection survives: the kernel gives up on bytes that are
-# not acknowledged for 3 s. Short, since the calls of an entry whose clock
-# stood still are refused for up to twice as long.
+# Longer than a connection survives: the kernel closes it after 3 s without
+# acknowledgement. Kept short, because calls of an entry whose clock stopped are
+# refused for up to twice this time.
 WINDOW_SECONDS: Final = 3.0
-# Clocks that are being set right run up to 0.05% fast or slow. Without this,
-# two that run apart by a second over a night would make the first calls of
-# the morning look a second late.
+# Seconds per second. Clocks that are being adjusted run up to 0.05% fast or
+# slow. Without this, two clocks that drift apart by a second overnight would
+# make the first calls of the morning look a second late.
 MAX_CLOCK_DRIFT: Final = 0.001
-# Nothing comes before it is sent. By a clock that stood still it may look so;
-# what seems to come more than this too early does not tell when it was sent.
+# A message cannot arrive before it is sent, but seems to if a clock stopped. A
+# send time that is further ahead than this is ignored as invalid.
 MAX_CLOCK_LEAD_SECONDS: Final = 60.0
 
 
 class TransitDelayEstimator:
-    """The messages of one connection on their way, as its owner sees it.
+    """Estimates the delays of one connection's messages, at the owner.
 
     Example:
         >>> transit = TransitDelayEstimator(opened_at=100)
@@ -60,10 +62,11 @@
     """
 
     def __init__(self, *, opened_at: float) -> None:
-        """Begin with a connection.
+        """Start with a new connection.
 
         Args:
-            opened_at: when the owner took it, seconds on the owner's clock.
+            opened_at: time at which the owner accepted the connection, in
+                seconds on the owner's clock.
         """
         self._opened_at = opened_at
         self._clock_differences = LeastDifference(
@@ -72,19 +75,19 @@
             drift=MAX_CLOCK_DRIFT,
         )
         # The entry counts from when it began to open the connection, so the
-        # opening came like a message that was sent at zero. Without it the
-        # first message would look prompt however late it is.
+        # opening counts as a message sent at zero. Without it the first message
+        # would never look late.
         self._clock_differences.measure_excess(opened_at, now=opened_at)
 
     def measure_delay(self, sent_ms: int, *, now: float) -> float:
-        """Measure how long a message was held up.
+        """Measure how long a message was delayed.
 
         Args:
-            sent_ms: when it was sent, as ``CallFields`` tells it.
-            now: when it came, seconds on the owner's clock.
+            sent_ms: send time, as in ``CallFields``.
+            now: arrival time in seconds on the owner's clock.
 
         Returns:
-            Seconds, never negative; 0 if it is not told when it was sent.
+            Delay in seconds, never negative; 0 if the send time is unknown.
         """
         sent = sent_ms / MILLISECONDS
         latest_plausible = now - self._opened_at + MAX_CLOCK_LEAD_SECONDS
@@ -94,14 +97,14 @@
 
 
 def subtract_delay(fields: CallFields, *, delay: float) -> CallFields:
-    """Take a delay off the times that a call has left.
+    """Subtract a delay from the times that a call has left.
 
     Args:
-        fields: as they were sent.
-        delay: of the message that brought them, seconds.
+        fields: fields as they were sent.
+        delay: delay of the message in seconds.
 
     Returns:
-        The fields as they are now.
+        Fields with the times that are left now.
     """
     delay_ms = int(delay * MILLISECONDS)
     if delay_ms <= 0:
@@ -115,14 +118,14 @@
 
 @singledispatch
 def add_send_time(frame: ToOwner, *, elapsed_seconds: float) -> ToOwner:
-    """Write into a message when it is sent, if an owner goes by that.
+    """Add the send time to a message that an owner measures delays by.
 
     Args:
-        frame: the message.
+        frame: message to the owner.
         elapsed_seconds: seconds since the entry began to open the connection.
 
     Returns:
-        The message as it is to be sent.
+        The message to send.
     """
     return frame
 
@@ -132,7 +135,7 @@
 def _add_call_send_time(
     frame: Reserve | Run, *, elapsed_seconds: float
 ) -> ToOwner:
-    # 0 would mean that it is not told.
+    # 0 would mean an unknown send time.
     sent_ms = max(1, int(elapsed_seconds * MILLISECONDS))
     fields = structs.replace(frame.fields, sent_ms=sent_ms)
     return structs.replace(frame, fields=fields)
