--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -10,8 +10,8 @@
 from wagtaildale.calls.error_responses import build_error_response
 from wagtaildale.calls.exchanges import Exchange
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.parsing import MessageParser
+from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.responses import ResponseWriter
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.acceptor import Acceptor
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -8,10 +8,10 @@
 
 from wagtaildale.calls.frames import (
     Answered,
-    ResponseAborted,
+    BodyPiece,
     Failed,
     Granted,
-    BodyPiece,
+    ResponseAborted,
     WindowUpdate,
 )
 from wagtaildale.calls.keyed import REPLAYED
--- a/wagtaildale/calls/serial_runs.py
+++ b/wagtaildale/calls/serial_runs.py
@@ -67,7 +67,9 @@
         Args:
             run: run that is over, whether or not it was started here.
         """
-        held = [each for each, having in self._running.items() if having is run]
+        held = [
+            each for each, current in self._running.items() if current is run
+        ]
         for subject in held:
             self._running.pop(subject)
             self._retry_waiting(subject)
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -9,11 +9,11 @@
 from wagtaildale.calls.frames import (
     COMPRESSED,
     PLAIN,
+    BodyPiece,
     Cancel,
+    DrainNotice,
     FrameReader,
     FrameWriter,
-    DrainNotice,
-    BodyPiece,
     Ping,
     Pong,
     Reserve,
--- a/wagtaildale/calls/tests/listeners.py
+++ b/wagtaildale/calls/tests/listeners.py
@@ -1,4 +1,4 @@
-"""Servers that a test scripts, a connection at a time."""
+"""Servers that a test scripts, one connection at a time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Listener(ABC):
-    """Accepts connections on a thread of its own, one after the other."""
+    """Accepts connections in its own thread, one after another."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._listener = socket.create_server(address)
@@ -24,7 +24,7 @@
 
     @abstractmethod
     def answer(self, sock: socket.socket) -> None:
-        """Answer what comes on a connection; it is closed after that."""
+        """Handle a connection; it is closed afterwards."""
 
     def _serve(self) -> None:
         while True:
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -26,12 +26,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-OUTCOME = 'wagtaildale-outcome'
+OUTCOME_HEADER = 'wagtaildale-outcome'
 TIMEOUT_SECONDS = 5.0
 
 
 class Pair:
-    """An entry node ``a`` and the owner node ``b`` of the only upstream."""
+    """An entry node ``near`` and the owner node ``far`` of its only upstream.
+
+    Their instances are ``a`` and ``b``.
+    """
 
     def __init__(self) -> None:
         here, there = build_pair()
@@ -81,7 +84,7 @@
 
 
 def send_raw_request(address: tuple[str, int], request: bytes) -> bytes:
-    """Send a request and give all that comes until the connection ends."""
+    """Send a request and return all bytes until the connection ends."""
     with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
         sock.sendall(request)
         answer = b''
--- a/wagtaildale/calls/tests/pausable_proxies.py
+++ b/wagtaildale/calls/tests/pausable_proxies.py
@@ -1,4 +1,4 @@
-"""A line between two nodes that a test holds up."""
+"""A proxy between two nodes that a test can pause."""
 
 from __future__ import annotations
 
@@ -9,54 +9,56 @@
 from wagtaildale.calls.tests.listeners import Listener
 from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 class PausableProxy(Listener):
-    """Passes bytes on both ways; what comes while it is held waits."""
+    """Forwards bytes in both directions; they wait while it is paused."""
 
     def __init__(
         self,
         address: tuple[str, int],
         *,
-        beyond: tuple[str, int],
+        target: tuple[str, int],
     ) -> None:
-        self._beyond = beyond
-        self._moves = threading.Event()
-        self._moves.set()
-        self._over = False
+        self._target = target
+        self._is_flowing = threading.Event()
+        self._is_flowing.set()
+        self._is_closed = False
         super().__init__(address)
 
     def pause(self) -> None:
-        self._moves.clear()
+        self._is_flowing.clear()
 
     def resume(self) -> None:
-        self._moves.set()
+        self._is_flowing.set()
 
     def close(self) -> None:
-        self._over = True
+        self._is_closed = True
         self.resume()
         super().close()
 
     def answer(self, sock: socket.socket) -> None:
-        with socket.create_connection(self._beyond, TIMEOUT_SECONDS) as beyond:
-            others = {sock: beyond, beyond: sock}
-            is_whole = True
-            while is_whole and not self._over:
-                is_whole = self._pass_on(others)
+        with socket.create_connection(self._target, TIMEOUT_SECONDS) as target:
+            opposite_sides = {sock: target, target: sock}
+            is_connected = True
+            while is_connected and not self._is_closed:
+                is_connected = self._pass_on(opposite_sides)
 
-    def _pass_on(self, others: dict[socket.socket, socket.socket]) -> bool:
+    def _pass_on(
+        self, opposite_sides: dict[socket.socket, socket.socket]
+    ) -> bool:
         ready, _writable, _failed = select.select(
-            list(others),
+            list(opposite_sides),
             [],
             [],
-            LOOK_SECONDS,
+            POLL_SECONDS,
         )
         for side in ready:
-            # What came in while the line is held waits here.
-            self._moves.wait(TIMEOUT_SECONDS)
+            # Input that arrives during a pause waits here.
+            self._is_flowing.wait(TIMEOUT_SECONDS)
             piece = side.recv(65536)
             if not piece:
                 return False
-            others[side].sendall(piece)
+            opposite_sides[side].sendall(piece)
         return True
--- a/wagtaildale/calls/tests/relays.py
+++ b/wagtaildale/calls/tests/relays.py
@@ -1,4 +1,4 @@
-"""A line between two nodes on which a test can hold messages up."""
+"""A relay between two nodes that a test can pause."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Relay(Listener):
-    """Passes one connection of an entry on to its owner.
+    """Forwards one connection of an entry to its owner.
 
     Attributes:
-        held_bytes: bytes on the way to the owner that are held up.
+        held_bytes: bytes to the owner that were delayed by a pause.
         returned_bytes: bytes that the owner has sent back.
     """
 
@@ -28,34 +28,40 @@
         self.held_bytes = 0
         self.returned_bytes = 0
         self._owner = owner
-        self._flows = threading.Event()
-        self._flows.set()
+        self._is_flowing = threading.Event()
+        self._is_flowing.set()
         super().__init__(address)
 
     def pause(self) -> None:
-        self._flows.clear()
+        self._is_flowing.clear()
 
     def resume(self) -> None:
-        self._flows.set()
+        self._is_flowing.set()
 
     def answer(self, sock: socket.socket) -> None:
-        with socket.create_connection(self._owner, TIMEOUT_SECONDS) as line:
-            line.settimeout(None)
-            back = threading.Thread(target=self._pass_back, args=(line, sock))
-            back.start()
-            self._pass_on(sock, line)
-            back.join(TIMEOUT_SECONDS)
-
-    def _pass_on(self, sock: socket.socket, line: socket.socket) -> None:
+        with socket.create_connection(
+            self._owner, TIMEOUT_SECONDS
+        ) as connection:
+            connection.settimeout(None)
+            return_thread = threading.Thread(
+                target=self._pass_back, args=(connection, sock)
+            )
+            return_thread.start()
+            self._pass_on(sock, connection)
+            return_thread.join(TIMEOUT_SECONDS)
+
+    def _pass_on(self, sock: socket.socket, connection: socket.socket) -> None:
         while chunk := _read(sock):
-            if not self._flows.is_set():
+            if not self._is_flowing.is_set():
                 self.held_bytes += len(chunk)
-                self._flows.wait(TIMEOUT_SECONDS)
-            _write(line, chunk)
-        _end(line)
+                self._is_flowing.wait(TIMEOUT_SECONDS)
+            _write(connection, chunk)
+        _end(connection)
 
-    def _pass_back(self, line: socket.socket, sock: socket.socket) -> None:
-        while chunk := _read(line):
+    def _pass_back(
+        self, connection: socket.socket, sock: socket.socket
+    ) -> None:
+        while chunk := _read(connection):
             self.returned_bytes += len(chunk)
             _write(sock, chunk)
         _end(sock)
@@ -72,7 +78,7 @@
     try:
         sock.sendall(chunk)
     except OSError:
-        # The other side has gone: what it would have got is lost.
+        # The other side is disconnected: what it would have received is lost.
         return
 
 
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -1,7 +1,7 @@
-"""Tests of callers' connections that close, or are closed, in between.
+"""Tests of callers' connections that close, or are closed, between requests.
 
-The loop is moved by hand: what a caller sends has always come before the
-loop looks.
+The tests step the event loop themselves, so that what a caller sends has always
+arrived before the loop checks its sockets.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 LAST_REQUEST: Final = REQUEST.replace(
     b'\r\n\r\n', b'\r\nconnection: close\r\n\r\n'
 )
-# More than the buffers of a connection take.
+# More than the buffers of a connection hold.
 LONG_BODY: Final = bytes(16_000_000)
 READ_BYTES: Final = 1_000_000
-# The longest alarm of a port: one that it sets again is later than this.
-LONGEST_SECONDS: Final = max(LINGER_SECONDS, TIMEOUT_CHECK_SECONDS)
+# The longest alarm of a port; alarms that it sets again are due later.
+LONGEST_ALARM_SECONDS: Final = max(LINGER_SECONDS, TIMEOUT_CHECK_SECONDS)
 
 
-class Bench(HandMoved):
-    """A port whose requests are all answered at once with the same body."""
+class PortHarness(HandMoved):
+    """A port that answers all requests at once with the same body."""
 
     def __init__(self, *, idle_seconds: float) -> None:
         super().__init__()
         self.body = b'hi'
-        self.answered = 0
+        self.answered_requests = 0
         limits = CallerLimits(
             head_bytes=8192,
             body_bytes=8192,
@@ -65,7 +65,7 @@
         self.loop.close()
 
     def handle_request(self, exchange: Exchange) -> None:
-        self.answered += 1
+        self.answered_requests += 1
         exchange.begin_response(
             ResponseHead(status=200, headers=()), body=self.body
         )
@@ -75,38 +75,38 @@
             (ADDRESS.host, ADDRESS.port), TIMEOUT_SECONDS
         )
 
-    def ask(self, sock: socket.socket, request: bytes) -> None:
+    def send_request(self, sock: socket.socket, request: bytes) -> None:
         """Send a request and let the port answer it."""
-        wanted = self.answered + 1
+        expected = self.answered_requests + 1
         sock.sendall(request)
-        self.move_until(lambda: self.answered == wanted)
+        self.move_until(lambda: self.answered_requests == expected)
 
-    def read(self, sock: socket.socket, *, size: int) -> bytes:
-        """Read an answer, at most to the connection's end."""
-        taken = bytearray()
-        while len(taken) < size:
-            self.await_bytes(sock)
+    def read_answer(self, sock: socket.socket, *, size: int) -> bytes:
+        """Read up to ``size`` bytes, or to the end of the connection."""
+        received = bytearray()
+        while len(received) < size:
+            self.wait_readable(sock)
             piece = sock.recv(READ_BYTES)
             if not piece:
                 break
-            taken += piece
-        return bytes(taken)
+            received += piece
+        return bytes(received)
 
-    def await_bytes(self, sock: socket.socket) -> None:
-        """Let the port work until the caller has something to read."""
+    def wait_readable(self, sock: socket.socket) -> None:
+        """Run the loop until the caller has something to read."""
         self.move_until(lambda: is_readable(sock))
 
-    def let_time_pass(self) -> None:
-        """Ring every alarm that is set, before any socket is looked at."""
-        self.loop.alarms.ring(read_clock() + LONGEST_SECONDS)
+    def fire_all_alarms(self) -> None:
+        """Fire every alarm that is set, before sockets are checked."""
+        self.loop.alarms.ring(read_clock() + LONGEST_ALARM_SECONDS)
 
 
 @pytest.fixture
-def bench(idle_seconds: float) -> Iterator[Bench]:
-    made = Bench(idle_seconds=idle_seconds)
-    yield made
-    made.close()
-    assert not made.defects
+def harness(idle_seconds: float) -> Iterator[PortHarness]:
+    created = PortHarness(idle_seconds=idle_seconds)
+    yield created
+    created.close()
+    assert not created.defects
 
 
 @pytest.fixture
@@ -116,96 +116,102 @@
 
 @pytest.mark.parametrize('request_bytes', [REQUEST, LAST_REQUEST])
 def test_long_answer_reaches_a_slow_reader(
-    bench: Bench,
+    harness: PortHarness,
     request_bytes: bytes,
 ) -> None:
-    """A caller gets the beginning of a photo set, and the connection ends.
+    """The end of a long answer is lost when its node stops.
 
-    Its node stops while the caller, behind a slow line, still reads. All of
-    the answer has been handed to the connection but not sent; the node took
-    the call for done, waited a second for the caller and closed.
+    The caller is slow and still reads. All of the answer was written to the
+    connection but not sent, and the node counted the call as done, waited a
+    second and closed.
     """
-    bench.body = LONG_BODY
-    with bench.connect() as sock:
-        bench.ask(sock, request_bytes)
-        bench.port.drain()
-        bench.port.close_idle()
-        bench.let_time_pass()
-        answer = bench.read(sock, size=len(LONG_BODY))
+    harness.body = LONG_BODY
+    with harness.connect() as sock:
+        harness.send_request(sock, request_bytes)
+        harness.port.drain()
+        harness.port.close_idle()
+        harness.fire_all_alarms()
+        answer = harness.read_answer(sock, size=len(LONG_BODY))
     assert len(answer) >= len(LONG_BODY)
 
 
-def test_stop_waits_for_an_answer_that_is_not_sent_yet(bench: Bench) -> None:
-    """A caller gets half an answer: the process that sent it has ended.
+def test_stop_waits_for_an_answer_that_is_not_sent_yet(
+    harness: PortHarness,
+) -> None:
+    """A slow reader gets half an answer because the node's process has ended.
 
-    A stop ends the process once nothing is under way. What a slow reader
-    has yet to be sent is under way, though its call is done.
+    A stop ends the process once no call is in progress. An answer that is not
+    sent yet counts as in progress, although its call is done.
     """
-    bench.body = LONG_BODY
-    with bench.connect() as sock:
-        bench.ask(sock, LAST_REQUEST)
-        assert bench.port.active_calls == 1
-        assert bench.port.open_connections == 1
-        bench.read(sock, size=len(LONG_BODY))
-        bench.move_until(lambda: not bench.port.active_calls)
-    bench.move_until(lambda: not bench.port.open_connections)
-
-
-def test_slow_reader_that_hangs_up_is_forgotten(bench: Bench) -> None:
-    """A planned stop waits until its bound for a caller that is gone."""
-    bench.body = LONG_BODY
-    with bench.connect() as sock:
-        bench.ask(sock, LAST_REQUEST)
-    bench.move_until(lambda: not bench.port.open_connections)
-    assert not bench.port.active_calls
-
-
-def test_request_that_has_come_is_answered_before_idle_ones_close(
-    bench: Bench,
+    harness.body = LONG_BODY
+    with harness.connect() as sock:
+        harness.send_request(sock, LAST_REQUEST)
+        assert harness.port.active_calls == 1
+        assert harness.port.open_connections == 1
+        harness.read_answer(sock, size=len(LONG_BODY))
+        harness.move_until(lambda: not harness.port.active_calls)
+    harness.move_until(lambda: not harness.port.open_connections)
+
+
+def test_slow_reader_that_disconnects_is_removed(harness: PortHarness) -> None:
+    """A planned stop waits until its time limit for a disconnected caller."""
+    harness.body = LONG_BODY
+    with harness.connect() as sock:
+        harness.send_request(sock, LAST_REQUEST)
+    harness.move_until(lambda: not harness.port.open_connections)
+    assert not harness.port.active_calls
+
+
+def test_request_that_has_arrived_is_answered_before_idle_close(
+    harness: PortHarness,
 ) -> None:
     """A caller's booking is lost in a planned stop.
 
-    Its connection is idle, and its request has come to this node when the
-    stop closes idle connections: it was thrown away unread.
+    The request has arrived on an idle connection, and is not read yet when the
+    stop closes idle connections.
     """
-    with bench.connect() as sock:
-        bench.ask(sock, REQUEST)
-        bench.read(sock, size=1)
+    with harness.connect() as sock:
+        harness.send_request(sock, REQUEST)
+        harness.read_answer(sock, size=1)
         sock.sendall(REQUEST)
-        bench.port.drain()
-        bench.port.close_idle()
-        bench.move_until(lambda: bench.answered == 2)
-        assert b'connection: close' in bench.read(sock, size=READ_BYTES)
+        harness.port.drain()
+        harness.port.close_idle()
+        harness.move_until(lambda: harness.answered_requests == 2)
+        assert b'connection: close' in harness.read_answer(
+            sock, size=READ_BYTES
+        )
 
 
 @pytest.mark.parametrize('idle_seconds', [0])
-def test_request_that_has_come_is_answered_by_a_late_process(
-    bench: Bench,
+def test_request_that_has_arrived_is_answered_after_a_pause(
+    harness: PortHarness,
 ) -> None:
-    """A caller's booking is lost on a machine that was paused for a moment.
+    """A caller's booking is lost after its node was paused for a moment.
 
-    The request came in time, on a connection that had been idle. The paused
-    process wakes, finds that the connection was idle for too long, and
-    closes it with the request unread.
+    The request arrived in time on an idle connection. After the pause the
+    process finds the connection idle for too long, and closes it with the
+    request unread.
     """
-    with bench.connect() as sock:
-        bench.ask(sock, REQUEST)
-        bench.read(sock, size=1)
+    with harness.connect() as sock:
+        harness.send_request(sock, REQUEST)
+        harness.read_answer(sock, size=1)
         sock.sendall(REQUEST)
-        bench.let_time_pass()
-        bench.move_until(lambda: bench.answered == 2)
+        harness.fire_all_alarms()
+        harness.move_until(lambda: harness.answered_requests == 2)
 
 
-def test_request_behind_the_last_answer_is_not_begun(bench: Bench) -> None:
+def test_pipelined_request_after_the_last_answer_is_not_started(
+    harness: PortHarness,
+) -> None:
     """A caller's second request runs twice.
 
-    Its node leaves, and says with the first answer that the connection ends
-    there. The caller sends the second one to another node, as it may; here
-    it was begun all the same, and its answer reached nobody.
+    The node leaves and announces with the first answer that the connection
+    closes. The caller may then send the second request to another node, so it
+    must not be started here, where its answer would reach nobody.
     """
-    with bench.connect() as sock:
-        bench.port.drain()
-        bench.ask(sock, REQUEST + REQUEST)
-        answer = bench.read(sock, size=READ_BYTES)
+    with harness.connect() as sock:
+        harness.port.drain()
+        harness.send_request(sock, REQUEST + REQUEST)
+        answer = harness.read_answer(sock, size=READ_BYTES)
     assert answer.count(b'HTTP/1.1 200') == 1
-    assert bench.answered == 1
+    assert harness.answered_requests == 1
--- a/wagtaildale/calls/tests/test_dialect.py
+++ b/wagtaildale/calls/tests/test_dialect.py
@@ -1,4 +1,4 @@
-"""Tests of what a platform with header fields of its own is told."""
+"""Tests of header fields on a platform with a dialect of its own."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 
 class ScriptedBackend(Listener):
-    """Keeps the head of each request and gives the answer of a test."""
+    """Keeps the head of each request and sends a scripted response."""
 
     def __init__(self) -> None:
         self.heads: list[bytes] = []
-        self.reply = build_answer(REQUEST_ID)
+        self.reply = build_response(REQUEST_ID)
         super().__init__((HOST, BACKEND_PORT))
 
     def answer(self, sock: socket.socket) -> None:
         head = sock.recv(65536)
         if not head:
-            # Whether the server still runs was tried, and nothing asked.
+            # The node only checked whether the server accepts connections.
             return
         self.heads.append(head)
         sock.sendall(self.reply)
 
 
-def build_answer(
+def build_response(
     request_id: bytes,
     *,
     status: bytes = b'200 OK',
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 def node(backend: ScriptedBackend) -> Iterator[MeshNode]:
-    """A node beside its backend server, that has no configuration yet."""
+    """A node beside its backend server, without a configuration so far."""
     record = build_record('i-7', host=HOST)
     made = MeshNode(record, mesh_text='', dialect=PLATFORM_DIALECT)
     made.show(record)
@@ -67,7 +67,7 @@
     made.close()
 
 
-def ask(
+def send_request(
     node: MeshNode,
     extra: bytes = b'',
     *,
@@ -91,103 +91,106 @@
     return [text for field, text in fields if field.lower() == name]
 
 
-def test_node_without_configuration_refuses_for_now(node: MeshNode) -> None:
-    """A caller gets 404 for a page that every version has, and gives up.
+def test_node_without_configuration_answers_unavailable(node: MeshNode) -> None:
+    """A caller gets 404 for an existing page and gives up.
 
-    Its node has just started and knows no configuration. It says that it
-    has not run and when to come back.
+    The node has just started and has no configuration yet. It must answer that
+    the request did not run and when to retry.
     """
-    answer = ask(node)
+    answer = send_request(node)
     assert answer.startswith(b'HTTP/1.1 503')
     assert find_field(answer, b'retry-after')
     node.publish(MESH_TEXT)
-    assert ask(node).startswith(b'HTTP/1.1 200')
+    assert send_request(node).startswith(b'HTTP/1.1 200')
 
 
-def test_caller_of_a_starting_node_does_not_come_back_at_once(
+def test_starting_node_delays_retries_of_callers(
     node: MeshNode,
 ) -> None:
-    """After a loss of power callers are refused twice within 20 ms.
+    """After a power failure callers are refused twice within 20 ms.
 
-    The node would have been ready 0.2 s later; told 0.01 s, its callers had
-    used up their tries by then.
+    The node would be ready 0.2 s later. With a retry delay of 0.01 s its
+    callers have used up their attempts by then.
     """
-    assert float(find_field(ask(node), b'retry-after')[0]) >= 0.1
+    assert float(find_field(send_request(node), b'retry-after')[0]) >= 0.1
 
 
-def test_caller_of_a_service_without_servers_does_not_come_back_at_once(
+def test_service_without_servers_delays_retries_of_callers(
     node: MeshNode,
 ) -> None:
-    """All servers of a service are gone, and its callers ask in circles."""
+    """Callers of a service without any server retry in a tight loop."""
     node.publish(MESH_TEXT)
     node.show()
-    answer = ask(node)
+    answer = send_request(node)
     assert answer.startswith(b'HTTP/1.1 503')
     assert float(find_field(answer, b'retry-after')[0]) >= 0.1
 
 
-def test_caller_cannot_say_whose_request_it_is(
+def test_caller_cannot_forge_its_service_name(
     node: MeshNode,
     backend: ScriptedBackend,
 ) -> None:
-    """A backend server trusts the name of the service that calls it.
+    """A backend server trusts a forged name of the calling service.
 
-    A caller sends a name of its own choice; the entry replaces it by that
-    of the service on its own machine.
+    The entry must replace a name that the caller sends by that of the service
+    on its own machine.
     """
     node.publish(MESH_TEXT)
-    ask(node, b'x-caller-service: payroll\r\nx-expected-instance: other\r\n')
+    send_request(
+        node, b'x-caller-service: payroll\r\nx-expected-instance: other\r\n'
+    )
     head = backend.heads[0]
     assert find_field(head, b'x-caller-service') == [b'casefiles']
     assert find_field(head, b'x-expected-instance') == [b'i-7']
     assert find_field(head, b'x-request-id') == [REQUEST_ID]
 
 
-def test_backend_server_is_told_what_is_left(
+def test_backend_server_gets_the_remaining_time(
     node: MeshNode,
     backend: ScriptedBackend,
 ) -> None:
-    """A backend server works on what its caller has given up.
+    """A backend server works on a request that its caller has given up.
 
-    It is told how long the caller still waits, never longer.
+    It must be told how long the caller still waits, and never longer.
     """
     node.publish(MESH_TEXT)
-    ask(node, b'x-deadline-ms: %d\r\n' % DEADLINE_MS)
-    told = find_field(backend.heads[0], b'x-deadline-ms')
-    assert len(told) == 1
-    assert 0 < int(told[0]) <= DEADLINE_MS
+    send_request(node, b'x-deadline-ms: %d\r\n' % DEADLINE_MS)
+    remaining = find_field(backend.heads[0], b'x-deadline-ms')
+    assert len(remaining) == 1
+    assert 0 < int(remaining[0]) <= DEADLINE_MS
 
 
-def test_refusal_of_the_backend_server_is_not_run(
+def test_refusal_by_the_backend_server_counts_as_not_run(
     node: MeshNode,
     backend: ScriptedBackend,
 ) -> None:
-    """A full backend server turns a booking away and says that it did.
+    """A booking that a full backend server refuses is not retried.
 
-    That word alone makes "not run" true: the caller may come back.
+    Only the backend server's own header proves that it did not run; the caller
+    may then retry.
     """
     node.publish(MESH_TEXT)
-    backend.reply = build_answer(
+    backend.reply = build_response(
         REQUEST_ID,
         status=b'503 Full',
         extra=b'x-not-executed: 1\r\n',
     )
-    answer = ask(node, start=b'POST /bookings')
+    answer = send_request(node, start=b'POST /bookings')
     assert answer.startswith(b'HTTP/1.1 503')
 
 
-def test_reset_of_a_booking_is_no_refusal(
+def test_lost_answer_to_a_booking_is_not_reported_as_refusal(
     node: MeshNode,
     backend: ScriptedBackend,
 ) -> None:
-    """A booking's connection closes without an answer, and it runs twice.
+    """A booking whose connection closes without an answer runs twice.
 
-    Callers send a booking again after 503. It may have run, so the answer
-    is one that promises nothing.
+    Callers send a booking again after 503. It may have run, so the status must
+    not promise that it did not.
     """
     node.publish(MESH_TEXT)
     backend.reply = b''
-    answer = ask(node, start=b'POST /bookings')
+    answer = send_request(node, start=b'POST /bookings')
     assert answer.startswith(b'HTTP/1.1 502')
     assert len(backend.heads) == 1
 
@@ -196,13 +199,13 @@
     node: MeshNode,
     backend: ScriptedBackend,
 ) -> None:
-    """A dispatcher gets the answer to somebody else's request.
+    """A caller gets the answer to somebody else's request.
 
-    The answer that comes names another request; what follows it is awaited
-    and does not come.
+    The response carries another request's identifier. The right one is awaited
+    on the connection and does not arrive.
     """
     node.publish(MESH_TEXT)
-    backend.reply = build_answer(b'another').replace(b'hi', b'xx')
-    answer = ask(node, start=b'POST /bookings')
+    backend.reply = build_response(b'another').replace(b'hi', b'xx')
+    answer = send_request(node, start=b'POST /bookings')
     assert answer.startswith(b'HTTP/1.1 502')
     assert b'xx' not in answer
--- a/wagtaildale/calls/tests/test_entry.py
+++ b/wagtaildale/calls/tests/test_entry.py
@@ -10,7 +10,7 @@
 from msgspec import json, structs
 
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     TIMEOUT_SECONDS,
     Pair,
     read_code,
@@ -24,7 +24,7 @@
     response, text = pair.ask('GET', '/files/7?full=1')
     assert response.status == 200
     assert json.decode(text)['target'] == '/files/7?full=1'
-    assert 'answered' in response.headers[OUTCOME]
+    assert 'answered' in response.headers[OUTCOME_HEADER]
     assert 'backend;dur=' in response.headers['server-timing']
 
 
@@ -48,7 +48,7 @@
     response, text = pair.ask('GET', path)
     assert response.status == 404
     assert read_code(text) is Code.no_route
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
 
 
 def test_encoded_slash_stays_in_its_segment(pair: Pair) -> None:
@@ -142,7 +142,7 @@
     pair.backend.faults.close_share = 1
     response, text = pair.ask('POST', '/bookings', b'x', {'x-booking': 'k'})
     assert read_code(text) is Code.outcome_unknown
-    assert response.headers[OUTCOME].startswith('unknown')
+    assert response.headers[OUTCOME_HEADER].startswith('unknown')
     assert pair.backend.counts.by_single_key['k'] == 1
 
 
@@ -182,7 +182,7 @@
     pair.far.close()
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.backend_unreachable
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
 
 
 def test_caller_that_hangs_up_frees_its_slot(pair: Pair) -> None:
@@ -211,7 +211,7 @@
     pair.near.show(old)
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.wrong_instance
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
     assert pair.backend.counts.runs == 0
 
 
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -19,7 +19,7 @@
 )
 from wagtaildale.calls.tests.listeners import Listener
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     Pair,
     build_run,
     read_code,
@@ -116,7 +116,7 @@
 
     def book() -> None:
         response, text = pair.ask('POST', '/bookings', b'x', {'x-booking': 'k'})
-        heard.append((response.headers[OUTCOME], read_code(text)))
+        heard.append((response.headers[OUTCOME_HEADER], read_code(text)))
 
     worker = threading.Thread(target=book)
     worker.start()
@@ -137,7 +137,7 @@
 
     def book() -> None:
         response, _text = pair.ask('POST', '/bookings', b'x')
-        heard.append(response.headers[OUTCOME])
+        heard.append(response.headers[OUTCOME_HEADER])
 
     worker = threading.Thread(target=book)
     worker.start()
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -20,7 +20,7 @@
     encode_frame,
 )
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     TIMEOUT_SECONDS,
     build_run,
     wait_until,
@@ -146,7 +146,7 @@
     pair.far.calls.drain()
     response, _text = pair.ask('GET', '/files/2')
     assert response.status == 503
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
     assert pair.backend.counts.runs == 1
 
 
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -10,7 +10,7 @@
 
 from wagtaildale.admission.limits import Ending
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     TIMEOUT_SECONDS,
     Pair,
     wait_until,
@@ -57,7 +57,7 @@
         runs = pair.backend.counts.runs
         response, _text = pair.ask('GET', f'/files/{claim}')
         has_run = pair.backend.counts.runs > runs
-        said_not_run = response.headers[OUTCOME].startswith('not-run')
+        said_not_run = response.headers[OUTCOME_HEADER].startswith('not-run')
         assert not (has_run and said_not_run)
         assert not (has_run and response.status in {429, 503})
 
@@ -98,4 +98,4 @@
             give_back(far, ticket)
         response, _text = asked.result(TIMEOUT_SECONDS)
     assert pair.backend.counts.runs == 0
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -15,7 +15,7 @@
 from wagtaildale.calls.frames import Failed
 from wagtaildale.calls.hedges import HedgeClock
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     Pair,
     build_run,
     read_code,
@@ -176,7 +176,7 @@
         b'x',
         {'wagtaildale-deadline-ms': '100', 'x-booking': 'late'},
     )
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
     assert read_code(text) in {Code.past_deadline, Code.timed_out}
     assert 'late' not in pair.backend.counts.by_key
     assert len(held) == 4
@@ -313,7 +313,7 @@
     response, text = pair.ask('GET', '/files/1')
     assert read_code(text) is Code.overloaded
     assert int(response.headers['retry-after']) >= 3
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
 
 
 def test_drain_during_a_reservation(pair: Pair) -> None:
@@ -327,7 +327,7 @@
     assert isinstance(pair.far.redeem(verdict.ticket), Admitted)
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.draining
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
 
 
 def test_data_centre_cut_off(pair: Pair) -> None:
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Tests of calls under way at an owner of which nothing is heard."""
+"""Tests of calls in progress at an owner that sends nothing."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# More than an entry sends before it counts an owner as silent.
+# More pings than an entry sends before it treats an owner as silent.
 SILENT_PINGS: Final = 7
-# More than are sent until a newer connection has answered and, a ping later,
-# shown that the owner is there.
+# More pings than are sent until a newer connection has been answered and has
+# shown, one ping later, that the owner is alive.
 OUTAGE_PINGS: Final = 5
-FOR_GOOD: Final = 1_000_000
+FOREVER_PINGS: Final = 1_000_000
 LOOKUP: Final = b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
 PATIENT_MESH: Final = MESH_TEXT.replace('= 1000', '= 4500').replace(
     '= 2000',
@@ -41,7 +41,7 @@
 
 
 @pytest.fixture
-def lone_pair() -> Iterator[Pair]:
+def pair_without_owner() -> Iterator[Pair]:
     """A pair whose owner's port is free for a scripted owner."""
     made = Pair()
     made.far.close()
@@ -52,22 +52,26 @@
 
 
 @pytest.fixture
-def owner(lone_pair: Pair) -> Iterator[SilentOwner]:
-    """An owner whose line stands still after a run came."""
-    made = build_owner(lone_pair, silent_pings=SILENT_PINGS)
+def owner(pair_without_owner: Pair) -> Iterator[SilentOwner]:
+    """An owner whose connections stall after it got a run message."""
+    made = start_owner(pair_without_owner, silent_pings=SILENT_PINGS)
     yield made
     made.close()
 
 
 @pytest.fixture
-def cut_owner(lone_pair: Pair) -> Iterator[SilentOwner]:
-    """An owner whose first connection is silent for good."""
-    made = build_owner(lone_pair, silent_pings=FOR_GOOD, only_first=True)
+def owner_with_dead_connection(
+    pair_without_owner: Pair,
+) -> Iterator[SilentOwner]:
+    """An owner whose first connection stays silent."""
+    made = start_owner(
+        pair_without_owner, silent_pings=FOREVER_PINGS, only_first=True
+    )
     yield made
     made.close()
 
 
-def build_owner(
+def start_owner(
     pair: Pair,
     *,
     silent_pings: int,
@@ -83,155 +87,168 @@
     )
 
 
-def test_lookup_outlives_a_silence_of_its_owner_in_a_planned_stop(
-    lone_pair: Pair,
+def test_lookup_survives_a_silent_owner_in_a_planned_stop(
+    pair_without_owner: Pair,
     owner: SilentOwner,
 ) -> None:
-    """A homeowner is told 502 by a node that stops, and the server runs on.
+    """A caller gets 502 from a stopping node while the backend server runs on.
 
-    The line to the owner is full for some seconds, longer than an entry
-    waits to hear of it. The entry gave up the connection with all calls on
-    it and answered at 18.705 s a lookup that had come at 18.234 s and had
-    2.2 s left; the run message was on the line, and the server began to run
-    it at 21.942 s. Nothing says that the owner is gone: the call waits.
+    The connection to the owner stalls for longer than an entry waits for input.
+    The entry closed it with all its calls and answered 502 to a lookup after
+    0.47 s, although 2.2 s were left; its run message was under way and started
+    3.2 s later. Nothing proves that the owner is gone, so the call must wait.
     """
-    near = lone_pair.near
+    near = pair_without_owner.near
     stop = Stop(calls=near.calls, inbox=Inbox(), recorder=near.recorder)
     with ThreadPoolExecutor() as executor:
-        asked = executor.submit(lone_pair.ask, 'GET', '/files/1')
+        submitted = executor.submit(pair_without_owner.ask, 'GET', '/files/1')
         assert owner.has_run.wait(TIMEOUT_SECONDS)
         stop.begin()
         stopped = executor.submit(stop.wait, seconds=2 * TIMEOUT_SECONDS)
-        response, text = asked.result(TIMEOUT_SECONDS)
+        response, text = submitted.result(TIMEOUT_SECONDS)
         assert (response.status, text) == (200, BODY)
         assert stopped.result(2 * TIMEOUT_SECONDS)
     assert len(owner.runs) == 1
 
 
-def test_booking_outlives_a_silence_of_its_owner(
-    lone_pair: Pair,
+def test_booking_survives_a_silent_owner(
+    pair_without_owner: Pair,
     owner: SilentOwner,
 ) -> None:
-    """A roofer is booked, and the caller hears that nobody knows.
+    """The outcome of a booking is reported as unknown although it ran.
 
-    The owner has run the booking and its answer is on a line that stands
-    still for a moment. It is never sent again, so the only way to its
-    answer is to wait for it.
+    The owner has run it, and its answer is delayed by a stalled connection. A
+    booking is never sent again, so the entry must wait for the answer.
     """
-    response, text = lone_pair.ask('POST', '/bookings', b'x')
+    response, text = pair_without_owner.ask('POST', '/bookings', b'x')
     assert (response.status, text) == (200, BODY)
     assert len(owner.runs) == 1
 
 
-def test_lookup_leaves_a_silent_owner_for_another(
-    lone_pair: Pair,
+def test_lookup_moves_from_a_silent_owner_to_another(
+    pair_without_owner: Pair,
     owner: SilentOwner,
 ) -> None:
-    """A lookup waits for a silent server while another one stands idle."""
+    """A lookup waits for a silent owner while another one is idle."""
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
-    near = lone_pair.near
+    near = pair_without_owner.near
     with backend, MeshNode(other), ThreadPoolExecutor() as executor:
-        asked = executor.submit(lone_pair.ask, 'GET', '/files/1')
+        submitted = executor.submit(pair_without_owner.ask, 'GET', '/files/1')
         assert owner.has_run.wait(TIMEOUT_SECONDS)
-        near.show(lone_pair.far.record, other)
-        response, text = asked.result(TIMEOUT_SECONDS)
+        near.show(pair_without_owner.far.record, other)
+        response, text = submitted.result(TIMEOUT_SECONDS)
         assert response.status == 200
         assert json.decode(text)['by'] == 'c'
 
 
-def test_lookup_leaves_a_silent_owner_once_it_can(lone_pair: Pair) -> None:
-    """A lookup waits for a silent server, though another one has come back.
+def test_lookup_moves_once_another_owner_appears(
+    pair_without_owner: Pair,
+) -> None:
+    """A lookup waits for a silent owner although another one has come back.
 
-    When its owner fell silent there was nobody else to ask, or no repeat
-    left. Whether it can go elsewhere is looked at again and again.
+    When the owner became silent there was no other one, or no retry left. The
+    entry must check again with each ping whether the call can move.
     """
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
-    silent = closing(build_owner(lone_pair, silent_pings=FOR_GOOD))
+    silent = closing(
+        start_owner(pair_without_owner, silent_pings=FOREVER_PINGS)
+    )
     with silent as owner, backend, MeshNode(other):
         with ThreadPoolExecutor() as executor:
-            asked = executor.submit(lone_pair.ask, 'GET', '/files/1')
+            submitted = executor.submit(
+                pair_without_owner.ask, 'GET', '/files/1'
+            )
             wait_until(lambda: owner.unanswered_pings >= SILENT_PINGS)
-            lone_pair.near.show(lone_pair.far.record, other)
-            response, text = asked.result(TIMEOUT_SECONDS)
+            pair_without_owner.near.show(pair_without_owner.far.record, other)
+            response, text = submitted.result(TIMEOUT_SECONDS)
     assert response.status == 200
     assert json.decode(text)['by'] == 'c'
 
 
-def test_call_leaves_a_connection_that_is_silent_for_good(
-    lone_pair: Pair,
-    cut_owner: SilentOwner,
+def test_call_leaves_a_connection_that_stays_silent(
+    pair_without_owner: Pair,
+    owner_with_dead_connection: SilentOwner,
 ) -> None:
-    """A lookup waits for its deadline on a connection that is dead.
+    """A lookup waits until its deadline on a dead connection.
 
-    The connection went silent without a reset, and new ones to the same
-    owner work. Once one of them has answered, the old one is given up.
+    The connection became silent without a reset, and new ones to the same owner
+    work. Once one of them has been answered, the old one is closed.
     """
-    response, text = lone_pair.ask('GET', '/files/1')
+    response, text = pair_without_owner.ask('GET', '/files/1')
     assert (response.status, text) == (200, BODY)
-    assert len(cut_owner.runs) == 2
+    assert len(owner_with_dead_connection.runs) == 2
 
 
-def test_booking_outlives_an_outage_that_a_newer_connection_does_not_see(
-    lone_pair: Pair,
+def test_booking_survives_an_outage_unseen_by_a_newer_connection(
+    pair_without_owner: Pair,
 ) -> None:
-    """A caller hears 502 of a booking whose answer is about to come.
+    """A caller gets 502 for a booking whose answer is about to arrive.
 
-    Packets were lost for a while. A newer connection gets through at once;
-    the older one sends its bytes again only when its timer rings, which
-    after an outage may take as long again. The entry gave the older one up a
-    quarter of a second after the newer one had answered.
+    Packets were lost for a while. A newer connection works at once; the older
+    one resends only when its timer fires, which may take as long as the outage
+    did. The entry closed the older one a quarter of a second after the newer
+    one was answered.
     """
     with closing(
-        build_owner(lone_pair, silent_pings=OUTAGE_PINGS, only_first=True),
+        start_owner(
+            pair_without_owner, silent_pings=OUTAGE_PINGS, only_first=True
+        ),
     ) as owner:
-        response, text = lone_pair.ask('POST', '/bookings', b'x')
+        response, text = pair_without_owner.ask('POST', '/bookings', b'x')
     assert (response.status, text) == (200, BODY)
     assert len(owner.runs) == 1
 
 
-def test_begun_answer_of_a_silent_owner_ends_at_the_deadline(
-    lone_pair: Pair,
+def test_partial_answer_of_a_silent_owner_ends_at_the_deadline(
+    pair_without_owner: Pair,
 ) -> None:
-    """A photo set stands still half-way for ever, and holds up a stop.
+    """A partial answer never ends, and a planned stop waits for it.
 
-    Its owner's process stands still after it has begun the answer: nothing
-    comes, but nothing breaks either. No more of it can be in time once the
-    deadline is over.
+    The owner's process is stuck after it has begun the answer: nothing arrives,
+    and the connection does not break. After the deadline the rest cannot be in
+    time any more.
     """
-    lone_pair.near.publish(MESH_TEXT)
-    with closing(build_owner(lone_pair, silent_pings=FOR_GOOD, begins=True)):
-        answer = lone_pair.send_raw_request(LOOKUP)
+    pair_without_owner.near.publish(MESH_TEXT)
+    with closing(
+        start_owner(pair_without_owner, silent_pings=FOREVER_PINGS, begins=True)
+    ):
+        answer = pair_without_owner.send_raw_request(LOOKUP)
     assert answer.endswith(BODY)
     assert b'content-length: 8' in answer.lower()
 
 
-def test_booking_is_unknown_once_its_connection_is_given_up(
-    lone_pair: Pair,
-    cut_owner: SilentOwner,
+def test_booking_outcome_is_unknown_after_a_silent_connection_closes(
+    pair_without_owner: Pair,
+    owner_with_dead_connection: SilentOwner,
 ) -> None:
-    """The same for a booking, which is never sent a second time."""
-    response, text = lone_pair.ask('POST', '/bookings', b'x')
+    """A booking on a dead connection is sent a second time.
+
+    The entry must report its outcome as unknown instead.
+    """
+    response, text = pair_without_owner.ask('POST', '/bookings', b'x')
     assert response.status == 502
     assert read_code(text) is Code.outcome_unknown
-    assert len(cut_owner.runs) == 1
+    assert len(owner_with_dead_connection.runs) == 1
 
 
-def test_silent_owner_whose_process_is_gone_is_given_up(
-    lone_pair: Pair,
+def test_calls_to_a_silent_owner_fail_once_its_process_is_gone(
+    pair_without_owner: Pair,
 ) -> None:
-    """A booking waits for a process that has ended behind a silent line.
+    """A booking waits for a process that has ended behind a silent connection.
 
-    A new connection is refused: nothing listens any more, so no answer
-    can come.
+    A new connection is refused: nothing listens any more, so no answer can
+    come.
     """
-    owner = build_owner(lone_pair, silent_pings=FOR_GOOD)
+    owner = start_owner(pair_without_owner, silent_pings=FOREVER_PINGS)
     with ThreadPoolExecutor() as executor:
-        asked = executor.submit(lone_pair.ask, 'POST', '/bookings', b'x')
+        submitted = executor.submit(
+            pair_without_owner.ask, 'POST', '/bookings', b'x'
+        )
         assert owner.has_run.wait(TIMEOUT_SECONDS)
         owner.close()
-        response, text = asked.result(TIMEOUT_SECONDS)
+        response, text = submitted.result(TIMEOUT_SECONDS)
     assert response.status == 502
     assert read_code(text) is Code.outcome_unknown
     assert REFUSED_REASON.encode() in text
--- a/wagtaildale/calls/tests/test_transit.py
+++ b/wagtaildale/calls/tests/test_transit.py
@@ -1,4 +1,4 @@
-"""Tests of messages that the line between two nodes held up."""
+"""Tests of messages that the network between two nodes delays."""
 
 from __future__ import annotations
 
@@ -10,72 +10,72 @@
 
 from wagtaildale.calls.fields import CallFields
 from wagtaildale.calls.frames import Cancel, Reserve, Run
-from wagtaildale.calls.tests.pausable_proxies import PausableProxy
 from wagtaildale.calls.tests.pairs import Pair, build_run
+from wagtaildale.calls.tests.pausable_proxies import PausableProxy
 from wagtaildale.calls.transit import (
     MAX_CLOCK_LEAD_SECONDS,
     WINDOW_SECONDS,
     TransitDelayEstimator,
-    subtract_delay,
     add_send_time,
+    subtract_delay,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-LINE_PORT = 8077
-# Far longer than any delay of a busy machine by which a message that was
-# usual may seem held up, or the other way about.
+PROXY_PORT = 8077
+# Far longer than any delay on a busy machine by which a usual message may look
+# delayed, or a delayed one usual.
 MARGIN_SECONDS = 0.5
-# The owner's clock when a connection is opened.
+# Time on the owner's clock when a connection is opened.
 OPENED_AT = 5000.0
-NEARLY = 0.01
+TOLERANCE_SECONDS = 0.01
 
 
 @pytest.fixture
-def line(pair: Pair) -> Iterator[PausableProxy]:
-    """The line between both nodes of the pair."""
+def proxy(pair: Pair) -> Iterator[PausableProxy]:
+    """The proxy between both nodes of the pair."""
     record = pair.far.record
     made = PausableProxy(
-        (record.host, LINE_PORT),
-        beyond=(record.host, record.owner_port),
+        (record.host, PROXY_PORT),
+        target=(record.host, record.owner_port),
     )
-    pair.near.show(structs.replace(record, owner_port=LINE_PORT))
+    pair.near.show(structs.replace(record, owner_port=PROXY_PORT))
     yield made
     made.close()
 
 
-def test_lookup_that_the_line_held_up_is_run_for_nobody(
+def test_lookup_delayed_past_its_deadline_is_not_run(
     pair: Pair,
-    line: PausableProxy,
+    proxy: PausableProxy,
 ) -> None:
-    """A server works on a lookup whose caller was given an error long ago.
+    """A backend server works on a lookup whose caller already got an error.
 
-    The line to the server's node stands still after the run message was
-    written to it. The caller's deadline passes, the line moves again, and
-    the message comes with the time left that it was sent with: the node
-    counts that from the arrival, and has the server run the lookup.
+    The connection to the owner stalls after the run message was written to it,
+    and the caller's deadline passes. The message then arrives with the time
+    left that it was sent with; counted from the arrival, the lookup would still
+    run.
     """
     for claim in range(3):
         response, _text = pair.ask('GET', f'/files/{claim}')
         assert response.status == 200
-    line.pause()
+    proxy.pause()
     late = {'wagtaildale-deadline-ms': '200', 'x-booking': 'late'}
     response, _text = pair.ask('GET', '/files/3', headers=late)
     assert response.status == 504
     time.sleep(MARGIN_SECONDS)
-    line.resume()
-    # It comes after the late one, on the same connection.
+    proxy.resume()
+    # Sent after the late one on the same connection.
     response, _text = pair.ask('GET', '/files/4')
     assert response.status == 200
     assert 'late' not in pair.backend.counts.by_key
 
 
-def test_message_that_is_held_up_is_late() -> None:
+def test_delayed_message_is_late() -> None:
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
     delay = transit.measure_delay(2000, now=OPENED_AT + 5.5)
-    assert delay == pytest.approx(3.5, abs=NEARLY)
+    assert delay == pytest.approx(3.5, abs=TOLERANCE_SECONDS)
 
 
 def test_first_message_is_measured_by_the_opening() -> None:
@@ -86,28 +86,29 @@
     """
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     delay = transit.measure_delay(500, now=OPENED_AT + 4)
-    assert delay == pytest.approx(3.5, abs=NEARLY)
+    assert delay == pytest.approx(3.5, abs=TOLERANCE_SECONDS)
 
 
-def test_opening_that_was_held_up_is_corrected_by_a_later_message() -> None:
+def test_delayed_opening_is_corrected_by_a_later_message() -> None:
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(2400, now=OPENED_AT + 2) == 0
     delay = transit.measure_delay(2500, now=OPENED_AT + 2.5)
-    assert delay == pytest.approx(0.4, abs=NEARLY)
+    assert delay == pytest.approx(0.4, abs=TOLERANCE_SECONDS)
 
 
 @pytest.mark.parametrize('sent_ms', [0, -1, int(-1e18), int(1e18)])
-def test_what_is_no_time_of_sending_counts_as_not_told(sent_ms: int) -> None:
+def test_invalid_send_times_count_as_unknown(sent_ms: int) -> None:
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(sent_ms, now=OPENED_AT + 1) == 0
-    # Nothing is learnt from it either.
+    # The invalid send time does not affect later estimates.
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
 
 
-def test_clock_that_jumps_ahead_makes_nothing_late() -> None:
-    """An owner's machine sleeps, and its steady clock stands still meanwhile.
+def test_owner_clock_that_stops_makes_nothing_late() -> None:
+    """Messages are refused as late after an owner's machine slept.
 
-    What an entry sends then seems to come before it was sent.
+    Its steady clock stopped meanwhile, so that messages seem to arrive before
+    they were sent.
     """
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     for second in range(1, int(MAX_CLOCK_LEAD_SECONDS)):
@@ -115,53 +116,53 @@
         assert transit.measure_delay(ahead_ms, now=OPENED_AT + second) == 0
 
 
-def test_entry_whose_clock_stood_still_is_late_for_some_seconds_only() -> None:
-    """An entry's machine sleeps, and every later call of it is refused.
+def test_entry_whose_clock_stopped_is_late_for_seconds_only() -> None:
+    """Every later call of an entry is refused after its machine slept.
 
-    Its steady clock stood still meanwhile, so that all it sends looks late
-    by its sleep.
+    Its steady clock stopped meanwhile, so that all it sends looks late by the
+    time of the sleep.
     """
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     delays = [
         transit.measure_delay(1000 * second, now=OPENED_AT + second + 2)
         for second in range(1, int(2 * WINDOW_SECONDS) + 3)
     ]
-    assert delays[0] == pytest.approx(2, abs=NEARLY)
+    assert delays[0] == pytest.approx(2, abs=TOLERANCE_SECONDS)
     assert delays[-1] == 0
 
 
-def test_clocks_that_ran_apart_overnight_make_nothing_late() -> None:
+def test_clock_drift_overnight_makes_nothing_late() -> None:
     """The first calls of the morning are refused as late.
 
-    Nothing was sent on a connection for hours, and the clocks of both
-    machines have run apart by seconds.
+    Nothing was sent on a connection for hours, and the clocks of both machines
+    have drifted apart by seconds.
     """
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
     night = 36_000
-    apart = 3.6
+    drift_seconds = 3.6
     for second in range(5):
         morning = night + second
         assert (
             transit.measure_delay(
                 1000 * morning,
-                now=OPENED_AT + morning + apart,
+                now=OPENED_AT + morning + drift_seconds,
             )
             == 0
         )
 
 
-def test_delay_is_taken_off_both_times() -> None:
+def test_delay_is_subtracted_from_both_times() -> None:
     fields = build_run(remaining_ms=2700).fields
     assert fields.within_ms == 100
     shortened = subtract_delay(fields, delay=0.06)
     assert (shortened.within_ms, shortened.remaining_ms) == (40, 2640)
-    over = subtract_delay(fields, delay=3.5)
-    assert (over.within_ms, over.remaining_ms) == (0, 0)
+    expired = subtract_delay(fields, delay=3.5)
+    assert (expired.within_ms, expired.remaining_ms) == (0, 0)
     assert subtract_delay(fields, delay=0) is fields
 
 
-def test_only_what_asks_an_owner_to_work_tells_when_it_was_sent() -> None:
+def test_only_reserve_and_run_carry_a_send_time() -> None:
     run = build_run()
     stamped = add_send_time(run, elapsed_seconds=1.5)
     assert isinstance(stamped, Run)
@@ -173,7 +174,7 @@
     assert add_send_time(cancel, elapsed_seconds=1.5) is cancel
 
 
-def test_entry_of_an_older_build_tells_nothing() -> None:
+def test_message_of_an_older_build_has_no_send_time() -> None:
     encoded = msgpack.encode(build_run().fields)
     older = msgpack.encode(msgpack.decode(encoded)[:-1])
     assert msgpack.decode(older, type=CallFields).sent_ms == 0
