--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -129,7 +129,7 @@
         self._acceptor.close()
 
     def close_idle(self) -> None:
-        """Close connections that have had an answer and have no request.
+        """Close connections that were answered and have no open request.
 
         Without this, while the node waits for a long answer to one caller,
         another one would send a request on its open connection and be cut off
@@ -238,17 +238,17 @@
         else:
             self._stream.pause()
 
-    def send_in_turn(self, exchange: Exchange, written: bytes) -> None:
+    def send_in_turn(self, exchange: Exchange, output: bytes) -> None:
         """Send a part of a response, or defer it until its turn.
 
         Args:
             exchange: exchange that the response belongs to.
-            written: bytes to send.
+            output: bytes to send.
         """
         if self._exchanges and self._exchanges[0] is exchange:
-            self._stream.send(written)
+            self._stream.send(output)
         else:
-            exchange.defer(written)
+            exchange.defer(output)
 
     def advance(self) -> None:
         """Remove finished exchanges and send output of the next one."""
@@ -334,7 +334,7 @@
         if not self._exchanges and self._failure is None:
             self._finish()
             return
-        self.on_lost(OSError('the caller hung up'))
+        self.on_lost(OSError('the caller disconnected'))
 
     def on_lost(self, error: OSError) -> None:
         """Release a lost connection.
--- a/wagtaildale/calls/exchanges.py
+++ b/wagtaildale/calls/exchanges.py
@@ -147,15 +147,15 @@
         self._deferred.clear()
         return deferred
 
-    def defer(self, written: bytes) -> None:
+    def defer(self, output: bytes) -> None:
         """Keep output until it is this exchange's turn.
 
         Args:
-            written: bytes of the response.
+            output: bytes of the response.
         """
-        self._deferred += written
+        self._deferred += output
 
-    def _send(self, written: bytes) -> None:
-        self._connection.send_in_turn(self, written)
+    def _send(self, output: bytes) -> None:
+        self._connection.send_in_turn(self, output)
         if self.is_done:
             self._connection.advance()
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -1,4 +1,4 @@
-"""Fields of a call that entry and owner exchange."""
+"""Fields that entry and owner send each other with a call."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     array_like=True,
     gc=False,
 ):
-    """What an entry tells an owner of a call.
+    """Fields that an entry sends to an owner with a call.
 
     Attributes:
         request_id: identifies the request in logs; the caller's own if it sends
@@ -101,7 +101,7 @@
     array_like=True,
     gc=False,
 ):
-    """What an owner tells an entry with each answer.
+    """Fields that an owner sends to an entry with each answer.
 
     Attributes:
         request_id: identifier of the answered request.
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -46,7 +46,7 @@
 
     Attributes:
         call: number of the call on this connection.
-        fields: what the entry tells of the call.
+        fields: description of the call by the entry.
     """
 
     call: CallNumber
@@ -58,7 +58,7 @@
 
     Attributes:
         call: number of the call on this connection.
-        fields: what the entry tells of the call.
+        fields: description of the call by the entry.
         method: HTTP method.
         target: path and query as received.
         headers: headers that are forwarded.
--- a/wagtaildale/calls/heads.py
+++ b/wagtaildale/calls/heads.py
@@ -17,7 +17,7 @@
 CHUNKED_ENCODING: Final = (b'transfer-encoding', b'chunked')
 LAST_CHUNK: Final = b'0\r\n\r\n'
 CONTINUE_RESPONSE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
-HOP_BY_HOP: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         b'connection',
         b'content-length',
@@ -50,7 +50,7 @@
     headers = [
         header
         for header in message.headers
-        if header[0] not in HOP_BY_HOP
+        if header[0] not in HOP_BY_HOP_HEADERS
         and not header[0].startswith(INTERNAL_HEADER_PREFIX)
     ]
     if connection_header is None or connection_header in {
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -59,7 +59,7 @@
 
 
 class PeerReceiver(Protocol):
-    """Receives what becomes of a call."""
+    """Receives the events of a call."""
 
     def on_frame(self, frame: ToEntry) -> None:
         """Handle a message of the owner.
@@ -180,7 +180,7 @@
 
 
 class PeerObserver(Protocol):
-    """Receives what happens to connections to owners."""
+    """Receives the events of connections to owners."""
 
     def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
         """Handle a load report of an owner.
@@ -255,7 +255,7 @@
             loop: event loop of the connection.
             address: address of the owner.
             compressed: whether to compress both directions.
-            observer: receives what happens to the connection.
+            observer: receives the events of the connection.
         """
         self.address = address
         self.is_compressed = compressed
--- a/wagtaildale/calls/responses.py
+++ b/wagtaildale/calls/responses.py
@@ -72,8 +72,8 @@
         headers = [*head.headers, *self._choose_framing(head, body, more)]
         if self._closes_connection:
             headers.append(CONNECTION_CLOSE)
-        written = write_response_head(head.status, headers=headers)
-        return written + self.add(body, more=more) if body else written
+        output = write_response_head(head.status, headers=headers)
+        return output + self.add(body, more=more) if body else output
 
     def add(self, piece: bytes, *, more: bool) -> bytes:
         """Write a piece of the body.
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -178,8 +178,9 @@
     def enable_drain_notice(self) -> None:
         """Note that the entry understands ``DrainNotice``.
 
-        Sends the notice if the owner already drains, and the current load
-        report, which other entries got before this one connected.
+        Sends the notice if the owner already drains. Also sends the load
+        report, if there is one, that other entries were sent before this one
+        connected.
         """
         self._accepts_drain_notice = True
         self.announce_drain()
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -37,16 +37,16 @@
     """
 
     def __init__(self) -> None:
-        here, there = build_pair()
+        near_record, far_record = build_pair()
         self.backend = HostedBackend(
             'b',
-            host=there.host,
+            host=far_record.host,
             port=BACKEND_PORT,
-            entry_port=there.entry_port,
+            entry_port=far_record.entry_port,
         )
-        self.near = MeshNode(here)
-        self.far = MeshNode(there)
-        self.near.show(there)
+        self.near = MeshNode(near_record)
+        self.far = MeshNode(far_record)
+        self.near.show(far_record)
 
     def close(self) -> None:
         self.near.close()
--- a/wagtaildale/calls/tests/pausable_proxies.py
+++ b/wagtaildale/calls/tests/pausable_proxies.py
@@ -22,16 +22,16 @@
         target: tuple[str, int],
     ) -> None:
         self._target = target
-        self._is_flowing = threading.Event()
-        self._is_flowing.set()
+        self._resumed = threading.Event()
+        self._resumed.set()
         self._is_closed = False
         super().__init__(address)
 
     def pause(self) -> None:
-        self._is_flowing.clear()
+        self._resumed.clear()
 
     def resume(self) -> None:
-        self._is_flowing.set()
+        self._resumed.set()
 
     def close(self) -> None:
         self._is_closed = True
@@ -43,9 +43,9 @@
             opposite_sides = {sock: target, target: sock}
             is_connected = True
             while is_connected and not self._is_closed:
-                is_connected = self._pass_on(opposite_sides)
+                is_connected = self._forward(opposite_sides)
 
-    def _pass_on(
+    def _forward(
         self, opposite_sides: dict[socket.socket, socket.socket]
     ) -> bool:
         ready, _writable, _failed = select.select(
@@ -56,7 +56,7 @@
         )
         for side in ready:
             # Input that arrives during a pause waits here.
-            self._is_flowing.wait(TIMEOUT_SECONDS)
+            self._resumed.wait(TIMEOUT_SECONDS)
             piece = side.recv(65536)
             if not piece:
                 return False
--- a/wagtaildale/calls/tests/relays.py
+++ b/wagtaildale/calls/tests/relays.py
@@ -28,15 +28,15 @@
         self.held_bytes = 0
         self.returned_bytes = 0
         self._owner = owner
-        self._is_flowing = threading.Event()
-        self._is_flowing.set()
+        self._resumed = threading.Event()
+        self._resumed.set()
         super().__init__(address)
 
     def pause(self) -> None:
-        self._is_flowing.clear()
+        self._resumed.clear()
 
     def resume(self) -> None:
-        self._is_flowing.set()
+        self._resumed.set()
 
     def answer(self, sock: socket.socket) -> None:
         with socket.create_connection(
@@ -44,27 +44,27 @@
         ) as connection:
             connection.settimeout(None)
             return_thread = threading.Thread(
-                target=self._pass_back, args=(connection, sock)
+                target=self._forward_back, args=(connection, sock)
             )
             return_thread.start()
-            self._pass_on(sock, connection)
+            self._forward(sock, connection)
             return_thread.join(TIMEOUT_SECONDS)
 
-    def _pass_on(self, sock: socket.socket, connection: socket.socket) -> None:
+    def _forward(self, sock: socket.socket, connection: socket.socket) -> None:
         while chunk := _read(sock):
-            if not self._is_flowing.is_set():
+            if not self._resumed.is_set():
                 self.held_bytes += len(chunk)
-                self._is_flowing.wait(TIMEOUT_SECONDS)
+                self._resumed.wait(TIMEOUT_SECONDS)
             _write(connection, chunk)
-        _end(connection)
+        _end_output(connection)
 
-    def _pass_back(
+    def _forward_back(
         self, connection: socket.socket, sock: socket.socket
     ) -> None:
         while chunk := _read(connection):
             self.returned_bytes += len(chunk)
             _write(sock, chunk)
-        _end(sock)
+        _end_output(sock)
 
 
 def _read(sock: socket.socket) -> bytes:
@@ -82,7 +82,7 @@
         return
 
 
-def _end(sock: socket.socket) -> None:
+def _end_output(sock: socket.socket) -> None:
     try:
         sock.shutdown(socket.SHUT_WR)
     except OSError:
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -1,7 +1,8 @@
 """Tests of callers' connections that close, or are closed, between requests.
 
-The tests step the event loop themselves, so that what a caller sends has always
-arrived before the loop checks its sockets.
+The doc text of a test describes the failure that it prevents. The tests step
+the event loop themselves, so that what a caller sends has always arrived before
+the loop checks its sockets.
 """
 
 from __future__ import annotations
--- a/wagtaildale/calls/tests/test_dialect.py
+++ b/wagtaildale/calls/tests/test_dialect.py
@@ -1,4 +1,7 @@
-"""Tests of header fields on a platform with a dialect of its own."""
+"""Tests of header fields on a platform with a dialect of its own.
+
+The doc text of a test describes the failure that it prevents.
+"""
 
 from __future__ import annotations
 
@@ -52,19 +55,19 @@
 
 @pytest.fixture
 def backend() -> Iterator[ScriptedBackend]:
-    made = ScriptedBackend()
-    yield made
-    made.close()
+    created = ScriptedBackend()
+    yield created
+    created.close()
 
 
 @pytest.fixture
 def node(backend: ScriptedBackend) -> Iterator[MeshNode]:
     """A node beside its backend server, without a configuration so far."""
     record = build_record('i-7', host=HOST)
-    made = MeshNode(record, mesh_text='', dialect=PLATFORM_DIALECT)
-    made.show(record)
-    yield made
-    made.close()
+    created = MeshNode(record, mesh_text='', dialect=PLATFORM_DIALECT)
+    created.show(record)
+    yield created
+    created.close()
 
 
 def send_request(
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -1,4 +1,7 @@
-"""Tests of calls in progress at an owner that sends nothing."""
+"""Tests of calls in progress at an owner that sends nothing.
+
+The doc text of a test describes the failure that it prevents.
+"""
 
 from __future__ import annotations
 
@@ -43,20 +46,20 @@
 @pytest.fixture
 def pair_without_owner() -> Iterator[Pair]:
     """A pair whose owner's port is free for a scripted owner."""
-    made = Pair()
-    made.far.close()
-    made.near.publish(PATIENT_MESH)
-    yield made
-    made.near.close()
-    made.backend.close()
+    created = Pair()
+    created.far.close()
+    created.near.publish(PATIENT_MESH)
+    yield created
+    created.near.close()
+    created.backend.close()
 
 
 @pytest.fixture
 def owner(pair_without_owner: Pair) -> Iterator[SilentOwner]:
     """An owner whose connections stall after it got a run message."""
-    made = start_owner(pair_without_owner, silent_pings=SILENT_PINGS)
-    yield made
-    made.close()
+    created = start_owner(pair_without_owner, silent_pings=SILENT_PINGS)
+    yield created
+    created.close()
 
 
 @pytest.fixture
@@ -64,11 +67,11 @@
     pair_without_owner: Pair,
 ) -> Iterator[SilentOwner]:
     """An owner whose first connection stays silent."""
-    made = start_owner(
+    created = start_owner(
         pair_without_owner, silent_pings=FOREVER_PINGS, only_first=True
     )
-    yield made
-    made.close()
+    yield created
+    created.close()
 
 
 def start_owner(
@@ -95,8 +98,9 @@
 
     The connection to the owner stalls for longer than an entry waits for input.
     The entry closed it with all its calls and answered 502 to a lookup after
-    0.47 s, although 2.2 s were left; its run message was under way and started
-    3.2 s later. Nothing proves that the owner is gone, so the call must wait.
+    0.47 s, although 2.2 s were left. Its run message was still on the wire, and
+    the backend server started it 3.2 s later. Nothing proves that the owner is
+    gone, so the call must wait.
     """
     near = pair_without_owner.near
     stop = Stop(calls=near.calls, inbox=Inbox(), recorder=near.recorder)
--- a/wagtaildale/calls/tests/test_transit.py
+++ b/wagtaildale/calls/tests/test_transit.py
@@ -1,4 +1,7 @@
-"""Tests of messages that the network between two nodes delays."""
+"""Tests of messages that the network between two nodes delays.
+
+The doc text of a test describes the failure that it prevents.
+"""
 
 from __future__ import annotations
 
@@ -36,13 +39,13 @@
 def proxy(pair: Pair) -> Iterator[PausableProxy]:
     """The proxy between both nodes of the pair."""
     record = pair.far.record
-    made = PausableProxy(
+    created = PausableProxy(
         (record.host, PROXY_PORT),
         target=(record.host, record.owner_port),
     )
     pair.near.show(structs.replace(record, owner_port=PROXY_PORT))
-    yield made
-    made.close()
+    yield created
+    created.close()
 
 
 def test_lookup_delayed_past_its_deadline_is_not_run(
