--- a/wagtaildale/admission/tests/test_shares.py
+++ b/wagtaildale/admission/tests/test_shares.py
@@ -113,7 +113,7 @@
 def test_share_that_an_entry_reports_is_bounded(parts: int) -> None:
     """Guards against an entry whose one request counts for unlimited demand."""
     fields = structs.replace(build_run().fields, passed_parts=parts)
-    assert 1 <= fields.stands_for <= PARTS_PER_WHOLE / MIN_PARTS
+    assert 1 <= fields.represented_requests <= PARTS_PER_WHOLE / MIN_PARTS
 
 
 @pytest.mark.parametrize('parts', [-5, 0, 10**12])
--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -11,13 +11,13 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.frames import (
     Answered,
-    Cut,
+    ResponseAborted,
     Failed,
     Granted,
-    Piece,
+    BodyPiece,
     Reserve,
     Run,
-    Taken,
+    WindowUpdate,
 )
 from wagtaildale.calls.windows import SendWindow
 from wagtaildale.errors.codes import Code
@@ -69,7 +69,7 @@
             frame: response head with the whole body or its first piece.
         """
 
-    def on_piece(self, attempt: Attempt, frame: Piece) -> None:
+    def on_piece(self, attempt: Attempt, frame: BodyPiece) -> None:
         """Handle a further piece of the response body.
 
         Args:
@@ -161,7 +161,7 @@
         self.is_silent = False
         self._call = call
         self._peer = peer
-        self._number = peer.open(self)
+        self._number = peer.open_call(self)
         self._window = SendWindow()
         self._has_sent_all = False
 
@@ -185,12 +185,12 @@
             return
         while self._window.is_open and not self._has_sent_all:
             piece = body.take()
-            self._has_sent_all = body.is_given
+            self._has_sent_all = body.is_exhausted
             if not piece and not self._has_sent_all:
                 return
             self._window.note_sent(len(piece))
             more = not self._has_sent_all
-            self._peer.send(Piece(self._number, piece, more))
+            self._peer.send(BodyPiece(self._number, piece, more))
 
     def send_credit(self, size: int) -> None:
         """Allow the owner to send more of the response body.
@@ -199,7 +199,7 @@
             size: number of response bytes that the caller has accepted.
         """
         if self.state is AttemptState.answering:
-            self._peer.send(Taken(self._number, size))
+            self._peer.send(WindowUpdate(self._number, size))
 
     def on_frame(self, frame: ToEntry) -> None:
         """Handle a message from the owner; see ``PeerReceiver``.
@@ -267,7 +267,7 @@
             self._end(cancelled=False)
         self._call.on_answer(self, frame)
 
-    def on_piece(self, frame: Piece) -> None:
+    def on_piece(self, frame: BodyPiece) -> None:
         """Forward a further piece of the response body.
 
         Args:
@@ -279,7 +279,7 @@
             self._end(cancelled=False)
         self._call.on_piece(self, frame)
 
-    def on_taken(self, frame: Taken) -> None:
+    def on_taken(self, frame: WindowUpdate) -> None:
         """Send more of the request body.
 
         Args:
@@ -329,7 +329,9 @@
         self.is_run_sent = True
         body = request.body.take()
         self._window.note_sent(len(body))
-        self._has_sent_all = request.body.is_replayable or request.body.is_given
+        self._has_sent_all = (
+            request.body.is_replayable or request.body.is_exhausted
+        )
         self._peer.send(
             Run(
                 self._number,
@@ -408,15 +410,15 @@
 
 
 @dispatch_frame.register
-def _dispatch_piece(frame: Piece, attempt: Attempt) -> None:
+def _dispatch_piece(frame: BodyPiece, attempt: Attempt) -> None:
     attempt.on_piece(frame)
 
 
 @dispatch_frame.register
-def _dispatch_taken(frame: Taken, attempt: Attempt) -> None:
+def _dispatch_taken(frame: WindowUpdate, attempt: Attempt) -> None:
     attempt.on_taken(frame)
 
 
 @dispatch_frame.register
-def _dispatch_cut(frame: Cut, attempt: Attempt) -> None:
+def _dispatch_cut(frame: ResponseAborted, attempt: Attempt) -> None:
     attempt.on_cut()
--- a/wagtaildale/calls/bodies.py
+++ b/wagtaildale/calls/bodies.py
@@ -10,39 +10,44 @@
 if TYPE_CHECKING:
     from wagtaildale.calls.exchanges import Exchange
 
-# A body up to this size is whole before the first attempt and can be sent
-# to another upstream; a larger one is passed on as it comes, once.
-REPLAY_BYTES: Final = 65_536
-# Above this much that has not been passed on the caller has to wait.
-HELD_MOST: Final = 262_144
-PIECE_BYTES: Final = 65_536
+# A body of up to this size is read before the first attempt and can be sent to
+# another upstream again. A larger one is forwarded as it arrives, once.
+MAX_REPLAYABLE_BYTES: Final = 65_536
+# Reading from the caller stops above this number of bytes that wait to be
+# forwarded.
+MAX_BUFFERED_BYTES: Final = 262_144
+MAX_PIECE_BYTES: Final = 65_536
 
 
 class RequestBody:
-    """A body that is kept while it is small, and else passed on."""
+    """A body that is kept while it is small, and streamed otherwise.
+
+    Attributes:
+        is_replayable: whether the whole body can be sent again.
+    """
 
     def __init__(self, exchange: Exchange, *, limit: int) -> None:
-        """Take what has come with the head.
+        """Take what has arrived with the head.
 
         Args:
-            exchange: of the request.
-            limit: largest body, bytes.
+            exchange: exchange of the request.
+            limit: largest body in bytes.
 
         Raises:
-            CallFailed: when the head announces more than the limit.
+            CallFailed: if the announced length is above the limit.
         """
         self._exchange = exchange
         self._limit = limit
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._size = 0
         self.is_replayable = True
         if exchange.message.length > limit:
-            raise _describe_large(limit)
+            raise _make_too_large_error(limit)
         self.read()
 
     @property
     def is_complete(self) -> bool:
-        """Whether nothing more is to come."""
+        """Whether the whole body has arrived."""
         return self._exchange.message.is_complete
 
     @property
@@ -51,58 +56,56 @@
         return self.is_complete or not self.is_replayable
 
     @property
-    def is_given(self) -> bool:
-        """Whether all of a body that is sent once has been given."""
-        return self.is_complete and not self._held
+    def is_exhausted(self) -> bool:
+        """Whether all of a streamed body has been taken."""
+        return self.is_complete and not self._buffer
 
     @property
     def length(self) -> int:
-        """Of the whole body where it was announced, else -1."""
+        """Announced length of the body in bytes, or -1."""
         return self._exchange.message.length
 
     def read(self) -> None:
-        """Take what has come since.
+        """Take what has arrived since the last call.
 
         Raises:
-            CallFailed: when it is over the limit.
+            CallFailed: if the body is above the limit.
         """
         piece = self._exchange.message.take_body()
         self._size += len(piece)
         if self._size > self._limit:
-            raise _describe_large(self._limit)
-        self._held += piece
-        if self._size > REPLAY_BYTES:
+            raise _make_too_large_error(self._limit)
+        self._buffer += piece
+        if self._size > MAX_REPLAYABLE_BYTES:
             self.is_replayable = False
-        if len(self._held) > HELD_MOST:
-            self._exchange.read_more(wanted=False)
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            self._exchange.set_reading(enabled=False)
 
     def peek(self) -> bytes:
-        """Look at the body before any of it is passed on.
+        """Return the beginning of the body before any of it is sent.
 
         Returns:
-            All of a body that can be sent again; of a larger one the first
-            piece.
+            The whole body if it can be sent again, otherwise its first piece.
         """
-        return bytes(self._held[:PIECE_BYTES])
+        return bytes(self._buffer[:MAX_PIECE_BYTES])
 
     def take(self) -> bytes:
-        """Give what is to be passed on now.
+        """Return what is to be sent next.
 
         Returns:
-            All of a body that can be sent again; of a larger one the next
-            piece.
+            The whole body if it can be sent again, otherwise the next piece.
         """
         if self.is_replayable:
-            return bytes(self._held)
-        given = bytes(self._held[:PIECE_BYTES])
-        self._held = self._held[PIECE_BYTES:]
-        if not self.is_complete and len(self._held) < HELD_MOST:
-            self._exchange.read_more(wanted=True)
-        return given
+            return bytes(self._buffer)
+        piece = bytes(self._buffer[:MAX_PIECE_BYTES])
+        self._buffer = self._buffer[MAX_PIECE_BYTES:]
+        if not self.is_complete and len(self._buffer) < MAX_BUFFERED_BYTES:
+            self._exchange.set_reading(enabled=True)
+        return piece
 
 
-def _describe_large(limit: int) -> CallFailed:
+def _make_too_large_error(limit: int) -> CallFailed:
     return CallFailed(
         Code.request_too_large,
-        detail=f'body over {limit} bytes',
+        detail=f'body exceeds the limit of {limit} bytes',
     )
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections, and the port on which they come."""
+"""Connections of callers, and the port that accepts them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from msgspec import Struct
 
-from wagtaildale.calls.answers import describe_problem
+from wagtaildale.calls.error_responses import build_error_response
 from wagtaildale.calls.exchanges import Exchange
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.glances import Glance, glance
 from wagtaildale.calls.parsing import MessageParser
+from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.responses import ResponseWriter
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.acceptor import Acceptor
@@ -25,26 +25,26 @@
     from result import Result
 
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.exchanges import Answerer
+    from wagtaildale.calls.exchanges import RequestHandler
     from wagtaildale.calls.parsing import Message
     from wagtaildale.errors.faults import Fault
     from wagtaildale.reactor.loop import Loop
 
-# Requests of one connection that are under way at once; more wait unread.
-PIPELINED_MOST: Final = 16
-# Between two looks at what has been idle or half a head for too long.
-LOOK_SECONDS: Final = 1.0
+# Requests of one connection in progress at once; further ones stay unread.
+MAX_PIPELINED_REQUESTS: Final = 16
+# Interval between checks for idle connections and incomplete heads.
+TIMEOUT_CHECK_SECONDS: Final = 1.0
 
 
 class CallerLimits(Struct, frozen=True, kw_only=True):
-    """What callers may send, and how long they may take.
+    """Limits on what callers send and on how long they take.
 
     Attributes:
         head_bytes: largest request head.
         body_bytes: largest request body.
-        head_seconds: from the first byte of a head to its last.
-        idle_seconds: that a connection may stay open without a request.
-        connections: open at once at most.
+        head_seconds: longest time from the first byte of a head to its last.
+        idle_seconds: how long a connection may stay open without a request.
+        connections: largest number of open connections.
     """
 
     head_bytes: int
@@ -55,97 +55,100 @@
 
 
 class CallerPort:
-    """The port on which callers' requests come.
+    """The port that accepts connections of callers.
 
     Attributes:
-        draining: whether connections close after what is under way on them.
+        loop: event loop of the connections.
+        request_handler: answers the requests.
+        read_limits: returns the limits that are in force.
+        draining: whether connections close once their requests are answered.
     """
 
     def __init__(
         self,
         loop: Loop,
         *,
-        answerer: Answerer,
+        request_handler: RequestHandler,
         read_limits: Callable[[], CallerLimits],
     ) -> None:
-        """Prepare; ``bind`` opens the port.
+        """Prepare the port; ``bind`` opens it.
 
         Args:
-            loop: carries the connections.
-            answerer: answers requests.
-            read_limits: gives what is in force for callers now.
+            loop: event loop of the connections.
+            request_handler: answers the requests.
+            read_limits: returns the limits that are in force.
         """
         self.loop = loop
-        self.answerer = answerer
+        self.request_handler = request_handler
         self.read_limits = read_limits
         self.draining = False
         self._connections: set[CallerConnection] = set()
         self._acceptor = Acceptor(loop, on_accept=self._accept)
 
     @property
-    def open(self) -> int:
-        """How many connections are open."""
+    def open_connections(self) -> int:
+        """Number of open connections."""
         return len(self._connections)
 
     @property
-    def busy(self) -> int:
-        """How many requests are under way, answers not yet sent included."""
-        return sum(each.busy for each in tuple(self._connections))
+    def active_calls(self) -> int:
+        """Number of requests in progress, with unsent answers counted."""
+        return sum(each.active_calls for each in tuple(self._connections))
 
     @property
     def is_closed(self) -> bool:
-        """Whether no new connection can come."""
+        """Whether the port accepts no new connections."""
         return self._acceptor.is_closed
 
     def bind(self, address: Address) -> Result[None, Fault]:
         """Open the port.
 
         Args:
-            address: to listen on.
+            address: address to listen on.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault that prevented it.
         """
         return self._acceptor.bind(address.host, address.port)
 
     def start(self) -> None:
-        """Accept connections; in the loop's thread."""
+        """Start to accept connections; call it in the loop's thread."""
         self._acceptor.start()
-        self._look()
+        self._check_timeouts()
 
     def drain(self) -> None:
-        """Close each connection after what is under way on it.
+        """Close each connection once its requests are answered.
 
-        Connections are still accepted: whoever has not heard yet that this
-        node leaves gets an answer, and is told to close.
+        New connections are still accepted: a caller that does not know yet that
+        the node leaves gets an answer, and is told to close the connection.
         """
         self.draining = True
 
     def close_port(self) -> None:
-        """Accept nothing more; what is open stays open."""
+        """Accept no more connections; open ones stay open."""
         self._acceptor.close()
 
     def close_idle(self) -> None:
-        """Close whoever has had an answer and has nothing under way.
+        """Close connections that were answered and have no open request.
 
-        Failure guarded here: the node waits for a long answer to one caller,
-        and meanwhile another one sends on its open connection, and is cut
-        at the end of the stop.
+        Without this, while the node waits for a long answer to one caller,
+        another one would send a request on its open connection and be cut off
+        when the stop ends.
         """
         for connection in tuple(self._connections):
             connection.close_idle()
 
     def stop(self) -> None:
-        """Close the port and everything on it, as a process that ends."""
+        """Close the port and all its connections at once."""
         self._acceptor.close_now()
         for connection in tuple(self._connections):
-            connection.abandon()
+            connection.close_now()
 
     def forget(self, connection: CallerConnection) -> None:
-        """Forget a connection that is closed.
+        """Remove a closed connection.
 
         Args:
-            connection: of this port.
+            connection: connection of this port.
         """
         self._connections.discard(connection)
 
@@ -157,26 +160,26 @@
                 CallFailed(Code.overloaded, detail='too many connections'),
             )
 
-    def _look(self) -> None:
+    def _check_timeouts(self) -> None:
         now = read_clock()
         for connection in tuple(self._connections):
-            connection.look(now)
-        self.loop.alarms.set(LOOK_SECONDS, self._look)
+            connection.check_timeouts(now)
+        self.loop.alarms.set(TIMEOUT_CHECK_SECONDS, self._check_timeouts)
 
 
 class CallerConnection:
     """One connection of a caller.
 
-    Requests that come behind one another are answered side by side, and
-    their responses go out in order.
+    Pipelined requests are answered in parallel; their responses are sent in the
+    order of the requests.
     """
 
     def __init__(self, port: CallerPort, sock: socket.socket) -> None:
-        """Take a connection.
+        """Take over an accepted connection.
 
         Args:
-            port: that accepted it.
-            sock: the socket.
+            port: port that accepted it.
+            sock: socket of the connection.
         """
         self._port = port
         self._stream = Stream(port.loop, sock, self)
@@ -187,85 +190,84 @@
         self._exchanges: deque[Exchange] = deque()
         self._incoming: Exchange | None = None
         self._failure: CallFailed | None = None
-        self._is_held_back = False
+        self._is_parsing_paused = False
         self._has_answered = False
         self._is_finishing = False
-        self._since = read_clock()
+        self._last_activity_at = read_clock()
 
     @property
-    def busy(self) -> int:
-        """How many requests are under way.
+    def active_calls(self) -> int:
+        """Number of requests in progress.
 
-        Failure guarded here: a long answer is written but not sent, since
-        its caller reads slowly, and the node takes the call for done and
-        ends. What is not sent is under way.
+        Unsent output counts as one request: otherwise the node would consider a
+        long answer to a slow reader done, and end before it is sent.
         """
         return len(self._exchanges) or int(self._stream.unsent > 0)
 
     @property
     def is_full(self) -> bool:
-        """Whether the caller has yet to take what was written."""
+        """Whether output waits for the caller to read."""
         return self._stream.is_full
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Tell whether a response is the connection's last one.
+        """Tell whether a response is the last one of the connection.
 
-        With others behind it the connection stays: they are under way, and
-        closing would lose their answers.
+        The connection stays open for requests that follow: they are in
+        progress, and closing would lose their answers.
 
         Args:
-            exchange: whose response is written.
+            exchange: exchange whose response is written.
 
         Returns:
-            Whether to tell the caller so.
+            Whether the response tells the caller that the connection closes.
         """
         message = exchange.message
-        wanted = self._port.draining or not message.keep_alive
+        closing = self._port.draining or not message.keep_alive
         return self._exchanges[-1] is exchange and (
-            wanted or not message.is_complete or self._failure is not None
+            closing or not message.is_complete or self._failure is not None
         )
 
-    def read_more(self, *, wanted: bool) -> None:
-        """Read on, or leave what comes with the caller for now.
+    def set_reading(self, *, enabled: bool) -> None:
+        """Start or stop to read from the socket.
 
         Args:
-            wanted: whether to read.
+            enabled: whether to read.
         """
-        if wanted:
+        if enabled:
             self._stream.resume()
         else:
             self._stream.pause()
 
-    def send_for(self, exchange: Exchange, written: bytes) -> None:
-        """Send a part of a response, or keep it until its turn.
+    def send_in_turn(self, exchange: Exchange, output: bytes) -> None:
+        """Send a part of a response, or defer it until its turn.
 
         Args:
-            exchange: whose response it is.
-            written: the bytes.
+            exchange: exchange that the response belongs to.
+            output: bytes to send.
         """
         if self._exchanges and self._exchanges[0] is exchange:
-            self._stream.send(written)
+            self._stream.send(output)
         else:
-            exchange.keep(written)
+            exchange.defer(output)
 
     def advance(self) -> None:
-        """Go on to the next response once the first is done."""
+        """Remove finished exchanges and send output of the next one."""
         while self._exchanges and self._exchanges[0].is_done:
             done = self._exchanges.popleft()
             self._has_answered = True
-            self._since = read_clock()
-            if done.closes or done.is_broken:
-                self._finish(broken=done.is_broken)
+            self._last_activity_at = read_clock()
+            if done.announces_close or done.is_aborted:
+                self._finish(aborted=done.is_aborted)
                 return
             if self._exchanges:
-                self._stream.send(self._exchanges[0].take_kept())
-        self._go_on()
+                self._stream.send(self._exchanges[0].take_deferred())
+        self._continue()
 
     def refuse(self, failure: CallFailed) -> None:
-        """Answer with a failure after what is under way, and close.
+        """Send an error once earlier requests are answered, then close.
 
         Args:
-            failure: what is wrong.
+            failure: reason for the refusal.
         """
         if self._failure is not None:
             return
@@ -273,174 +275,182 @@
         if not self._exchanges:
             self._send_failure(failure)
 
-    def look(self, now: float) -> None:
-        """Look whether the connection has been idle for too long.
+    def check_timeouts(self, now: float) -> None:
+        """Refuse a head that takes too long; close an idle connection.
 
         Args:
-            now: seconds on the clock.
+            now: time on the clock, in seconds.
         """
-        if self.busy or self._failure is not None:
+        if self.active_calls or self._failure is not None:
             return
         limits = self._port.read_limits()
         if self._parser.has_more():
-            if now - self._since > limits.head_seconds:
+            if now - self._last_activity_at > limits.head_seconds:
                 self.refuse(CallFailed(Code.head_timed_out))
-        elif now - self._since > limits.idle_seconds:
-            self._finish_unless_asked()
+        elif now - self._last_activity_at > limits.idle_seconds:
+            self._finish_unless_input_pending()
 
     def close_idle(self) -> None:
-        """Close if nothing is under way.
+        """Close if no request is in progress.
 
-        One that has just connected is about to send its request.
+        A connection without any answer so far is kept: the caller has just
+        connected and is about to send its request.
         """
-        busy = self.busy or self._failure is not None
-        if self._has_answered and not busy:
-            self._finish_unless_asked()
+        is_active = self.active_calls or self._failure is not None
+        if self._has_answered and not is_active:
+            self._finish_unless_input_pending()
 
-    def abandon(self) -> None:
+    def close_now(self) -> None:
         """Close at once."""
         self._stream.close()
-        self._leave()
+        self._detach()
 
     def on_open(self) -> None:
-        """Do nothing: it was open from the start."""
+        """Do nothing: accepted connections are open from the start."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take bytes of requests.
+        """Parse bytes of requests.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
         """
         if self._failure is not None or self._is_finishing:
             return
         if not self._parser.has_more():
-            self._since = read_clock()
+            self._last_activity_at = read_clock()
         try:
             self._parser.feed(chunk)
         except CallFailed as failure:
-            self._take_messages()
+            self._process_messages()
             self.refuse(failure)
             return
-        self._take_messages()
+        self._process_messages()
 
     def on_end(self) -> None:
-        """Learn that the caller sends no more: it counts as gone."""
+        """Treat a caller that sends no more as disconnected."""
         if self._is_finishing:
-            # It may read on; if it does not, sending will tell.
+            # The caller may still read; if it does not, sending fails.
             return
         if not self._exchanges and self._failure is None:
             self._finish()
             return
-        self.on_lost(OSError('the caller hung up'))
+        self.on_lost(OSError('the caller disconnected'))
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the caller is gone.
+        """Release a lost connection.
 
         Args:
-            error: why.
+            error: error of the socket.
         """
         self._stream.close()
-        self._leave()
+        self._detach()
 
     def on_drained(self) -> None:
-        """Learn that the caller has taken what was written."""
-        self._since = read_clock()
+        """Continue to write, or finish, once all output is sent."""
+        self._last_activity_at = read_clock()
         if self._is_finishing:
             self._finish()
         elif self._exchanges and self._exchanges[0].receiver is not None:
-            self._exchanges[0].receiver.on_room()
+            self._exchanges[0].receiver.on_writable()
 
-    def _take_messages(self) -> None:
+    def _process_messages(self) -> None:
         while not self._is_ending():
             message = self._parser.peek()
             if message is None:
                 return
-            if self._incoming is None and self.busy >= PIPELINED_MOST:
-                self._is_held_back = True
+            if (
+                self._incoming is None
+                and self.active_calls >= MAX_PIPELINED_REQUESTS
+            ):
+                self._is_parsing_paused = True
                 self._stream.pause()
                 return
-            self._take(message)
+            self._process_message(message)
             if not message.is_complete:
                 return
             self._parser.drop()
             self._incoming = None
 
-    def _go_on(self) -> None:
+    def _continue(self) -> None:
         if self._exchanges:
-            self._take_held_back()
+            self._resume_parsing()
             return
         failure = self._failure
         if failure is None:
-            self._go_on_idle()
+            self._continue_idle()
         else:
             self._send_failure(failure)
 
-    def _go_on_idle(self) -> None:
-        # While the node stops, requests behind others are not begun.
+    def _continue_idle(self) -> None:
+        # Pipelined requests are not started while the node stops.
         if self._port.draining and self._parser.has_more():
             self._finish()
         else:
-            self._take_held_back()
+            self._resume_parsing()
 
-    def _take_held_back(self) -> None:
-        if self._is_held_back:
-            self._is_held_back = False
+    def _resume_parsing(self) -> None:
+        if self._is_parsing_paused:
+            self._is_parsing_paused = False
             self._stream.resume()
-            self._take_messages()
+            self._process_messages()
 
-    def _take(self, message: Message) -> None:
+    def _process_message(self, message: Message) -> None:
         if self._incoming is None:
             exchange = Exchange(message, connection=self)
             self._exchanges.append(exchange)
             self._incoming = exchange
-            self._port.answerer.answer(exchange)
+            self._port.request_handler.handle_request(exchange)
         elif self._incoming.receiver is not None:
             self._incoming.receiver.on_body()
 
     def _is_ending(self) -> bool:
-        # Whatever comes behind a request that asks to close, or behind one
-        # whose answer has announced the end, belongs to nobody. And a caller
-        # that always has a further request under way would never let a node
-        # stop: what comes behind others is not begun any more.
+        # Requests that follow one that asks to close, or one whose answer has
+        # announced the close, are ignored. While the node drains, no further
+        # pipelined requests are started: a caller that always has another one
+        # in progress would never let the node stop.
         if self._stream.is_closed or self._is_finishing:
             return True
         if self._incoming is not None or not self._exchanges:
             return False
         last = self._exchanges[-1]
-        return self._port.draining or last.closes or not last.message.keep_alive
+        return (
+            self._port.draining
+            or last.announces_close
+            or not last.message.keep_alive
+        )
 
     def _send_failure(self, failure: CallFailed) -> None:
-        head, body = describe_problem(failure)
+        head, body = build_error_response(failure)
         writer = ResponseWriter(b'GET', closing=True)
         self._stream.send(writer.begin(head, body=body, more=False))
         self._finish()
 
-    def _finish_unless_asked(self) -> None:
-        # Failure: a request has come and is not read yet when its idle
-        # connection is closed, and is lost. It is read and answered first.
-        if glance(self._stream) is not Glance.bytes_came:
+    def _finish_unless_input_pending(self) -> None:
+        # Closing now would lose a request that has arrived on the idle
+        # connection but is not read yet. It is read and answered first.
+        if peek_input(self._stream) is not PendingInput.bytes_came:
             self._finish()
 
-    def _finish(self, *, broken: bool = False) -> None:
+    def _finish(self, *, aborted: bool = False) -> None:
         self._is_finishing = True
-        if broken:
+        if aborted:
             self._stream.close()
         elif self._stream.unsent:
-            # Failure: a slow reader's answer is cut a moment after the last
-            # of it was written. The connection ends once all of it is sent.
+            # Closing now would cut off the answer to a slow reader. The
+            # connection closes once all of it is sent.
             self._drop_exchanges()
             return
         else:
             self._stream.finish()
-        self._leave()
+        self._detach()
 
-    def _leave(self) -> None:
+    def _detach(self) -> None:
         self._port.forget(self)
         self._drop_exchanges()
 
     def _drop_exchanges(self) -> None:
-        left = tuple(self._exchanges)
+        pending = tuple(self._exchanges)
         self._exchanges.clear()
-        for exchange in left:
+        for exchange in pending:
             if exchange.receiver is not None:
-                exchange.receiver.on_gone()
+                exchange.receiver.on_caller_gone()
--- a/wagtaildale/calls/dialect.py
+++ b/wagtaildale/calls/dialect.py
@@ -1,6 +1,6 @@
-"""The header fields by which callers and backend servers are spoken to.
+"""Header fields that are used with callers and backend servers.
 
-The product has its own; a platform that speaks otherwise gives another
+The product has its own fields; a platform with other fields passes another
 ``Dialect``. Everything else of a call is the same.
 """
 
@@ -10,33 +10,35 @@
 
 
 class Dialect(Struct, frozen=True, kw_only=True):
-    """Names of header fields, in lower case, and what they promise.
+    """Names of header fields in lower case, and how they are used.
 
     Attributes:
-        request_id: names a request towards its backend server.
-        deadline_ms: milliseconds that whoever asks still waits.
-        depth: how many calls led to this one; nothing if it is not told.
-        retries: attempts left to the calls below; nothing if not told.
-        expected_instance: which instance a request is meant for; nothing
-            if backend servers do not look at one.
-        instance: in the answer to a health check, which instance a backend
-            server is; nothing if none says so.
-        caller_service: which service a request came from; nothing if it is
-            not told.
+        request_id: identifies a request towards its backend server.
+        deadline_ms: milliseconds for which the sender of a request still waits.
+        depth: number of calls that led to this one; None if it is not sent.
+        retries: attempts that calls further down may make; None if not sent.
+        expected_instance: instance that a request is meant for; None if backend
+            servers do not check it.
+        instance: in a health check's answer, instance of the backend server;
+            None if backend servers do not send it.
+        caller_service: service that a request came from; None if it is not
+            sent.
         not_run: set in a response by a backend server that did not run the
-            request; nothing if none says so.
-        load: a backend server's running, waiting and slots in a response;
-            nothing if none tells.
-        rate_limit: in a response, how many requests a second a backend
-            server takes from all nodes together; nothing if none names it.
-        leaving: set in a response by a backend server that will end;
-            nothing if none says so.
-        takes_request_id: whether callers name their requests themselves.
-        echoes_request_id: whether a response names its request.
-        describes_calls: whether callers are told how a call went.
-        counts_tries: whether a caller that comes back gives the time that
-            is left of its first try, and its target counts from there.
-        fractional_retry: whether ``Retry-After`` may have a fraction.
+            request; None if backend servers do not send it.
+        load: in a response, running and waiting requests and slots of a backend
+            server; None if backend servers do not send it.
+        rate_limit: in a response, number of requests per second that a backend
+            server accepts from all nodes together; None if backend servers do
+            not send it.
+        leaving: set in a response by a backend server that is about to end;
+            None if backend servers do not send it.
+        accepts_request_id: whether callers choose the identifiers of requests.
+        echoes_request_id: whether a response contains the request's identifier.
+        describes_calls: whether responses tell callers how the call went.
+        deadline_spans_retries: whether a caller that retries sends the time
+            left of its first attempt, so that the target time counts from
+            there.
+        fractional_retry_after: whether ``Retry-After`` may have a fraction.
     """
 
     request_id: bytes = b'wagtaildale-request-id'
@@ -50,15 +52,15 @@
     load: bytes | None = None
     rate_limit: bytes | None = b'wagtaildale-rate-limit'
     leaving: bytes | None = b'wagtaildale-leaving'
-    takes_request_id: bool = False
+    accepts_request_id: bool = False
     echoes_request_id: bool = False
     describes_calls: bool = True
-    counts_tries: bool = False
-    fractional_retry: bool = False
+    deadline_spans_retries: bool = False
+    fractional_retry_after: bool = False
 
     @property
-    def own_fields(self) -> frozenset[bytes]:
-        """Fields of a request that are set anew on its way."""
+    def rewritten_fields(self) -> frozenset[bytes]:
+        """Fields of a request that nodes replace when they forward it."""
         names = (
             self.deadline_ms,
             self.depth,
@@ -69,4 +71,4 @@
         return frozenset(name for name in names if name is not None)
 
 
-OWN_DIALECT = Dialect()
+DEFAULT_DIALECT = Dialect()
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -42,8 +42,8 @@
         self.hedge_delays = HedgeDelays()
         self._budgets: dict[ServiceName, RetryBudget] = {}
 
-    def answer(self, exchange: Exchange) -> None:
-        """Start to answer a request; see ``Answerer``.
+    def handle_request(self, exchange: Exchange) -> None:
+        """Start to answer a request; see ``RequestHandler``.
 
         Args:
             exchange: request and the response to be written.
--- a/wagtaildale/calls/answers.py
+++ b/wagtaildale/calls/error_responses.py
@@ -1,4 +1,4 @@
-"""The answers that a node gives by itself, when a call fails."""
+"""Error responses that a node itself gives to callers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from msgspec import Struct, json
 
-from wagtaildale.calls.dialect import OWN_DIALECT
+from wagtaildale.calls.dialect import DEFAULT_DIALECT
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.errors.codes import MEANINGS, Code
 from wagtaildale.types import Outcome
@@ -21,10 +21,10 @@
     from wagtaildale.calls.parsing import Header
 
 DEFAULT_STATUS: Final = 503
-# Whole seconds are what the field holds in plain HTTP.
-LEAST_RETRY_SECONDS: Final = 1
-LEAST_FRACTION: Final = 0.01
-STATUSES: Final = MappingProxyType(
+# In plain HTTP, ``Retry-After`` holds whole seconds.
+MIN_RETRY_AFTER_SECONDS: Final = 1
+MIN_FRACTIONAL_RETRY_SECONDS: Final = 0.01
+STATUS_BY_CODE: Final = MappingProxyType(
     {
         Code.request_malformed: 400,
         Code.request_too_large: 413,
@@ -41,10 +41,10 @@
         Code.too_deep: 508,
     },
 )
-# Statuses that leave open whether the request has run; for one that has
-# not, the status that says so is given in their place.
-UNCERTAIN: Final = frozenset((502, 504))
-RETRY_LATER: Final = frozenset(
+# These statuses leave open whether the request ran. If it is known that it did
+# not, ``DEFAULT_STATUS`` is sent instead.
+AMBIGUOUS_STATUSES: Final = frozenset((502, 504))
+RETRYABLE_CODES: Final = frozenset(
     (
         Code.no_configuration,
         Code.no_upstream,
@@ -65,14 +65,14 @@
 
 
 class Problem(Struct, frozen=True, kw_only=True):
-    """The body of an answer that a node gives by itself (RFC 9457).
+    """The body of an error response (RFC 9457).
 
     Attributes:
-        title: what went wrong.
+        title: short description of the error.
         status: HTTP status.
         code: numbered result code; docs/errors.md explains each.
-        outcome: what the caller may conclude of its request.
-        detail: anything more.
+        outcome: whether the request ran, as far as is known.
+        detail: further description for people.
     """
 
     title: str
@@ -86,32 +86,32 @@
     """Find the HTTP status of a failed call.
 
     Args:
-        failure: why it failed, and whether the request may have run.
+        failure: reason, and whether the request may have run.
 
     Returns:
-        The status; 503 in place of 502 and 504 where it has not run.
+        The status; 503 instead of 502 and 504 if the request did not run.
     """
-    status = STATUSES.get(failure.code, DEFAULT_STATUS)
-    if status in UNCERTAIN and failure.outcome is Outcome.not_run:
+    status = STATUS_BY_CODE.get(failure.code, DEFAULT_STATUS)
+    if status in AMBIGUOUS_STATUSES and failure.outcome is Outcome.not_run:
         return DEFAULT_STATUS
     if status == DEFAULT_STATUS and failure.outcome is Outcome.unknown:
-        # Callers take 503 for a promise that nothing has run.
-        return STATUSES[Code.outcome_unknown]
+        # Callers rely on 503 to mean that nothing ran.
+        return STATUS_BY_CODE[Code.outcome_unknown]
     return status
 
 
-def describe_problem(
+def build_error_response(
     failure: CallFailed,
     *,
-    extra: Sequence[Header] = (),
-    dialect: Dialect = OWN_DIALECT,
+    extra_headers: Sequence[Header] = (),
+    dialect: Dialect = DEFAULT_DIALECT,
 ) -> tuple[ResponseHead, bytes]:
-    """Describe the whole answer of a failed call.
+    """Build the error response for a failed call.
 
     Args:
-        failure: why it failed.
-        extra: headers that go along.
-        dialect: how callers are spoken to.
+        failure: reason of the failure.
+        extra_headers: further headers of the response.
+        dialect: header fields used with callers.
 
     Returns:
         Head and body.
@@ -124,15 +124,15 @@
         outcome=failure.outcome,
         detail=failure.detail,
     )
-    headers = [(b'content-type', b'application/problem+json'), *extra]
-    told = status == DEFAULT_STATUS or failure.retry_after > 0
-    if failure.code in RETRY_LATER and told:
-        headers.append((b'retry-after', _write_retry(failure, dialect)))
+    headers = [(b'content-type', b'application/problem+json'), *extra_headers]
+    may_retry_later = status == DEFAULT_STATUS or failure.retry_after > 0
+    if failure.code in RETRYABLE_CODES and may_retry_later:
+        headers.append((b'retry-after', _format_retry_after(failure, dialect)))
     head = ResponseHead(status=status, headers=headers)
     return head, json.encode(problem)
 
 
-def _write_retry(failure: CallFailed, dialect: Dialect) -> bytes:
-    if dialect.fractional_retry:
-        return b'%.3f' % max(LEAST_FRACTION, failure.retry_after)
-    return b'%d' % max(LEAST_RETRY_SECONDS, ceil(failure.retry_after))
+def _format_retry_after(failure: CallFailed, dialect: Dialect) -> bytes:
+    if dialect.fractional_retry_after:
+        return b'%.3f' % max(MIN_FRACTIONAL_RETRY_SECONDS, failure.retry_after)
+    return b'%d' % max(MIN_RETRY_AFTER_SECONDS, ceil(failure.retry_after))
--- a/wagtaildale/calls/heads.py
+++ b/wagtaildale/calls/heads.py
@@ -1,4 +1,4 @@
-"""Writes the heads of HTTP messages that are passed on."""
+"""Writes the heads of HTTP messages that are forwarded."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from types import MappingProxyType
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.fields import PRIVATE_PREFIX
+from wagtaildale.calls.fields import INTERNAL_HEADER_PREFIX
 from wagtaildale.calls.parsing import UNKNOWN_LENGTH, Header, Message
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-KEY_FIELD: Final = b'idempotency-key'
-CLOSE: Final = (b'connection', b'close')
-CHUNKED: Final = (b'transfer-encoding', b'chunked')
+IDEMPOTENCY_KEY_HEADER: Final = b'idempotency-key'
+CONNECTION_CLOSE: Final = (b'connection', b'close')
+CHUNKED_ENCODING: Final = (b'transfer-encoding', b'chunked')
 LAST_CHUNK: Final = b'0\r\n\r\n'
-CONTINUE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
-HOP_BY_HOP: Final = frozenset(
+CONTINUE_RESPONSE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         b'connection',
         b'content-length',
@@ -32,31 +32,36 @@
         b'upgrade',
     ),
 )
-REASONS: Final = MappingProxyType(
+REASON_PHRASES: Final = MappingProxyType(
     {status.value: status.phrase for status in HTTPStatus},
 )
 
 
-def pass_on(message: Message) -> list[Header]:
-    """Choose the headers of a message that go on to the next hop.
+def select_forwarded_headers(message: Message) -> list[Header]:
+    """Select the headers of a message that are forwarded to the next hop.
 
     Args:
-        message: as it came.
+        message: received message.
 
     Returns:
-        Its headers, less those of the connection and of the system.
+        Its headers without hop-by-hop headers and without internal ones.
     """
-    named = message.find(b'connection')
+    connection_header = message.find(b'connection')
     headers = [
         header
         for header in message.headers
-        if header[0] not in HOP_BY_HOP
-        and not header[0].startswith(PRIVATE_PREFIX)
+        if header[0] not in HOP_BY_HOP_HEADERS
+        and not header[0].startswith(INTERNAL_HEADER_PREFIX)
     ]
-    if named is None or named in {b'keep-alive', b'close'}:
+    if connection_header is None or connection_header in {
+        b'keep-alive',
+        b'close',
+    }:
         return headers
-    listed = {name.strip().lower() for name in named.split(b',')}
-    return [header for header in headers if header[0] not in listed]
+    connection_options = {
+        name.strip().lower() for name in connection_header.split(b',')
+    }
+    return [header for header in headers if header[0] not in connection_options]
 
 
 def write_request_head(
@@ -69,11 +74,11 @@
 
     Args:
         method: HTTP method.
-        target: path and query as they came.
-        headers: all of them.
+        target: path and query as received.
+        headers: headers of the request.
 
     Returns:
-        Bytes, with the empty line at the end.
+        Head with the empty line at its end.
     """
     lines = [b'%b %b HTTP/1.1' % (method, target)]
     lines.extend(b'%b: %b' % header for header in headers)
@@ -85,49 +90,52 @@
 
     Args:
         status: HTTP status.
-        headers: all of them.
+        headers: headers of the response.
 
     Returns:
-        Bytes, with the empty line at the end.
+        Head with the empty line at its end.
     """
-    reason = REASONS.get(status, '')
+    reason = REASON_PHRASES.get(status, '')
     lines = [f'HTTP/1.1 {status} {reason}'.encode()]
     lines.extend(b'%b: %b' % header for header in headers)
     return b'\r\n'.join((*lines, b'', b''))
 
 
-def frame_body(message: Message, *, whole: bytes | None) -> Sequence[Header]:
-    """Choose the header that says where a body ends.
+def choose_body_framing(
+    message: Message, *, complete_body: bytes | None
+) -> Sequence[Header]:
+    """Choose the header that tells where a body ends.
 
     Args:
-        message: as it came.
-        whole: the body if all of it is here.
+        message: received message.
+        complete_body: the body if all of it has arrived.
 
     Returns:
-        Content-Length, or chunks, or nothing for a request without a body.
+        Content-Length, or chunked Transfer-Encoding; empty for a request
+        without a body.
     """
-    if whole is not None:
-        if not whole and message.method and message.length <= 0:
-            return _frame_empty(message)
-        return ((b'content-length', b'%d' % len(whole)),)
+    if complete_body is not None:
+        if not complete_body and message.method and message.length <= 0:
+            return _choose_empty_framing(message)
+        return ((b'content-length', b'%d' % len(complete_body)),)
     if message.length != UNKNOWN_LENGTH:
         return ((b'content-length', b'%d' % message.length),)
-    return (CHUNKED,)
+    return (CHUNKED_ENCODING,)
 
 
 def write_chunk(piece: bytes) -> bytes:
-    """Write one chunk of a body.
+    """Write one chunk of a chunked body.
 
     Args:
-        piece: not empty.
+        piece: bytes of the body, not empty.
 
     Returns:
-        The piece with its marks.
+        The bytes with the chunk's size and line ends.
     """
     return b'%x\r\n%b\r\n' % (len(piece), piece)
 
 
-def _frame_empty(message: Message) -> Sequence[Header]:
+def _choose_empty_framing(message: Message) -> Sequence[Header]:
     if message.length == UNKNOWN_LENGTH and not message.is_chunked:
         return ()
     return ((b'content-length', b'0'),)
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -1,13 +1,13 @@
-"""The connections of an entry to the owners it calls."""
+"""Connections of an entry to the owners that it calls."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.peers import (
-    OWNER_LEAVES,
-    REFUSED,
-    SILENT,
+    OWNER_LEAVES_REASON,
+    REFUSED_REASON,
+    SILENT_REASON,
     RemotePeer,
 )
 from wagtaildale.telemetry.events import EventKind
@@ -16,21 +16,24 @@
     from collections.abc import Iterable
 
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.frames import Load
+    from wagtaildale.calls.frames import LoadReport
     from wagtaildale.calls.owner_listener import OwnerListener
     from wagtaildale.reactor.loop import Loop
     from wagtaildale.telemetry.events import EventRecorder
 
 MILLISECONDS: Final = 1000
-UNNEEDED: Final = 'no longer needed'
-STOPPING: Final = 'this node stops'
-WANTED_CLOSES: Final = frozenset(
-    (UNNEEDED, STOPPING, SILENT, OWNER_LEAVES),
+UNNEEDED_REASON: Final = 'no longer needed'
+STOPPING_REASON: Final = 'this node stops'
+EXPECTED_CLOSE_REASONS: Final = frozenset(
+    (UNNEEDED_REASON, STOPPING_REASON, SILENT_REASON, OWNER_LEAVES_REASON),
 )
 
 
 class PeerPool:
-    """The connections of an entry to the owners it calls."""
+    """Connections of an entry to the owners that it calls.
+
+    A ``PeerObserver`` of its connections.
+    """
 
     def __init__(
         self,
@@ -39,29 +42,31 @@
         listener: OwnerListener,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with none.
+        """Create a pool without connections.
 
         Args:
-            loop: carries the connections.
-            listener: is told what owners say, and who says nothing.
-            recorder: gets an event for each connection that is lost.
+            loop: event loop of the connections.
+            listener: receives load reports, and which owners leave or are
+                silent.
+            recorder: records an event for each lost connection.
         """
         self._loop = loop
         self._listener = listener
         self._recorder = recorder
         self._peers: dict[Address, RemotePeer] = {}
-        # They begin no new call and end with those under way.
-        self._aside: set[RemotePeer] = set()
+        # Retired connections open no new call and close after those in
+        # progress.
+        self._retired: set[RemotePeer] = set()
 
     def find(self, address: Address, *, compressed: bool) -> RemotePeer:
-        """Find the connection to an owner, a new one if there is none.
+        """Find the connection to an owner, or open one.
 
         Args:
-            address: of the owner.
-            compressed: whether a new one is compressed.
+            address: address of the owner.
+            compressed: whether a new connection is compressed.
 
         Returns:
-            The connection, perhaps not open yet.
+            The connection, which may not be established yet.
         """
         peer = self._peers.get(address)
         if peer is None:
@@ -69,79 +74,80 @@
                 self._loop,
                 address,
                 compressed=compressed,
-                keeper=self,
+                observer=self,
             )
             self._peers[address] = peer
         return peer
 
-    def keep_only(self, wanted: dict[Address, bool]) -> None:
-        """Open what will be needed and close what is idle and is not.
+    def keep_only(self, needed: dict[Address, bool]) -> None:
+        """Open connections that are needed and close idle ones that are not.
 
         Args:
-            wanted: addresses of the owners that calls may go to, and
-                whether connections to them are compressed.
+            needed: addresses of the owners that calls may go to, and whether
+                connections to them are compressed.
         """
-        for address, compressed in wanted.items():
+        for address, compressed in needed.items():
             self.find(address, compressed=compressed)
-        for address in self._peers.keys() - wanted.keys():
-            if not self._peers[address].busy:
-                self._peers[address].close(UNNEEDED)
+        for address in self._peers.keys() - needed.keys():
+            if not self._peers[address].active_calls:
+                self._peers[address].close(UNNEEDED_REASON)
 
     def close(self) -> None:
         """Close every connection."""
-        for peer in (*self._peers.values(), *self._aside):
-            peer.close(STOPPING)
+        for peer in (*self._peers.values(), *self._retired):
+            peer.close(STOPPING_REASON)
 
     def note_leaving(self, peer: RemotePeer) -> None:
-        """Set a connection aside; see ``PeerKeeper``.
+        """Retire a connection to a leaving owner; see ``PeerObserver``.
 
         Args:
-            peer: to an owner that takes no new calls.
+            peer: connection to an owner that accepts no new calls.
         """
         self._listener.note_leaving(peer.address)
-        self._set_aside(peer)
+        self._retire(peer)
 
     def note_silent(self, peer: RemotePeer) -> None:
-        """Set a connection aside; see ``PeerKeeper``.
+        """Retire a silent connection; see ``PeerObserver``.
 
         Args:
-            peer: on which nothing comes; its calls may wait on it.
+            peer: connection on which nothing is received; its calls may keep
+                waiting on it.
         """
-        if peer not in self._aside:
+        if peer not in self._retired:
             _record(
                 self._recorder,
                 EventKind.connection_silent,
                 peer,
                 detail='calls wait',
             )
-            self._set_aside(peer)
-        # Whether the owner is there is found out on a newer connection.
+            self._retire(peer)
+        # A newer connection shows whether the owner is alive.
         newer = self.find(peer.address, compressed=peer.is_compressed)
-        if newer.answered_at > peer.heard_at:
-            peer.note_elsewhere()
+        if newer.last_received_at > peer.silent_since:
+            peer.note_newer_connection_works()
             return
         self._listener.note_silent(peer.address)
-        newer.ask()
+        newer.ping()
 
     def note_refused(self, peer: RemotePeer) -> None:
-        """Give up what is silent; see ``PeerKeeper``.
+        """Close the silent connections to an owner; see ``PeerObserver``.
 
         Args:
-            peer: a newer connection to an owner whose process is gone.
+            peer: newer connection to the owner, whose process has ended.
         """
-        for silent in _list_silent(self._aside, peer.address):
-            silent.close(REFUSED)
+        for silent in _list_silent(self._retired, peer.address):
+            silent.close(REFUSED_REASON)
 
     def note_closed(self, peer: RemotePeer, detail: str) -> None:
-        """Forget a connection; see ``PeerKeeper``.
+        """Remove a closed connection; see ``PeerObserver``.
 
         Args:
-            peer: that is closed.
-            detail: why.
+            peer: closed connection.
+            detail: reason for closing.
         """
-        self._aside.discard(peer)
-        self._leave_out(peer)
-        if peer.busy or detail not in WANTED_CLOSES:
+        self._retired.discard(peer)
+        self._remove(peer)
+        if peer.active_calls or detail not in EXPECTED_CLOSE_REASONS:
             _record(
                 self._recorder,
                 EventKind.connection_lost,
@@ -149,20 +155,20 @@
                 detail=detail,
             )
 
-    def note_load(self, peer: RemotePeer, load: Load) -> None:
-        """Pass on how full an owner is; see ``PeerKeeper``.
+    def note_load(self, peer: RemotePeer, load: LoadReport) -> None:
+        """Pass a load report to the listener; see ``PeerObserver``.
 
         Args:
-            peer: to that owner.
-            load: its word.
+            peer: connection to the owner.
+            load: load report.
         """
         self._listener.note_load(peer.address, load)
 
-    def _set_aside(self, peer: RemotePeer) -> None:
-        self._leave_out(peer)
-        self._aside.add(peer)
+    def _retire(self, peer: RemotePeer) -> None:
+        self._remove(peer)
+        self._retired.add(peer)
 
-    def _leave_out(self, peer: RemotePeer) -> None:
+    def _remove(self, peer: RemotePeer) -> None:
         if self._peers.get(peer.address) is peer:
             self._peers.pop(peer.address)
 
@@ -180,7 +186,7 @@
         detail=detail,
         inputs={
             'was_open': int(peer.is_open),
-            'calls': peer.busy,
+            'calls': peer.active_calls,
             'silent_ms': round(peer.silent_seconds * MILLISECONDS),
             'unsent_bytes': peer.unsent,
         },
--- a/wagtaildale/calls/responses.py
+++ b/wagtaildale/calls/responses.py
@@ -1,4 +1,4 @@
-"""Writes responses to callers: whole where they are small, else in pieces."""
+"""Writes responses to callers, at once or in pieces."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from wagtaildale.calls.heads import (
-    CHUNKED,
-    CLOSE,
+    CHUNKED_ENCODING,
+    CONNECTION_CLOSE,
     LAST_CHUNK,
     write_chunk,
     write_response_head,
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-BODILESS: Final = frozenset((204, 304))
+BODILESS_STATUSES: Final = frozenset((204, 304))
 
 
 class ResponseHead(Struct, frozen=True, kw_only=True, gc=False):
-    """The head of a response on its way to a caller.
+    """The head of a response to a caller.
 
     Attributes:
         status: HTTP status.
-        headers: those that go on, without the body's framing.
-        length: of the body if it was announced, else ``UNKNOWN_LENGTH``.
+        headers: headers without those that frame the body.
+        length: announced length of the body in bytes, or ``UNKNOWN_LENGTH``.
     """
 
     status: int
@@ -46,53 +46,53 @@
     """
 
     def __init__(self, method: bytes, *, closing: bool) -> None:
-        """Begin a response.
+        """Start a response.
 
         Args:
-            method: of the request; HEAD gets no body.
-            closing: whether the connection closes after it.
+            method: HTTP method of the request; HEAD gets no body.
+            closing: whether the connection closes after the response.
         """
         self._has_body = method != b'HEAD'
-        self._closing = closing
-        self._chunked = False
+        self._closes_connection = closing
+        self._is_chunked = False
 
     def begin(self, head: ResponseHead, *, body: bytes, more: bool) -> bytes:
         """Write the head and the beginning of the body.
 
         Args:
-            head: of the response.
-            body: all of it, or its beginning.
-            more: whether pieces follow.
+            head: head of the response.
+            body: the whole body, or its beginning.
+            more: whether more of the body follows.
 
         Returns:
-            The bytes to send.
+            Bytes to send.
         """
-        if head.status in BODILESS:
+        if head.status in BODILESS_STATUSES:
             self._has_body = False
-        headers = [*head.headers, *self._frame(head, body, more)]
-        if self._closing:
-            headers.append(CLOSE)
-        written = write_response_head(head.status, headers=headers)
-        return written + self.add(body, more=more) if body else written
+        headers = [*head.headers, *self._choose_framing(head, body, more)]
+        if self._closes_connection:
+            headers.append(CONNECTION_CLOSE)
+        output = write_response_head(head.status, headers=headers)
+        return output + self.add(body, more=more) if body else output
 
     def add(self, piece: bytes, *, more: bool) -> bytes:
         """Write a piece of the body.
 
         Args:
-            piece: may be empty where only the end is told.
-            more: whether pieces follow.
+            piece: bytes of the body; may be empty if they only mark the end.
+            more: whether more of the body follows.
 
         Returns:
-            The bytes to send.
+            Bytes to send.
         """
         if not self._has_body:
             return b''
-        if not self._chunked:
+        if not self._is_chunked:
             return piece
-        framed = write_chunk(piece) if piece else b''
-        return framed if more else framed + LAST_CHUNK
+        chunk = write_chunk(piece) if piece else b''
+        return chunk if more else chunk + LAST_CHUNK
 
-    def _frame(
+    def _choose_framing(
         self,
         head: ResponseHead,
         body: bytes,
@@ -105,6 +105,6 @@
         if not more:
             return ((b'content-length', b'%d' % len(body)),)
         if head.length == UNKNOWN_LENGTH:
-            self._chunked = True
-            return (CHUNKED,)
+            self._is_chunked = True
+            return (CHUNKED_ENCODING,)
         return ((b'content-length', b'%d' % head.length),)
--- /dev/null
+++ b/wagtaildale/calls/serial_runs.py
@@ -0,0 +1,82 @@
+"""Runs each request that may end its backend server one at a time.
+
+Without this, if such a request comes thirty times a second, all of its runs
+that wait for one backend server reach it at the moment it is back.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Final
+
+if TYPE_CHECKING:
+    from wagtaildale.calls.frames import Run
+    from wagtaildale.suspects.fingerprints import Subject
+
+RetryCallback = Callable[[], None]
+# Runs of a request that wait for another one; further runs are refused.
+MAX_WAITING_RUNS: Final = 16
+
+
+class SerialRuns:
+    """Allows one run at a time for each suspected request."""
+
+    def __init__(self) -> None:
+        """Start without runs."""
+        self._running: dict[Subject, Run] = {}
+        self._waiting: dict[Subject, deque[RetryCallback]] = {}
+
+    def acquire(
+        self,
+        subject: Subject,
+        run: Run,
+        *,
+        on_turn: RetryCallback,
+    ) -> bool:
+        """Start a run, or wait until the current one is over.
+
+        Args:
+            subject: identifies the request.
+            run: run that wants to start.
+            on_turn: called to try again when the current run is over.
+
+        Returns:
+            Whether the run may start now.
+        """
+        if subject not in self._running:
+            self._running[subject] = run
+            return True
+        self._waiting.setdefault(subject, deque()).append(on_turn)
+        return False
+
+    def is_full(self, subject: Subject) -> bool:
+        """Tell whether no more runs of a request may wait.
+
+        Args:
+            subject: identifies the request.
+
+        Returns:
+            Whether the limit of waiting runs is reached.
+        """
+        return len(self._waiting.get(subject, ())) >= MAX_WAITING_RUNS
+
+    def release(self, run: Run) -> None:
+        """End a run and let waiting ones try again until one starts.
+
+        Args:
+            run: run that is over, whether or not it was started here.
+        """
+        held = [
+            each for each, current in self._running.items() if current is run
+        ]
+        for subject in held:
+            self._running.pop(subject)
+            self._retry_waiting(subject)
+
+    def _retry_waiting(self, subject: Subject) -> None:
+        waiting = self._waiting.get(subject)
+        while waiting and subject not in self._running:
+            waiting.popleft()()
+        if not waiting:
+            self._waiting.pop(subject, None)
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -9,19 +9,19 @@
 from wagtaildale.calls.frames import (
     COMPRESSED,
     PLAIN,
+    BodyPiece,
     Cancel,
+    DrainNotice,
     FrameReader,
     FrameWriter,
-    Leaving,
-    Piece,
     Ping,
     Pong,
     Reserve,
     Run,
-    Taken,
+    WindowUpdate,
 )
 from wagtaildale.calls.owned import OwnedCall
-from wagtaildale.calls.transit import Transit
+from wagtaildale.calls.transit import TransitDelayEstimator
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.acceptor import Acceptor
 from wagtaildale.reactor.stream import Stream
@@ -37,105 +37,106 @@
 
     from wagtaildale.calls.addresses import Address
     from wagtaildale.calls.fields import CallFields
-    from wagtaildale.calls.frames import Load, ToEntry
+    from wagtaildale.calls.frames import LoadReport, ToEntry
     from wagtaildale.calls.owner import Owner
     from wagtaildale.errors.faults import Fault
     from wagtaildale.telemetry.events import EventRecorder
 
-# Calls of one entry that an owner holds at once; the queue in front of its
-# backend server is far shorter.
-CALLS_MOST: Final = 4096
+# Calls of one entry that an owner holds at once; far more than the queue in
+# front of its backend server.
+MAX_CALLS_PER_ENTRY: Final = 4096
 
 
 class PeerPort:
-    """The port on which other nodes' calls come to this node's owner.
+    """The port where the owner accepts connections of other nodes.
 
     Attributes:
-        owner: of the backend server.
-        recorder: gets an event for bytes that are no frames.
+        owner: owner of the backend server.
+        recorder: records an event for invalid frames.
         acceptor: listens on the port.
     """
 
     def __init__(self, owner: Owner, *, recorder: EventRecorder) -> None:
-        """Prepare; ``bind`` opens the port.
+        """Prepare the port; ``bind`` opens it.
 
         Args:
-            owner: of the backend server.
-            recorder: gets an event for bytes that are no frames.
+            owner: owner of the backend server.
+            recorder: records an event for invalid frames.
         """
         self.owner = owner
         self.recorder = recorder
         self._sessions: set[PeerSession] = set()
         self.acceptor = Acceptor(owner.loop, on_accept=self._accept)
-        owner.teller.listeners.append(self._tell_load)
+        owner.teller.listeners.append(self._send_load)
 
     @property
-    def open(self) -> int:
-        """How many connections are open."""
+    def open_connections(self) -> int:
+        """Number of open connections."""
         return len(self._sessions)
 
     @property
     def is_closed(self) -> bool:
-        """Whether no connection is open and none can come."""
+        """Whether no connection is open and none is accepted."""
         return self.acceptor.is_closed and not self._sessions
 
     @property
-    def busy(self) -> int:
-        """How many calls are under way."""
-        return sum(session.busy for session in tuple(self._sessions))
+    def active_calls(self) -> int:
+        """Number of calls in progress."""
+        return sum(session.active_calls for session in tuple(self._sessions))
 
     def bind(self, address: Address) -> Result[None, Fault]:
         """Open the port.
 
         Args:
-            address: to listen on.
+            address: address to listen on.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault that prevented it.
         """
         return self.acceptor.bind(address.host, address.port)
 
     def start(self) -> None:
-        """Accept connections; in the loop's thread."""
+        """Start to accept connections; call it in the loop's thread."""
         self.acceptor.start()
 
-    def announce_leaving(self) -> None:
-        """Tell every entry that this owner takes no new calls."""
+    def announce_drain(self) -> None:
+        """Tell every entry that this owner accepts no new calls."""
         for session in tuple(self._sessions):
-            session.calls.announce_leaving()
+            session.calls.announce_drain()
 
     def finish(self) -> None:
-        """Close what entries have left open, without a reset."""
+        """Close connections that entries have left open, without a reset."""
         for session in tuple(self._sessions):
             session.finish()
 
     def stop(self) -> None:
-        """Close the port and everything on it."""
+        """Close the port and all its connections."""
         self.acceptor.close_now()
         for session in tuple(self._sessions):
             session.close()
 
     def forget(self, session: PeerSession) -> None:
-        """Forget a connection that is closed.
+        """Remove a closed connection.
 
         Args:
-            session: of this port.
+            session: session of this port.
         """
         self._sessions.discard(session)
 
-    def _tell_load(self, load: Load) -> None:
+    def _send_load(self, load: LoadReport) -> None:
         for session in tuple(self._sessions):
-            session.tell_load(load)
+            session.send_load(load)
 
     def _accept(self, sock: socket.socket) -> None:
         self._sessions.add(PeerSession(self, sock))
 
 
 class CallTable:
-    """The calls of one entry at this owner, by their numbers.
+    """The calls of one entry at this owner, by call number.
 
     Attributes:
-        owner: of the backend server.
+        owner: owner of the backend server.
+        reply: sends a message to the entry.
     """
 
     def __init__(
@@ -144,183 +145,188 @@
         *,
         reply: Callable[[ToEntry], None],
     ) -> None:
-        """Begin with none.
+        """Create a table without calls.
 
         Args:
-            owner: of the backend server.
+            owner: owner of the backend server.
             reply: sends a message to the entry.
         """
         self.owner = owner
         self.reply = reply
-        self._hears_leaving = False
+        self._accepts_drain_notice = False
         self._calls: dict[CallNumber, OwnedCall] = {}
-        self._transit = Transit(opened_at=read_clock())
+        self._transit_delay = TransitDelayEstimator(opened_at=read_clock())
 
     @property
-    def busy(self) -> int:
-        """How many calls are under way."""
+    def active_calls(self) -> int:
+        """Number of calls in progress."""
         return len(self._calls)
 
     def forget(self, number: CallNumber) -> None:
-        """Forget a call that is over.
+        """Remove a finished call.
 
         Args:
-            number: the call.
+            number: number of the call.
         """
         self._calls.pop(number, None)
 
     def cancel_all(self) -> None:
-        """Stop every call: the entry is gone."""
+        """Cancel every call because the entry is disconnected."""
         for call in tuple(self._calls.values()):
             call.cancel()
 
-    def note_hears_leaving(self) -> None:
-        """Learn that the entry knows ``Leaving``; it may be due already.
+    def enable_drain_notice(self) -> None:
+        """Note that the entry understands ``DrainNotice``.
 
-        So may be what other entries were told unasked before this one came.
+        Sends the notice if the owner already drains. Also sends the load
+        report, if there is one, that other entries were sent before this one
+        connected.
         """
-        self._hears_leaving = True
-        self.announce_leaving()
+        self._accepts_drain_notice = True
+        self.announce_drain()
         load = self.owner.teller.describe_need()
         if load is not None:
             self.reply(load)
 
-    def announce_leaving(self) -> None:
-        """Tell the entry that the owner takes no new calls, if it does not.
+    def announce_drain(self) -> None:
+        """Send a ``DrainNotice`` if the owner drains.
 
-        Failure guarded here: a run message is on the wire when the owner of
-        a planned stop closes the connection. It is lost unread, and its
-        entry cannot know that nothing ran. Told of the stop the entry sends
-        nothing more, and closes from its side when its calls are over.
+        Prevents lost run messages in a planned stop: if the owner closed the
+        connection while a run message is on the wire, it would be lost unread
+        and the entry could not know that nothing ran. After the notice the
+        entry sends no new calls, and closes the connection itself once its
+        calls are finished.
         """
-        if self._hears_leaving and self.owner.gate.state.draining:
-            self.reply(Leaving())
+        if self._accepts_drain_notice and self.owner.gate.state.draining:
+            self.reply(DrainNotice())
 
-    def take(self, frame: object) -> None:
-        """Take a message of the entry.
+    def handle_frame(self, frame: object) -> None:
+        """Handle a message of the entry.
 
         Args:
-            frame: the message.
+            frame: message of the entry.
 
         Raises:
-            TypeError: for a message that no owner takes.
+            TypeError: if the message is not one to an owner.
         """
-        take_frame(frame, self)
+        dispatch_frame(frame, self)
 
     def measure_delay(self, fields: CallFields) -> float:
-        """Measure how long the message that has just come was held up.
+        """Measure how long the network delayed the message just received.
 
         Args:
-            fields: of the message.
+            fields: fields of the message.
 
         Returns:
-            Seconds; 0 if the entry does not tell when it was sent.
+            Delay in seconds; 0 if the message has no send time.
         """
-        return self._transit.measure_delay(fields.sent_ms, now=read_clock())
+        return self._transit_delay.measure_delay(
+            fields.sent_ms, now=read_clock()
+        )
 
     def find(self, number: CallNumber) -> OwnedCall | None:
         """Find a call.
 
         Args:
-            number: the call.
+            number: number of the call.
 
         Returns:
-            The call, or nothing if it is over.
+            The call, or None if it is finished.
         """
         return self._calls.get(number)
 
-    def find_or_begin(self, number: CallNumber) -> OwnedCall | None:
-        """Find a call, a new one if there is none with the number.
+    def find_or_create(self, number: CallNumber) -> OwnedCall | None:
+        """Find a call, or create it if the number is new.
 
         Args:
-            number: the call.
+            number: number of the call.
 
         Returns:
-            The call, or nothing if the entry has too many.
+            The call, or None if the entry has too many.
         """
         call = self._calls.get(number)
-        if call is None and len(self._calls) < CALLS_MOST:
-            call = OwnedCall(self.owner, number, entrance=self)
+        if call is None and len(self._calls) < MAX_CALLS_PER_ENTRY:
+            call = OwnedCall(self.owner, number, channel=self)
             self._calls[number] = call
         return call
 
 
 @singledispatch
-def take_frame(frame: object, calls: CallTable) -> None:
-    """Give an owner a message of an entry.
+def dispatch_frame(frame: object, calls: CallTable) -> None:
+    """Pass a message of an entry to the handler of its type.
 
     Args:
-        frame: the message.
-        calls: of the entry.
+        frame: message of the entry.
+        calls: calls of the entry.
 
     Raises:
-        TypeError: for a message that no owner takes.
+        TypeError: if the message is not one to an owner.
     """
-    raise TypeError(f'got {frame!r}, expected a message to an owner')
+    raise TypeError(f'got {frame!r}, expected a message from an entry')
 
 
-@take_frame.register
-def _take_reserve(frame: Reserve, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_reserve(frame: Reserve, calls: CallTable) -> None:
     delay = calls.measure_delay(frame.fields)
-    call = calls.find_or_begin(frame.call)
+    call = calls.find_or_create(frame.call)
     if call is not None:
         call.take_reserve(frame, delay=delay)
 
 
-@take_frame.register
-def _take_run(frame: Run, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_run(frame: Run, calls: CallTable) -> None:
     delay = calls.measure_delay(frame.fields)
-    call = calls.find_or_begin(frame.call)
+    call = calls.find_or_create(frame.call)
     if call is not None:
         call.take_run(frame, delay=delay)
 
 
-@take_frame.register
-def _take_piece(frame: Piece, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_body_piece(frame: BodyPiece, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.take_piece(frame)
 
 
-@take_frame.register
-def _take_taken(frame: Taken, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_window_update(frame: WindowUpdate, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.take_taken(frame)
 
 
-@take_frame.register
-def _take_cancel(frame: Cancel, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_cancel(frame: Cancel, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
         call.cancel()
 
 
-@take_frame.register
-def _take_ping(frame: Ping, calls: CallTable) -> None:
+@dispatch_frame.register
+def _handle_ping(frame: Ping, calls: CallTable) -> None:
     calls.reply(Pong())
-    if frame.hears_leaving:
-        calls.note_hears_leaving()
+    if frame.accepts_drain_notice:
+        calls.enable_drain_notice()
 
 
-@take_frame.register
-def _take_pong(frame: Pong, calls: CallTable) -> None:
-    """Do nothing: that it came is all it says."""
+@dispatch_frame.register
+def _handle_pong(frame: Pong, calls: CallTable) -> None:
+    """Do nothing: only its arrival matters."""
 
 
 class PeerSession:
     """One connection of another node; a ``StreamReceiver``.
 
     Attributes:
-        calls: of the entry there.
+        calls: calls of that node's entry.
     """
 
     def __init__(self, port: PeerPort, sock: socket.socket) -> None:
-        """Take a connection.
+        """Take over an accepted connection.
 
         Args:
-            port: that accepted it.
-            sock: the socket.
+            port: port that accepted it.
+            sock: socket of the connection.
         """
         self._port = port
         self._stream = Stream(port.owner.loop, sock, self)
@@ -329,52 +335,52 @@
         self.calls = CallTable(port.owner, reply=self._send)
 
     @property
-    def busy(self) -> int:
-        """How many calls are under way.
+    def active_calls(self) -> int:
+        """Number of calls in progress.
 
-        Failure guarded here: a slow line has answers yet to take, their
-        calls are over, and a stop ends the process with them unsent.
+        Unsent output counts as one call: otherwise a stop would end the process
+        with answers unsent that a slow connection has yet to take.
         """
-        return self.calls.busy or int(self._stream.unsent > 0)
+        return self.calls.active_calls or int(self._stream.unsent > 0)
 
-    def tell_load(self, load: Load) -> None:
-        """Tell the entry how full and how fast the owner is.
+    def send_load(self, load: LoadReport) -> None:
+        """Send a load report to the entry.
 
-        Failure guarded here: until the entry's first byte has come nobody
-        knows whether it reads compressed frames.
+        Nothing is sent before the entry's first byte has arrived, since only
+        that tells whether the entry reads compressed frames.
 
         Args:
-            load: the owner's word.
+            load: load report of the owner.
         """
         if self._reader is not None:
             self._send(load)
 
     def finish(self) -> None:
-        """Close quietly; every call of the entry is cancelled."""
+        """Cancel all calls and close without a reset."""
         self.calls.cancel_all()
         self._stream.finish()
         self._port.forget(self)
 
     def close(self) -> None:
-        """Close at once; every call of the entry is cancelled."""
+        """Close at once and cancel all calls."""
         self._stream.close()
         self._port.forget(self)
         self.calls.cancel_all()
 
     def on_open(self) -> None:
-        """Do nothing: it was open from the start."""
+        """Do nothing: accepted connections are open from the start."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take frames.
+        """Handle received frames.
 
         Args:
-            chunk: as read.
+            chunk: bytes that were read.
         """
         try:
-            self._take(chunk)
+            self._handle_bytes(chunk)
         except (CallFailed, TypeError) as error:
-            # Failure: something that is no node of ours connects, or one of
-            # another build; nothing it sends is guessed at.
+            # The other side is not a node, or an incompatible build. The
+            # connection is closed; nothing it sends is interpreted.
             self._port.recorder.record(
                 EventKind.message_refused,
                 detail=str(error),
@@ -382,34 +388,37 @@
             self.close()
 
     def on_end(self) -> None:
-        """Learn that the entry has closed."""
+        """Close because the entry has closed."""
         self.close()
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the entry is gone.
+        """Close because the connection to the entry is lost.
 
         Args:
-            error: why.
+            error: error of the socket.
         """
         self.close()
 
     def on_drained(self) -> None:
-        """Do nothing: windows bound what is sent."""
+        """Do nothing: flow control windows limit the output."""
 
-    def _take(self, chunk: bytes) -> None:
+    def _handle_bytes(self, chunk: bytes) -> None:
         if self._reader is None:
-            compressed = _read_mark(chunk[:1])
+            compressed = _read_compression_mark(chunk[:1])
             self._reader = FrameReader(compressed=compressed)
             self._writer = FrameWriter(compressed=compressed)
             chunk = chunk[1:]
         for frame in self._reader.feed(chunk):
-            self.calls.take(frame)
+            self.calls.handle_frame(frame)
 
     def _send(self, frame: ToEntry) -> None:
         self._stream.send(self._writer.write(frame))
 
 
-def _read_mark(mark: bytes) -> bool:
+def _read_compression_mark(mark: bytes) -> bool:
     if mark not in {PLAIN, COMPRESSED}:
-        raise CallFailed(Code.message_malformed, detail='first byte')
+        raise CallFailed(
+            Code.message_malformed,
+            detail='first byte is no known compression mark',
+        )
     return mark == COMPRESSED
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -7,7 +7,7 @@
 
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.server_ends import ServerEnds
-from wagtaildale.calls.turns import Turns
+from wagtaildale.calls.serial_runs import SerialRuns
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.trials import list_places
 from wagtaildale.suspects.recent_answers import RecentAnswers
@@ -86,7 +86,7 @@
         )
         self._view = view
         self._on_trial: Run | None = None
-        self._turns = Turns()
+        self._turns = SerialRuns()
         self._started_runs: dict[int, StartedRun] = {}
 
     def is_suspected(self, run: Run) -> bool:
@@ -262,7 +262,7 @@
             raise build_suspect_refusal(
                 Code.request_on_trial, fingerprint, ends=ends
             )
-        return self._turns.take(subject, run, on_turn=on_turn)
+        return self._turns.acquire(subject, run, on_turn=on_turn)
 
     def _begin_trial(
         self,
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -1,4 +1,4 @@
-"""The task that carries all calls of a node: its ports and its loop."""
+"""The task that carries all calls of a node: its ports and its event loop."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.budgets import RetryShare, compute_retry_share
 from wagtaildale.calls.callers import CallerLimits, CallerPort
-from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
+from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
 from wagtaildale.calls.identity_question import IdentityQuestion
 from wagtaildale.calls.owner import Identity, Owner
 from wagtaildale.calls.owner_listener import OwnerListener
 from wagtaildale.calls.peer_pool import PeerPool
 from wagtaildale.calls.peers import LocalPeer
-from wagtaildale.calls.ready import ReadyAnswerer
+from wagtaildale.calls.readiness import ReadinessHandler
 from wagtaildale.calls.routed_call import EntryParts
 from wagtaildale.calls.sessions import PeerPort
 from wagtaildale.calls.caller_timeouts import CallerTimeouts
@@ -49,11 +49,12 @@
     from wagtaildale.types import InstanceId
 
 MILLISECONDS: Final = 1000
-# How soon what the list tells of the backend server here is taken up.
-LOOK_SECONDS: Final = 0.5
-# How long another thread waits until the loop has done what it asks; far
-# longer than a step of the loop.
-ASK_SECONDS: Final = 0.5
+# Interval at which the gate takes over the number of slots that the instance
+# list gives for the local backend server.
+SLOTS_CHECK_SECONDS: Final = 0.5
+# How long a caller from another thread waits for the loop to run a submitted
+# function; far longer than one iteration of the loop.
+SUBMIT_WAIT_SECONDS: Final = 0.5
 READY_HEAD_BYTES: Final = 8192
 READY_CONNECTIONS: Final = 64
 READY_LIMITS: Final = CallerLimits(
@@ -63,17 +64,17 @@
 )
 
 
-class CallSurroundings(Struct, frozen=True, kw_only=True):
-    """What the task that carries calls shares with the rest of the node.
+class CallsTaskDependencies(Struct, frozen=True, kw_only=True):
+    """Parts that the task shares with the rest of the node.
 
     Attributes:
-        identity: of this process.
-        view: what calls are routed by.
-        tallies: counts of calls.
-        recorder: gets events.
-        invariants: are checked on each call.
-        states: the node's state, the latest last.
-        suspects: requests under which servers have ended.
+        identity: instance and incarnation of this process.
+        view: configuration and instance records that calls are routed by.
+        tallies: counters of calls.
+        recorder: records events.
+        invariants: checks that are made on each call.
+        states: states of the node; the last one is current.
+        suspects: requests during which backend servers have ended.
     """
 
     identity: Identity
@@ -85,308 +86,317 @@
     suspects: SuspectsHolder
 
 
-class CallFigures(Struct, frozen=True, kw_only=True):
-    """Where a node's calls come and go, and how they are carried.
+class CallsTaskSettings(Struct, frozen=True, kw_only=True):
+    """Addresses that calls use, and how calls are carried.
 
     Attributes:
-        service: of the backend server beside the node.
-        data_centre: the node's own.
-        entry: where callers' requests come.
-        owner: where other nodes' calls come.
-        ready: where the node tells whether it takes callers, if anywhere.
-        backend: the backend server.
-        slots: requests that it runs at once, until the list tells.
-        limits: on callers, until a configuration has others.
-        bounds: figures that the platform's operators publish.
-        chooser: of upstreams.
-        dialect: how callers and backend servers are spoken to.
+        service: service of the local backend server.
+        data_centre: data centre of this node.
+        entry_address: where the entry listens for callers.
+        owner_address: where the owner listens for other nodes.
+        ready_address: where the readiness endpoint listens; None disables it.
+        backend_address: where the local backend server listens.
+        slots: number of requests that the backend server runs at once, used
+            until the instance list gives one.
+        limits: limits on callers, used until a configuration has others.
+        bounds: limits that the platform's operators publish.
+        chooser: algorithm that chooses an upstream.
+        dialect: header fields used with callers and backend servers.
         reserves: whether a non-idempotent request reserves a slot first.
         hedges: whether slow idempotent requests get a second attempt.
     """
 
     service: ServiceName
     data_centre: DataCentre
-    entry: Address
-    owner: Address
-    ready: Address | None = None
-    backend: Address
+    entry_address: Address
+    owner_address: Address
+    ready_address: Address | None = None
+    backend_address: Address
     slots: int
     limits: CallerLimits
     bounds: BoundSettings = BoundSettings()
     chooser: Chooser
-    dialect: Dialect = OWN_DIALECT
+    dialect: Dialect = DEFAULT_DIALECT
     reserves: bool = True
     hedges: bool = True
 
 
 class CallsTask:
-    """Carries callers' requests and other nodes' calls in one loop.
+    """Carries callers' requests and other nodes' calls in one event loop.
 
     Attributes:
-        loop: carries the connections.
-        owner: of the backend server beside the node.
-        entry: takes callers' requests to upstreams.
-        callers: the port on which they come.
-        nodes: the port on which other nodes' calls come.
-        local: calls of this entry to this owner.
+        loop: event loop of all connections.
+        owner: owner of the local backend server.
+        entry: sends callers' requests to upstreams.
+        caller_port: port that callers connect to.
+        peer_port: port that other nodes connect to.
+        local: calls from this node's entry to its own owner.
     """
 
     def __init__(
         self,
-        figures: CallFigures,
+        settings: CallsTaskSettings,
         *,
-        around: CallSurroundings,
+        dependencies: CallsTaskDependencies,
     ) -> None:
         """Build the parts; ``bind`` opens the ports.
 
         Args:
-            figures: where calls come and go.
-            around: what is shared with the rest of the node.
+            settings: addresses and options of calls.
+            dependencies: parts shared with the rest of the node.
         """
-        self._figures = figures
-        self._around = around
+        self._settings = settings
+        self._dependencies = dependencies
         self.loop = Loop(on_defect=self._note_defect, on_late=self._note_late)
         self.owner = Owner(
-            around.identity,
-            service=figures.service,
+            dependencies.identity,
+            service=settings.service,
             loop=self.loop,
-            gate=Gate(make_admission(figures.slots), alarms=self.loop.alarms),
-            backend=figures.backend,
-            invariants=around.invariants,
-            recorder=around.recorder,
-            dialect=figures.dialect,
+            gate=Gate(make_admission(settings.slots), alarms=self.loop.alarms),
+            backend=settings.backend_address,
+            invariants=dependencies.invariants,
+            recorder=dependencies.recorder,
+            dialect=settings.dialect,
             find_record=self._find_record,
             trials=SuspectTrials(
-                around.suspects,
-                node=around.identity.instance,
-                dialect=figures.dialect,
-                view=around.view,
-                recorder=around.recorder,
+                dependencies.suspects,
+                node=dependencies.identity.instance,
+                dialect=settings.dialect,
+                view=dependencies.view,
+                recorder=dependencies.recorder,
             ),
         )
-        self.owner.server.denial_listeners.append(self._make_question().ask)
-        around.suspects.listeners.append(self._review_runs)
+        self.owner.server.denial_listeners.append(
+            self._make_identity_question().ask
+        )
+        dependencies.suspects.listeners.append(self._review_suspected_runs)
         self.local = LocalPeer(self.owner)
         self.entry = Entry(self._make_parts())
-        self.callers = CallerPort(
+        self.caller_port = CallerPort(
             self.loop,
-            answerer=self.entry,
+            request_handler=self.entry,
             read_limits=self.read_limits,
         )
-        self.nodes = PeerPort(self.owner, recorder=around.recorder)
+        self.peer_port = PeerPort(self.owner, recorder=dependencies.recorder)
         self.owner.teller.listeners.append(
-            partial(self.entry.parts.listener.note_load, figures.owner),
+            partial(
+                self.entry.parts.listener.note_load, settings.owner_address
+            ),
         )
-        self._ready = CallerPort(
+        self._readiness_port = CallerPort(
             self.loop,
-            answerer=ReadyAnswerer(self._read_state),
+            request_handler=ReadinessHandler(self._read_state),
             read_limits=lambda: READY_LIMITS,
         )
 
     @property
-    def busy(self) -> int:
-        """How many requests are under way."""
-        owned = self.nodes.busy + self.local.busy
-        return max(self.callers.busy, owned, len(self.owner.gate.state.running))
+    def active_calls(self) -> int:
+        """Number of requests in progress."""
+        owned = self.peer_port.active_calls + self.local.active_calls
+        return max(
+            self.caller_port.active_calls,
+            owned,
+            len(self.owner.gate.state.running),
+        )
 
     @property
     def has_runs(self) -> bool:
-        """Whether the backend server here has requests under way."""
+        """Whether the local backend server has requests in progress."""
         return bool(self.owner.gate.state.running)
 
     def bind(self) -> Result[None, Fault]:
         """Open the ports.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault that prevented it.
         """
-        figures = self._figures
-        bound = self.callers.bind(figures.entry).and_then(
-            lambda _none: self.nodes.bind(figures.owner),
+        settings = self._settings
+        bound = self.caller_port.bind(settings.entry_address).and_then(
+            lambda _none: self.peer_port.bind(settings.owner_address),
         )
-        if figures.ready is None:
+        if settings.ready_address is None:
             return bound
-        ready = figures.ready
-        return bound.and_then(lambda _none: self._ready.bind(ready))
+        ready = settings.ready_address
+        return bound.and_then(lambda _none: self._readiness_port.bind(ready))
 
     def run(self) -> None:
-        """Carry calls until stopped, then close everything."""
+        """Carry calls until ``stop`` is called, then close everything."""
         self._start()
         self.loop.run()
-        self.callers.stop()
-        self.nodes.stop()
-        self._ready.stop()
+        self.caller_port.stop()
+        self.peer_port.stop()
+        self._readiness_port.stop()
         self.entry.parts.peers.close()
         self.owner.pool.close()
         self.loop.close()
 
     def stop(self) -> None:
-        """End ``run``."""
+        """Make ``run`` return."""
         self.loop.stop()
 
-    def announce(self) -> None:
-        """Tell callers to go elsewhere; may be called from another thread."""
-        self._ask(self.callers.drain)
+    def announce_drain(self) -> None:
+        """Tell callers to close their connections; thread-safe."""
+        self._run_in_loop(self.caller_port.drain)
 
     def drain(self) -> None:
-        """Take no new work; may be called from another thread."""
-        self._ask(self._drain)
+        """Accept no new work; thread-safe."""
+        self._run_in_loop(self._drain)
 
-    def close_callers_port(self) -> None:
-        """Let no caller connect any more; may be called from another thread."""
-        self._ask(self.callers.close_port)
+    def close_caller_port(self) -> None:
+        """Accept no more connections from callers; thread-safe."""
+        self._run_in_loop(self.caller_port.close_port)
 
-    def close_nodes_port(self) -> None:
-        """Let no node connect any more; may be called from another thread."""
-        self._ask(self.nodes.acceptor.close)
+    def close_peer_port(self) -> None:
+        """Accept no more connections from nodes; thread-safe."""
+        self._run_in_loop(self.peer_port.acceptor.close)
 
-    def finish_nodes(self) -> None:
-        """Close what nodes left open; may be called from another thread."""
-        self._ask(self.nodes.finish)
+    def finish_peers(self) -> None:
+        """Close the connections that nodes have left open; thread-safe."""
+        self._run_in_loop(self.peer_port.finish)
 
     def close_idle(self) -> None:
-        """Close idle callers; may be called from another thread."""
-        self._ask(self.callers.close_idle)
+        """Close idle connections of callers; thread-safe."""
+        self._run_in_loop(self.caller_port.close_idle)
 
     def read_limits(self) -> CallerLimits:
-        """Give what callers may send now.
+        """Return the limits on callers that are in force.
 
         Returns:
-            The configuration's limits, or the settings'.
+            Limits of the configuration, or of the settings if it has none.
         """
-        usual = self._figures.limits
-        published = self._around.view.current.limits
+        defaults = self._settings.limits
+        published = self._dependencies.view.current.limits
         if published is None:
-            return usual
+            return defaults
         return CallerLimits(
             head_bytes=published.head_bytes,
-            body_bytes=min(published.body_bytes, usual.body_bytes),
+            body_bytes=min(published.body_bytes, defaults.body_bytes),
             head_seconds=published.head_ms / MILLISECONDS,
             idle_seconds=published.idle_ms / MILLISECONDS,
-            connections=usual.connections,
+            connections=defaults.connections,
         )
 
-    def _ask(self, work: Callable[[], None]) -> None:
-        # Failure: this task has ended by a defect, and whoever stops the
-        # node waits for its answer for ever; the process never ends, and no
-        # other is started. What is asked of a loop that is only slow is done
+    def _run_in_loop(self, work: Callable[[], None]) -> None:
+        # If this task has ended because of a defect, the thread that stops the
+        # node must not wait for it forever: the process would never end and no
+        # other would be started. A loop that is only slow runs the function
         # later.
-        asked = self.loop.submit(work)
-        wait((asked,), timeout=ASK_SECONDS)
-        if asked.done():
-            asked.result()
+        submitted = self.loop.submit(work)
+        wait((submitted,), timeout=SUBMIT_WAIT_SECONDS)
+        if submitted.done():
+            submitted.result()
 
-    def _review_runs(self) -> None:
+    def _review_suspected_runs(self) -> None:
         self.loop.submit(
             self.owner.trials.abandon_suspected_runs
         ).add_done_callback(
-            self._note_outcome,
+            self._note_submitted_error,
         )
 
-    def _note_outcome(self, asked: Future[None]) -> None:
-        error = asked.exception()
+    def _note_submitted_error(self, submitted: Future[None]) -> None:
+        error = submitted.exception()
         if error is not None:
             self._note_defect(error)
 
     def _start(self) -> None:
-        self.callers.start()
-        self.nodes.start()
-        if self._figures.ready is not None:
-            self._ready.start()
+        self.caller_port.start()
+        self.peer_port.start()
+        if self._settings.ready_address is not None:
+            self._readiness_port.start()
         self.entry.refresh()
-        self._look()
+        self._update_slots()
 
     def _drain(self) -> None:
         self.owner.gate.drain()
-        self.nodes.announce_leaving()
+        self.peer_port.announce_drain()
 
-    def _make_question(self) -> IdentityQuestion:
+    def _make_identity_question(self) -> IdentityQuestion:
         return IdentityQuestion(
             self.owner.pool,
-            address=self._figures.backend,
-            field=self._figures.dialect.instance,
+            address=self._settings.backend_address,
+            field=self._settings.dialect.instance,
             read_path=self._read_health_path,
             targets=self.owner.server,
         )
 
     def _read_health_path(self) -> str:
-        part = self._around.view.current.parts.get(self._figures.service)
+        part = self._dependencies.view.current.parts.get(self._settings.service)
         return part.health_path if part else ''
 
     def _make_parts(self) -> EntryParts:
-        figures = self._figures
-        around = self._around
+        settings = self._settings
+        dependencies = self._dependencies
         statistics = FleetStatistics()
         listener = OwnerListener(
-            around.view,
+            dependencies.view,
             statistics=statistics,
-            recorder=around.recorder,
+            recorder=dependencies.recorder,
         )
         return EntryParts(
-            service=figures.service,
-            own_host=figures.owner.host,
-            data_centre=figures.data_centre,
+            service=settings.service,
+            own_host=settings.owner_address.host,
+            data_centre=settings.data_centre,
             loop=self.loop,
             owner=self.owner,
             local=self.local,
             peers=PeerPool(
                 self.loop,
                 listener=listener,
-                recorder=around.recorder,
+                recorder=dependencies.recorder,
             ),
             listener=listener,
-            view=around.view,
-            tallies=around.tallies,
-            recorder=around.recorder,
+            view=dependencies.view,
+            tallies=dependencies.tallies,
+            recorder=dependencies.recorder,
             placement=Placement(
                 self.owner.identity.instance,
-                data_centre=figures.data_centre,
-                chooser=figures.chooser,
+                data_centre=settings.data_centre,
+                chooser=settings.chooser,
                 statistics=statistics,
             ),
-            dialect=figures.dialect,
+            dialect=settings.dialect,
             caller_timeouts=CallerTimeouts(),
-            suspects=around.suspects,
+            suspects=dependencies.suspects,
             read_limits=self.read_limits,
             read_retry_share=self._share_retries,
-            reserves=figures.reserves,
-            hedges=figures.hedges,
+            reserves=settings.reserves,
+            hedges=settings.hedges,
         )
 
     def _share_retries(self) -> RetryShare:
         return compute_retry_share(
-            self._figures.bounds,
-            entries=self._around.view.current.count_nodes(),
+            self._settings.bounds,
+            entries=self._dependencies.view.current.count_nodes(),
         )
 
     def _read_state(self) -> NodeState:
-        if self.callers.draining:
+        if self.caller_port.draining:
             return NodeState.leaving
-        return self._around.states[-1]
+        return self._dependencies.states[-1]
 
-    def _look(self) -> None:
-        records = self._around.view.current.records.values()
-        port = self._figures.backend.port
+    def _update_slots(self) -> None:
+        records = self._dependencies.view.current.records.values()
+        port = self._settings.backend_address.port
         for record in records:
-            if record.host == self._figures.owner.host:
+            if record.host == self._settings.owner_address.host:
                 if record.backend_port == port:
                     self.owner.gate.handle_server_message(
                         SlotsPublished(slots=record.slots)
                     )
-        self.loop.alarms.set(LOOK_SECONDS, self._look)
+        self.loop.alarms.set(SLOTS_CHECK_SECONDS, self._update_slots)
 
     def _find_record(self, instance: InstanceId) -> InstanceRecord | None:
-        return self._around.view.current.records.get(instance)
+        return self._dependencies.view.current.records.get(instance)
 
     def _note_defect(self, error: BaseException) -> None:
-        self._around.recorder.record(
+        self._dependencies.recorder.record(
             EventKind.invariant_broken,
             code=Code.invariant_broken,
             detail=repr(error),
         )
 
     def _note_late(self, seconds: float) -> None:
-        self._around.recorder.record(
+        self._dependencies.recorder.record(
             EventKind.woke_late,
             subject='calls',
             detail=f'{seconds:.1f} s',
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -26,24 +26,27 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-OUTCOME = 'wagtaildale-outcome'
-PATIENCE = 5.0
+OUTCOME_HEADER = 'wagtaildale-outcome'
+TIMEOUT_SECONDS = 5.0
 
 
 class Pair:
-    """An entry node ``a`` and the owner node ``b`` of the only upstream."""
+    """An entry node ``near`` and the owner node ``far`` of its only upstream.
+
+    Their instances are ``a`` and ``b``.
+    """
 
     def __init__(self) -> None:
-        here, there = build_pair()
+        near_record, far_record = build_pair()
         self.backend = HostedBackend(
             'b',
-            host=there.host,
+            host=far_record.host,
             port=BACKEND_PORT,
-            entry_port=there.entry_port,
+            entry_port=far_record.entry_port,
         )
-        self.near = MeshNode(here)
-        self.far = MeshNode(there)
-        self.near.show(there)
+        self.near = MeshNode(near_record)
+        self.far = MeshNode(far_record)
+        self.near.show(far_record)
 
     def close(self) -> None:
         self.near.close()
@@ -57,32 +60,32 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[HTTPResponse, bytes]:
-        connection = HTTPConnection(*self.near.entry, timeout=PATIENCE)
+        connection = HTTPConnection(*self.near.entry, timeout=TIMEOUT_SECONDS)
         connection.request(method, path, body, headers or {})
         response = connection.getresponse()
         text = response.read()
         connection.close()
         return response, text
 
-    def tell_owner(self, frame: Frame) -> Frame:
+    def send_to_owner(self, frame: Frame) -> Frame:
         """Send one message to the owner as an entry would."""
         record = self.far.record
         address = (record.host, record.owner_port)
         reader = FrameReader()
         frames: list[Frame] = []
-        with socket.create_connection(address, PATIENCE) as sock:
+        with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
             sock.sendall(PLAIN + encode_frame(frame))
             while not frames:
                 frames = reader.feed(sock.recv(65536))
         return frames[0]
 
-    def talk(self, request: bytes) -> bytes:
-        return talk(self.near.entry, request)
+    def send_raw_request(self, request: bytes) -> bytes:
+        return send_raw_request(self.near.entry, request)
 
 
-def talk(address: tuple[str, int], request: bytes) -> bytes:
-    """Send a request and give all that comes until the connection ends."""
-    with socket.create_connection(address, PATIENCE) as sock:
+def send_raw_request(address: tuple[str, int], request: bytes) -> bytes:
+    """Send a request and return all bytes until the connection ends."""
+    with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
         sock.sendall(request)
         answer = b''
         while piece := sock.recv(65536):
@@ -127,7 +130,7 @@
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.005)
--- a/wagtaildale/calls/tests/relays.py
+++ b/wagtaildale/calls/tests/relays.py
@@ -1,4 +1,4 @@
-"""A line between two nodes on which a test can hold messages up."""
+"""A relay between two nodes that a test can pause."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 import threading
 
 from wagtaildale.calls.tests.listeners import Listener
-from wagtaildale.calls.tests.pairs import PATIENCE
+from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 
 READ_BYTES = 65_536
 
 
 class Relay(Listener):
-    """Passes one connection of an entry on to its owner.
+    """Forwards one connection of an entry to its owner.
 
     Attributes:
-        held: bytes on the way to the owner that are held up.
-        returned: bytes that the owner has sent back.
+        held_bytes: bytes to the owner that were delayed by a pause.
+        returned_bytes: bytes that the owner has sent back.
     """
 
     def __init__(
@@ -25,40 +25,46 @@
         *,
         owner: tuple[str, int],
     ) -> None:
-        self.held = 0
-        self.returned = 0
+        self.held_bytes = 0
+        self.returned_bytes = 0
         self._owner = owner
-        self._flows = threading.Event()
-        self._flows.set()
+        self._resumed = threading.Event()
+        self._resumed.set()
         super().__init__(address)
 
-    def hold(self) -> None:
-        self._flows.clear()
+    def pause(self) -> None:
+        self._resumed.clear()
 
-    def release(self) -> None:
-        self._flows.set()
+    def resume(self) -> None:
+        self._resumed.set()
 
     def answer(self, sock: socket.socket) -> None:
-        with socket.create_connection(self._owner, PATIENCE) as line:
-            line.settimeout(None)
-            back = threading.Thread(target=self._pass_back, args=(line, sock))
-            back.start()
-            self._pass_on(sock, line)
-            back.join(PATIENCE)
-
-    def _pass_on(self, sock: socket.socket, line: socket.socket) -> None:
+        with socket.create_connection(
+            self._owner, TIMEOUT_SECONDS
+        ) as connection:
+            connection.settimeout(None)
+            return_thread = threading.Thread(
+                target=self._forward_back, args=(connection, sock)
+            )
+            return_thread.start()
+            self._forward(sock, connection)
+            return_thread.join(TIMEOUT_SECONDS)
+
+    def _forward(self, sock: socket.socket, connection: socket.socket) -> None:
         while chunk := _read(sock):
-            if not self._flows.is_set():
-                self.held += len(chunk)
-                self._flows.wait(PATIENCE)
-            _write(line, chunk)
-        _end(line)
-
-    def _pass_back(self, line: socket.socket, sock: socket.socket) -> None:
-        while chunk := _read(line):
-            self.returned += len(chunk)
+            if not self._resumed.is_set():
+                self.held_bytes += len(chunk)
+                self._resumed.wait(TIMEOUT_SECONDS)
+            _write(connection, chunk)
+        _end_output(connection)
+
+    def _forward_back(
+        self, connection: socket.socket, sock: socket.socket
+    ) -> None:
+        while chunk := _read(connection):
+            self.returned_bytes += len(chunk)
             _write(sock, chunk)
-        _end(sock)
+        _end_output(sock)
 
 
 def _read(sock: socket.socket) -> bytes:
@@ -72,11 +78,11 @@
     try:
         sock.sendall(chunk)
     except OSError:
-        # The other side has gone: what it would have got is lost.
+        # The other side is disconnected: what it would have received is lost.
         return
 
 
-def _end(sock: socket.socket) -> None:
+def _end_output(sock: socket.socket) -> None:
     try:
         sock.shutdown(socket.SHUT_WR)
     except OSError:
--- a/wagtaildale/calls/tests/test_contained.py
+++ b/wagtaildale/calls/tests/test_contained.py
@@ -118,7 +118,7 @@
 
 
 def is_connected(owner: MeshNode, entries: int = ENTRIES) -> bool:
-    return owner.calls.nodes.open >= entries
+    return owner.calls.peer_port.open_connections >= entries
 
 
 def knows_of_down(entry: MeshNode) -> bool:
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -19,7 +19,7 @@
 )
 from wagtaildale.calls.tests.listeners import Listener
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     Pair,
     build_run,
     read_code,
@@ -116,7 +116,7 @@
 
     def book() -> None:
         response, text = pair.ask('POST', '/bookings', b'x', {'x-booking': 'k'})
-        received.append((response.headers[OUTCOME], read_code(text)))
+        received.append((response.headers[OUTCOME_HEADER], read_code(text)))
 
     worker = threading.Thread(target=book)
     worker.start()
@@ -137,7 +137,7 @@
 
     def book() -> None:
         response, _text = pair.ask('POST', '/bookings', b'x')
-        outcomes.append(response.headers[OUTCOME])
+        outcomes.append(response.headers[OUTCOME_HEADER])
 
     worker = threading.Thread(target=book)
     worker.start()
@@ -155,7 +155,7 @@
     booking does not run.
     """
     verdict = pair.far.hold_slot()
-    answer = pair.tell_owner(build_run(lease=verdict.ticket, remaining_ms=0))
+    answer = pair.send_to_owner(build_run(lease=verdict.ticket, remaining_ms=0))
     assert isinstance(answer, Failed)
     assert answer.answer.code is Code.past_deadline
     assert answer.answer.outcome is Outcome.not_run
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -9,7 +9,12 @@
 from msgspec import json, structs
 
 from wagtaildale.admission.limits import Ending
-from wagtaildale.calls.tests.pairs import OUTCOME, PATIENCE, Pair, wait_until
+from wagtaildale.calls.tests.pairs import (
+    OUTCOME_HEADER,
+    TIMEOUT_SECONDS,
+    Pair,
+    wait_until,
+)
 from wagtaildale.testing.builders import SLOTS, build_record
 from wagtaildale.testing.mesh import MeshNode
 from wagtaildale.types import ListedState
@@ -35,7 +40,7 @@
     gate = node.gate
     node.calls.loop.submit(
         lambda: gate.release_slot(ticket, seconds=0, ending=Ending.abandoned),
-    ).result(PATIENCE)
+    ).result(TIMEOUT_SECONDS)
 
 
 def test_lookup_that_has_run_is_never_reported_as_not_run(
@@ -52,7 +57,7 @@
         runs = pair.backend.counts.runs
         response, _text = pair.ask('GET', f'/files/{claim}')
         has_run = pair.backend.counts.runs > runs
-        said_not_run = response.headers[OUTCOME].startswith('not-run')
+        said_not_run = response.headers[OUTCOME_HEADER].startswith('not-run')
         assert not (has_run and said_not_run)
         assert not (has_run and response.status in {429, 503})
 
@@ -90,6 +95,6 @@
         far.show(structs.replace(far.record, state=ListedState.leaving))
         for ticket in held:
             free_slot(far, ticket)
-        response, _text = asked.result(PATIENCE)
+        response, _text = asked.result(TIMEOUT_SECONDS)
     assert pair.backend.counts.runs == 0
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -15,7 +15,7 @@
 from wagtaildale.calls.frames import Failed
 from wagtaildale.calls.hedges import HedgeDelay
 from wagtaildale.calls.tests.pairs import (
-    OUTCOME,
+    OUTCOME_HEADER,
     Pair,
     build_run,
     read_code,
@@ -176,7 +176,7 @@
         b'x',
         {'wagtaildale-deadline-ms': '100', 'x-booking': 'late'},
     )
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
     assert read_code(text) in {Code.past_deadline, Code.timed_out}
     assert 'late' not in pair.backend.counts.by_key
     assert len(held) == 4
@@ -272,7 +272,7 @@
     incarnation distinguishes the two.
     """
     verdict = pair.far.hold_slot()
-    answer = pair.tell_owner(build_run(lease=verdict.ticket, incarnation=99))
+    answer = pair.send_to_owner(build_run(lease=verdict.ticket, incarnation=99))
     assert isinstance(answer, Failed)
     assert answer.answer.code is Code.wrong_instance
     assert answer.answer.outcome is Outcome.not_run
@@ -314,7 +314,7 @@
     response, text = pair.ask('GET', '/files/1')
     assert read_code(text) is Code.overloaded
     assert int(response.headers['retry-after']) >= 3
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
 
 
 def test_drain_keeps_a_reserved_slot(pair: Pair) -> None:
@@ -328,7 +328,7 @@
     assert isinstance(pair.far.redeem(verdict.ticket), Admitted)
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.draining
-    assert response.headers[OUTCOME].startswith('not-run')
+    assert response.headers[OUTCOME_HEADER].startswith('not-run')
 
 
 def test_calls_avoid_a_data_centre_that_is_down(pair: Pair) -> None:
