--- a/wagtaildale/calls/backends.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -35,10 +35,10 @@
     from wagtaildale.calls.backend_pool import BackendPool
     from wagtaildale.calls.parsing import Header
 
-HEAD_BYTES: Final = 65_536
+MAX_HEAD_BYTES: Final = 65_536
 # The backend server is on the same machine: an open connection takes a
 # round trip on loopback, and one that takes this long is not coming.
-CONNECT_SECONDS: Final = 0.4
+CONNECT_TIMEOUT_SECONDS: Final = 0.4
 # How long an idle connection is kept if the server does not say.
 IDLE_SECONDS: Final = 4.0
 # Before the time that the server says, so that a request does not cross
@@ -46,7 +46,7 @@
 IDLE_MARGIN_SECONDS: Final = 1.0
 FIRST_FINAL_STATUS: Final = 200
 KEEP_ALIVE: Final = b'keep-alive'
-TIMEOUT_MARK: Final = b'timeout='
+TIMEOUT_PREFIX: Final = b'timeout='
 
 
 class BackendRequest(Struct, frozen=True, kw_only=True):
@@ -93,7 +93,7 @@
             failure: with outcome ``not_run`` if nothing was sent.
         """
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Learn that the server has taken what was sent of the body."""
 
 
@@ -110,7 +110,9 @@
         self.idle_until = float(0)
         self.used_at = read_clock()
         self._pool = pool
-        self._parser = MessageParser(of_requests=False, head_bytes=HEAD_BYTES)
+        self._parser = MessageParser(
+            of_requests=False, head_bytes=MAX_HEAD_BYTES
+        )
         self._request: BackendRequest | None = None
         self._receiver: BackendReceiver | None = None
         self._message: Message | None = None
@@ -122,8 +124,8 @@
             (address.host, address.port),
             self,
         )
-        self._connecting = pool.loop.alarms.set(
-            CONNECT_SECONDS,
+        self._connect_alarm = pool.loop.alarms.set(
+            CONNECT_TIMEOUT_SECONDS,
             self._give_up_connecting,
         )
 
@@ -138,11 +140,13 @@
         return glance(self._stream) is Glance.nothing
 
     @property
-    def is_standing(self) -> bool:
+    def is_established(self) -> bool:
         """Whether it is open at both ends."""
         return self._is_open and self.is_quiet
 
-    def ask(self, request: BackendRequest, receiver: BackendReceiver) -> None:
+    def send_request(
+        self, request: BackendRequest, receiver: BackendReceiver
+    ) -> None:
         """Send a request.
 
         Args:
@@ -178,10 +182,10 @@
 
     def close(self) -> None:
         """Close at once: the server drops the request that runs on it."""
-        self._connecting.cancel()
+        self._connect_alarm.cancel()
         self._receiver = None
         self._stream.close()
-        self._pool.forget(self)
+        self._pool.discard(self)
 
     def on_open(self) -> None:
         """Learn that the connection stands; the request goes out now."""
@@ -192,7 +196,7 @@
             self._fail(Code.backend_unreachable, 'closed unasked')
             return
         self._is_open = True
-        self._connecting.cancel()
+        self._connect_alarm.cancel()
         self._pool.watch.note_up()
 
     def on_bytes(self, chunk: bytes) -> None:
@@ -240,7 +244,7 @@
     def on_drained(self) -> None:
         """Learn that the server has taken what was sent."""
         if self._receiver is not None:
-            self._receiver.on_room()
+            self._receiver.on_writable()
 
     def _give_up_connecting(self) -> None:
         self._fail(Code.backend_unreachable, 'connecting took too long')
@@ -270,8 +274,8 @@
         assert self._receiver is not None
         if message.status < FIRST_FINAL_STATUS or message is self._stray:
             return False
-        named = message.find(self._pool.request_id_field)
-        if request.request_id and named != request.request_id:
+        echoed = message.find(self._pool.request_id_field)
+        if request.request_id and echoed != request.request_id:
             self._stray = message
             self._pool.note_stray()
             return False
@@ -295,12 +299,12 @@
         assert request is not None
         # A connection that has given a stray response, or has not taken all
         # of a request, is not used again: what comes next on it is unsure.
-        clean = self._stray is None and not self._parser.has_more()
-        whole = not request.more and not self._stream.unsent
-        if message.keep_alive and clean and whole:
+        is_in_sync = self._stray is None and not self._parser.has_more()
+        is_fully_sent = not request.more and not self._stream.unsent
+        if message.keep_alive and is_in_sync and is_fully_sent:
             self.used_at = read_clock()
             self.idle_until = self.used_at + _find_idle_seconds(message)
-            self._pool.take_back(self)
+            self._pool.release(self)
         else:
             self.close()
         receiver.on_body()
@@ -308,13 +312,13 @@
     def _fail(self, code: Code, detail: str) -> None:
         receiver = self._receiver
         self._receiver = None
-        sent = self._is_open
+        was_sent = self._is_open
         self.close()
         if receiver is None:
             return
         failure = CallFailed(
-            code if sent else Code.backend_unreachable,
-            outcome=Outcome.unknown if sent else Outcome.not_run,
+            code if was_sent else Code.backend_unreachable,
+            outcome=Outcome.unknown if was_sent else Outcome.not_run,
             detail=detail,
         )
         receiver.on_failed(failure)
@@ -341,10 +345,10 @@
 
 
 def _find_idle_seconds(message: Message) -> float:
-    named = message.find(KEEP_ALIVE) or b''
-    mark = named.find(TIMEOUT_MARK)
-    if mark < 0:
+    keep_alive = message.find(KEEP_ALIVE) or b''
+    start = keep_alive.find(TIMEOUT_PREFIX)
+    if start < 0:
         return IDLE_SECONDS
-    digits = named[mark + len(TIMEOUT_MARK) :].split(b',')[0].strip()
+    digits = keep_alive[start + len(TIMEOUT_PREFIX) :].split(b',')[0].strip()
     seconds = int(digits) if digits.isdigit() else 0
     return max(0, seconds - IDLE_MARGIN_SECONDS)
--- a/wagtaildale/calls/backend_messages.py
+++ b/wagtaildale/calls/backend_messages.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.backends import BackendRequest
+from wagtaildale.calls.backend_connection import BackendRequest
 from wagtaildale.calls.windows import SendWindow
 from wagtaildale.timers.service import read_clock
 
@@ -23,8 +23,8 @@
 
     Attributes:
         message: as it is read.
-        held: what of its body has come and not gone on.
-        is_begun: whether its head has gone on.
+        buffer: what of its body has come and not gone on.
+        is_started: whether its head has gone on.
         window: what the entry lets pass.
     """
 
@@ -35,20 +35,20 @@
             message: its body is taken from it as it comes.
         """
         self.message = message
-        self.held = bytearray()
-        self.is_begun = False
+        self.buffer = bytearray()
+        self.is_started = False
         self.window = SendWindow()
 
-    def take_held(self) -> bytes:
+    def drain_buffer(self) -> bytes:
         """Take what is held to pass it on.
 
         Returns:
             The bytes, perhaps none.
         """
-        taken = bytes(self.held)
-        self.held.clear()
-        self.window.note_sent(len(taken))
-        return taken
+        drained = bytes(self.buffer)
+        self.buffer.clear()
+        self.window.note_sent(len(drained))
+        return drained
 
 
 def find_refusal(owner: Owner, message: Message) -> bytes | None:
@@ -88,9 +88,9 @@
         The request.
     """
     dialect = owner.dialect
-    named = run.fields.request_id.encode('latin-1')
+    request_id = run.fields.request_id.encode('latin-1')
     return BackendRequest(
-        request_id=named if dialect.echoes_request_id else b'',
+        request_id=request_id if dialect.echoes_request_id else b'',
         method=run.method,
         target=run.target,
         headers=(
@@ -113,16 +113,16 @@
     """Write what a backend server is told, and copies onto its own calls."""
     dialect = owner.dialect
     fields = run.fields
-    rest = max(1, int((deadline - read_clock()) * MILLISECONDS))
-    context: list[Header] = [(dialect.deadline_ms, b'%d' % rest)]
+    remaining_ms = max(1, int((deadline - read_clock()) * MILLISECONDS))
+    context: list[Header] = [(dialect.deadline_ms, b'%d' % remaining_ms)]
     if not dialect.takes_request_id:
-        name = fields.request_id.encode('latin-1')
-        context.append((dialect.request_id, name))
+        request_id = fields.request_id.encode('latin-1')
+        context.append((dialect.request_id, request_id))
     if dialect.depth is not None:
         context.append((dialect.depth, b'%d' % (fields.depth + 1)))
     if dialect.retries is not None:
         context.append((dialect.retries, b'%d' % fields.retries))
     if dialect.expected_instance is not None:
-        meant = instance.encode('latin-1')
-        context.append((dialect.expected_instance, meant))
+        target = instance.encode('latin-1')
+        context.append((dialect.expected_instance, target))
     return tuple(context)
--- a/wagtaildale/calls/backend_pool.py
+++ b/wagtaildale/calls/backend_pool.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.backends import BackendConnection
+from wagtaildale.calls.backend_connection import BackendConnection
 from wagtaildale.calls.server_watch import ServerWatch
 from wagtaildale.timers.service import read_clock
 
@@ -12,7 +12,10 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.backends import BackendReceiver, BackendRequest
+    from wagtaildale.calls.backend_connection import (
+        BackendReceiver,
+        BackendRequest,
+    )
     from wagtaildale.reactor.loop import Loop
     from wagtaildale.telemetry.events import EventRecorder
 
@@ -50,13 +53,13 @@
         self.loop = loop
         self.request_id_field = request_id_field
         self.note_stray = note_stray
-        self.opened = 0
+        self.opened_count = 0
         self.address = address
         self.watch = ServerWatch(loop, address, recorder=recorder)
         self._idle: list[BackendConnection] = []
         self._all: set[BackendConnection] = set()
 
-    def ask(
+    def send_request(
         self,
         request: BackendRequest,
         receiver: BackendReceiver,
@@ -70,11 +73,11 @@
         Returns:
             The connection; closing it cancels the request.
         """
-        connection = self._take(request)
-        connection.ask(request, receiver)
+        connection = self._acquire(request)
+        connection.send_request(request, receiver)
         return connection
 
-    def take_back(self, connection: BackendConnection) -> None:
+    def release(self, connection: BackendConnection) -> None:
         """Keep an idle connection.
 
         Args:
@@ -82,7 +85,7 @@
         """
         self._idle.append(connection)
 
-    def forget(self, connection: BackendConnection) -> None:
+    def discard(self, connection: BackendConnection) -> None:
         """Forget a connection that is closed.
 
         Args:
@@ -92,31 +95,33 @@
         if connection in self._idle:
             self._idle.remove(connection)
 
-    def has_standing(self) -> bool:
+    def has_open_connection(self) -> bool:
         """Tell whether any connection is open at both ends.
 
         Returns:
             Whether the server runs: one that ends closes all of them.
         """
-        return any(connection.is_standing for connection in self._all)
+        return any(connection.is_established for connection in self._all)
 
     def close(self) -> None:
         """Close every connection."""
         for connection in tuple(self._all):
             connection.close()
 
-    def _take(self, request: BackendRequest) -> BackendConnection:
-        kept = self._take_kept(request)
-        if kept is not None:
-            return kept
-        self.opened += 1
+    def _acquire(self, request: BackendRequest) -> BackendConnection:
+        idle = self._acquire_idle(request)
+        if idle is not None:
+            return idle
+        self.opened_count += 1
         connection = BackendConnection(self, self.address)
         self._all.add(connection)
         return connection
 
-    def _take_kept(self, request: BackendRequest) -> BackendConnection | None:
+    def _acquire_idle(
+        self, request: BackendRequest
+    ) -> BackendConnection | None:
         now = read_clock()
-        self._close_stale(now)
+        self._close_expired(now)
         while self._idle:
             latest = self._idle[-1]
             if not request.idempotent and now - latest.used_at > FRESH_SECONDS:
@@ -130,7 +135,7 @@
             latest.close()
         return None
 
-    def _close_stale(self, now: float) -> None:
-        stale = [each for each in self._idle if each.idle_until <= now]
-        for connection in stale:
+    def _close_expired(self, now: float) -> None:
+        expired = [each for each in self._idle if each.idle_until <= now]
+        for connection in expired:
             connection.close()
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -14,15 +14,15 @@
 )
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.heads import pass_on
-from wagtaildale.calls.keyed import KeyedRun
-from wagtaildale.calls.server_ends import CutRun
-from wagtaildale.calls.server_words import read_word
+from wagtaildale.calls.idempotency_guard import IdempotencyGuard
+from wagtaildale.calls.server_end_detector import InterruptedRun
+from wagtaildale.calls.server_feedback import parse_feedback
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariant
 from wagtaildale.types import Outcome
 
 if TYPE_CHECKING:
-    from wagtaildale.calls.backends import BackendConnection
+    from wagtaildale.calls.backend_connection import BackendConnection
     from wagtaildale.calls.call_times import CallTimes
     from wagtaildale.calls.frames import Piece, Run
     from wagtaildale.calls.owner import Owner
@@ -31,7 +31,7 @@
 
 # A response up to this size is whole before any of it goes on: one that is
 # cut is then an error of its own, and never a short answer.
-WHOLE_BYTES: Final = 65_536
+MAX_BUFFERED_BYTES: Final = 65_536
 
 
 class RunReceiver(Protocol):
@@ -88,28 +88,28 @@
         self._owner = owner
         self._replies = replies
         self._times = times
-        self._keyed = KeyedRun(run, owner.replays)
+        self._idempotency = IdempotencyGuard(run, owner.replays)
         self._connection: BackendConnection | None = None
         self._response: BackendResponse | None = None
         self._target = run.fields.instance
-        self._owed = 0
-        self._ends = 0
-        self._kept: KeptAnswer | None = None
+        self._unacknowledged_bytes = 0
+        self._known_ends = 0
+        self._stored_answer: KeptAnswer | None = None
         self._is_over = False
 
     @property
     def is_answering(self) -> bool:
         """Whether the beginning of the answer was passed on."""
-        return self._response is not None and self._response.is_begun
+        return self._response is not None and self._response.is_started
 
     def begin(self) -> None:
         """Send the request, or give the answer kept for its key."""
         owner = self._owner
         if owner.trials.may_end(self._run):
             # The server that ended under it may be back in a moment.
-            owner.pool.watch.wait_up(self._begin)
+            owner.pool.watch.wait_until_up(self._start)
         else:
-            self._begin()
+            self._start()
 
     def add(self, piece: Piece) -> None:
         """Pass more of the request's body on.
@@ -119,9 +119,9 @@
         """
         if self._connection is not None:
             self._connection.add(piece.body, more=piece.more)
-            self._owed += len(piece.body)
+            self._unacknowledged_bytes += len(piece.body)
             if not self._connection.is_full:
-                self.on_room()
+                self.on_writable()
 
     def note_taken(self, count: int) -> None:
         """Send more of the response.
@@ -131,7 +131,7 @@
         """
         if self._response is not None:
             self._response.window.note_taken(count)
-            self._pass_on()
+            self._forward()
 
     def close(self) -> None:
         """Stop; what comes after this is dropped."""
@@ -143,7 +143,7 @@
             # The backend server drops a request whose connection closes.
             connection.close()
 
-    def settle_claims(self, failure: CallFailed) -> None:
+    def settle_run_once(self, failure: CallFailed) -> None:
         """Settle what is kept of a request that must not run twice.
 
         Args:
@@ -151,9 +151,9 @@
         """
         if failure.outcome is Outcome.not_run:
             self._owner.ledger.forget(self._run.fields.request_id)
-            self._keyed.forget()
+            self._idempotency.forget()
         else:
-            self._keyed.end(None)
+            self._idempotency.settle(None)
 
     def on_head(self, message: Message) -> None:
         """Take the head of the backend server's response.
@@ -164,10 +164,10 @@
         self._response = BackendResponse(message)
         if message.status != MISDIRECTED_STATUS:
             owner = self._owner
-            owner.server.take_word(
-                read_word(message, owner.dialect),
+            owner.server.apply_feedback(
+                parse_feedback(message, owner.dialect),
                 instance=self._target,
-                begun_at=self._times.running_since,
+                begun_at=self._times.run_started_at,
             )
 
     def on_body(self) -> None:
@@ -175,13 +175,17 @@
         response = self._response
         if response is None:
             return
-        response.held += response.message.take_body()
-        whole = response.message.is_complete
-        if whole:
+        response.buffer += response.message.take_body()
+        is_complete = response.message.is_complete
+        if is_complete:
             # The connection is free for another request, or closed.
             self._connection = None
-        if whole or response.is_begun or len(response.held) > WHOLE_BYTES:
-            self._pass_on()
+        if (
+            is_complete
+            or response.is_started
+            or len(response.buffer) > MAX_BUFFERED_BYTES
+        ):
+            self._forward()
 
     def on_failed(self, failure: CallFailed) -> None:
         """End the run: the backend server gives no whole response.
@@ -199,25 +203,25 @@
         if failure.code is Code.backend_cut:
             owner = self._owner
             owner.trials.ends.hold(
-                CutRun(
+                InterruptedRun(
                     instance=self._target,
                     fingerprint=owner.trials.identify(self._run),
-                    ends=self._ends,
+                    ends=self._known_ends,
                     is_leaving=owner.server.leaving.is_leaving(self._target),
-                    conclude=partial(self._conclude_cut, failure),
+                    on_resolved=partial(self._on_cut_resolved, failure),
                 ),
                 pool=owner.pool,
             )
         else:
             self._call.on_run_failed(failure)
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Learn that the backend server has taken what was sent."""
-        if self._owed:
-            self._replies.acknowledge(self._owed)
-            self._owed = 0
+        if self._unacknowledged_bytes:
+            self._replies.acknowledge(self._unacknowledged_bytes)
+            self._unacknowledged_bytes = 0
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         if self._is_over:
             return
         try:
@@ -225,8 +229,8 @@
         except CallFailed as failure:
             self._call.on_run_failed(failure)
             return
-        if self._kept is not None:
-            self._replies.repeat(self._run.fields, self._kept)
+        if self._stored_answer is not None:
+            self._replies.repeat(self._run.fields, self._stored_answer)
             self._call.on_run_repeated()
         elif is_admitted:
             self._run_now()
@@ -239,17 +243,17 @@
         )
         if ends is None:
             return False
-        self._ends = ends
-        self._kept = self._keyed.begin()
+        self._known_ends = ends
+        self._stored_answer = self._idempotency.begin()
         return True
 
-    def _conclude_cut(self, failure: CallFailed, ends: int) -> None:
+    def _on_cut_resolved(self, failure: CallFailed, ends: int) -> None:
         if ends:
             failure.code = Code.backend_ended
             failure.ends = ends
         self._call.on_run_failed(failure)
 
-    def _give_up(self, failure: CallFailed) -> None:
+    def _abort(self, failure: CallFailed) -> None:
         if not (self._is_over or self.is_answering):
             self._call.on_run_failed(failure)
 
@@ -276,51 +280,51 @@
         )
 
     def _send(self) -> None:
-        self._times.begin_run()
-        self._target = self._owner.server.name(self._run.fields)
+        self._times.start_run()
+        self._target = self._owner.server.resolve_target(self._run.fields)
         request = build_request(
             self._owner,
             self._run,
             deadline=self._times.deadline,
             instance=self._target,
         )
-        if not self._ends:
-            self._owner.trials.note_begun(self._run, give_up=self._give_up)
-        self._connection = self._owner.pool.ask(request, self)
+        if not self._known_ends:
+            self._owner.trials.note_begun(self._run, give_up=self._abort)
+        self._connection = self._owner.pool.send_request(request, self)
 
-    def _pass_on(self) -> None:
+    def _forward(self) -> None:
         response = self._response
         if response is None or self._is_over:
             return
         message = response.message
-        if response.is_begun:
-            self._add_piece(response)
+        if response.is_started:
+            self._forward_piece(response)
         elif find_refusal(self._owner, message) is None:
-            response.is_begun = True
-            self._begin_answer(response)
+            response.is_started = True
+            self._start_answer(response)
         else:
-            self._pass_refusal(message)
+            self._forward_refusal(message)
             return
-        if message.is_complete and not response.held:
+        if message.is_complete and not response.buffer:
             self._connection = None
             self._owner.trials.note_answered(self._run)
             self._call.on_run_finished(message.status)
         elif self._connection is not None:
             self._connection.read_more(wanted=response.window.is_open)
 
-    def _add_piece(self, response: BackendResponse) -> None:
+    def _forward_piece(self, response: BackendResponse) -> None:
         complete = response.message.is_complete
-        if response.window.is_open and (response.held or complete):
-            self._replies.add(response.take_held(), more=not complete)
+        if response.window.is_open and (response.buffer or complete):
+            self._replies.add(response.drain_buffer(), more=not complete)
 
-    def _begin_answer(self, response: BackendResponse) -> None:
+    def _start_answer(self, response: BackendResponse) -> None:
         message = response.message
         answer = KeptAnswer(
             status=message.status,
             headers=tuple(pass_on(message)),
-            body=response.take_held(),
+            body=response.drain_buffer(),
         )
-        self._keyed.end(answer if message.is_complete else None)
+        self._idempotency.settle(answer if message.is_complete else None)
         self._replies.answer(
             self._run.fields,
             answer,
@@ -328,7 +332,7 @@
             length=message.length,
         )
 
-    def _pass_refusal(self, message: Message) -> None:
+    def _forward_refusal(self, message: Message) -> None:
         code = Code.backend_shed
         if message.status == MISDIRECTED_STATUS:
             code = Code.wrong_instance
--- a/wagtaildale/calls/descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -26,11 +26,11 @@
 
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
-GRACE_SECONDS: Final = 0.02
-GRACE_SHARE: Final = 4
+DEADLINE_MARGIN_SECONDS: Final = 0.02
+MARGIN_RATIO: Final = 4
 
 
-class Sending(Struct, frozen=True, kw_only=True):
+class SendOptions(Struct, frozen=True, kw_only=True):
     """How an attempt is sent.
 
     Attributes:
@@ -71,24 +71,24 @@
     )
 
 
-def read_limit(told: AnswerFields | Load) -> NamedLimit | None:
+def read_limit(message: AnswerFields | Load) -> NamedLimit | None:
     """Read what an owner says that its backend server takes.
 
     Args:
-        told: its word.
+        message: its word.
 
     Returns:
         The limit; nothing if the owner has not heard the server yet.
     """
-    if told.rate_milli == UNHEARD_RATE:
+    if message.rate_milli == UNHEARD_RATE:
         return None
     return NamedLimit(
-        per_second=decode_rate(told.rate_milli),
-        share=told.share or ALL_PASS,
+        per_second=decode_rate(message.rate_milli),
+        share=message.share or ALL_PASS,
     )
 
 
-def name_class(routed: Routed) -> str:
+def format_class_name(routed: Routed) -> str:
     """Name the class of a call.
 
     Args:
@@ -104,7 +104,7 @@
     routed: Routed,
     upstream: UpstreamStatistics,
     attempts: Attempts,
-    sending: Sending,
+    sending: SendOptions,
 ) -> CallFields:
     """Describe a call to its owner.
 
@@ -122,20 +122,20 @@
     # Failure: under overload every slow answer gets a second attempt, which
     # waits for a slot that a first one needs. One whose target is over runs
     # only where a slot is free at once.
-    within = 0 if sending.spare else max(0, routed.due - now)
-    rest = routed.deadline - now
-    if rest > GRACE_SECONDS * GRACE_SHARE:
+    target_seconds = 0 if sending.spare else max(0, routed.due - now)
+    remaining = routed.deadline - now
+    if remaining > DEADLINE_MARGIN_SECONDS * MARGIN_RATIO:
         # Failure: at the deadline the entry gives up a moment before the
         # owner's word comes that nothing has run, and the caller hears
         # "unknown". The owner's deadline is a little earlier.
-        rest -= GRACE_SECONDS
+        remaining -= DEADLINE_MARGIN_SECONDS
     return CallFields(
         request_id=routed.request_id,
         attempt=len(attempts.tried),
-        work_class=name_class(routed),
+        work_class=format_class_name(routed),
         idempotent=work_class.idempotent,
-        within_ms=int(within * MILLISECONDS),
-        remaining_ms=max(0, int(rest * MILLISECONDS)),
+        within_ms=int(target_seconds * MILLISECONDS),
+        remaining_ms=max(0, int(remaining * MILLISECONDS)),
         instance=upstream.instance,
         incarnation=ANY_INCARNATION,
         depth=routed.depth,
--- a/wagtaildale/calls/call_times.py
+++ b/wagtaildale/calls/call_times.py
@@ -17,45 +17,47 @@
     """When a call came, began to run, and is to be over.
 
     Attributes:
-        since: when it came, seconds on the clock, as all here.
+        arrived_at: when it came, seconds on the clock, as all here.
         deadline: when its caller waits no more.
-        running_since: when it went to the backend server; the same as
-            ``since`` before that.
-        delay: for how long its last message was held up on its way.
+        run_started_at: when it went to the backend server; the same as
+            ``arrived_at`` before that.
+        transit_seconds: for how long its last message was held up on its way.
     """
 
     def __init__(self) -> None:
         """Begin when the call comes."""
-        self.since = read_clock()
-        self.deadline = self.since
-        self.running_since = self.since
-        self.delay = float(0)
+        self.arrived_at = read_clock()
+        self.deadline = self.arrived_at
+        self.run_started_at = self.arrived_at
+        self.transit_seconds = float(0)
 
     @property
     def is_past_deadline(self) -> bool:
         """Whether nobody waits for the call any more."""
         return read_clock() >= self.deadline
 
-    def count_down(self, fields: CallFields, *, since: float) -> None:
+    def update_deadline(
+        self, fields: CallFields, *, received_at: float
+    ) -> None:
         """Count the deadline from the time that is left.
 
         Args:
             fields: of the message that has come.
-            since: when it came.
+            arrived_at: when it came.
         """
-        self.deadline = since + fields.remaining_ms / MILLISECONDS
+        self.deadline = received_at + fields.remaining_ms / MILLISECONDS
 
-    def begin_run(self) -> None:
+    def start_run(self) -> None:
         """Learn that the call goes to the backend server now."""
-        self.running_since = read_clock()
+        self.run_started_at = read_clock()
 
-    def measure(self) -> float:
+    def measure_elapsed(self) -> float:
         """Measure how long the call has been at its owner.
 
         Returns:
             Seconds.
         """
-        return read_clock() - self.since
+        return read_clock() - self.arrived_at
 
     def measure_run(self) -> float:
         """Measure how long the call has been at the backend server.
@@ -63,7 +65,7 @@
         Returns:
             Seconds.
         """
-        return read_clock() - self.running_since
+        return read_clock() - self.run_started_at
 
     def describe_wait(self, *, has_run: bool) -> Inputs:
         """Describe for the log what the call waited for.
@@ -74,10 +76,10 @@
         Returns:
             Milliseconds on its way and at its owner.
         """
-        until = self.running_since if has_run else read_clock()
+        until = self.run_started_at if has_run else read_clock()
         return {
-            'held_up_ms': _to_ms(self.delay),
-            'waited_ms': _to_ms(until - self.since),
+            'held_up_ms': _to_ms(self.transit_seconds),
+            'waited_ms': _to_ms(until - self.arrived_at),
         }
 
     def describe_run(self, *, has_run: bool) -> Inputs:
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -131,7 +131,7 @@
         """
         self._entry.targets.note_answer(attempt.target, answer)
         if answer.leaving is not None:
-            self._entry.parts.listener.note_leaver(
+            self._entry.parts.listener.note_server_leaving(
                 attempt.target.address,
                 answer.leaving,
             )
--- a/wagtaildale/calls/keyed.py
+++ b/wagtaildale/calls/idempotency_guard.py
@@ -14,10 +14,10 @@
     from wagtaildale.admission.replays import Replays
     from wagtaildale.calls.frames import Run
 
-REPLAYED: Final = (b'idempotency-replayed', b'true')
+REPLAYED_HEADER: Final = (b'idempotency-replayed', b'true')
 
 
-class KeyedRun:
+class IdempotencyGuard:
     """The key of one request at its owner; without a key it does nothing."""
 
     def __init__(self, run: Run, replays: Replays) -> None:
@@ -51,7 +51,7 @@
             raise CallFailed(Code.key_repeated, outcome=Outcome.unknown)
         return entry.answer
 
-    def end(self, answer: KeptAnswer | None) -> None:
+    def settle(self, answer: KeptAnswer | None) -> None:
         """Settle the key after its request has run, or may have.
 
         Args:
--- a/wagtaildale/calls/identity_question.py
+++ b/wagtaildale/calls/identity_probe.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.backends import BackendRequest
+from wagtaildale.calls.backend_connection import BackendRequest
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.parsing import UNKNOWN_LENGTH
 from wagtaildale.errors.codes import Code
@@ -16,19 +16,19 @@
 
     from wagtaildale.calls.addresses import Address
     from wagtaildale.calls.backend_pool import BackendPool
-    from wagtaildale.calls.backends import BackendConnection
+    from wagtaildale.calls.backend_connection import BackendConnection
     from wagtaildale.calls.parsing import Message
     from wagtaildale.calls.server_targets import ServerTargets
     from wagtaildale.timers.alarms import Alarm
 
 # Health checks take a slot like requests, so that few are sent; each second
 # without an answer is one in which callers are refused.
-ASK_SECONDS: Final = 1.0
+PROBE_INTERVAL_SECONDS: Final = 1.0
 # A server that is full answers when a request has ended.
-ANSWER_SECONDS: Final = 0.9
+PROBE_TIMEOUT_SECONDS: Final = 0.9
 
 
-class IdentityQuestion:
+class IdentityProbe:
     """Sends a health check when it is due; a ``BackendReceiver``."""
 
     def __init__(
@@ -37,7 +37,7 @@
         *,
         address: Address,
         field: bytes | None,
-        read_path: Callable[[], str],
+        read_health_path: Callable[[], str],
         targets: ServerTargets,
     ) -> None:
         """Prepare; nothing is sent yet.
@@ -47,27 +47,27 @@
             address: of the server.
             field: of an answer that names the instance; nothing if servers
                 do not say.
-            read_path: gives where they answer, or nothing.
+            read_health_path: gives where they answer, or nothing.
             targets: are told which instance the server says it is, or why
                 it does not say.
         """
         self._pool = pool
         self._address = address
         self._field = field
-        self._read_path = read_path
+        self._read_path = read_health_path
         self._targets = targets
         self._next_at = float(0)
         self._connection: BackendConnection | None = None
         self._message: Message | None = None
         self._alarm: Alarm | None = None
 
-    def ask(self) -> None:
+    def send_if_due(self) -> None:
         """Ask, unless that was done a moment ago."""
         path = self._read_path()
         now = read_clock()
         if self._field is None or not path or now < self._next_at:
             return
-        self._next_at = now + ASK_SECONDS
+        self._next_at = now + PROBE_INTERVAL_SECONDS
         host = f'{self._address.host}:{self._address.port}'
         request = BackendRequest(
             request_id=b'',
@@ -79,10 +79,10 @@
             length=UNKNOWN_LENGTH,
             idempotent=True,
         )
-        self._targets.words.note_probe()
-        self._connection = self._pool.ask(request, self)
+        self._targets.feedback.note_probe()
+        self._connection = self._pool.send_request(request, self)
         alarms = self._pool.loop.alarms
-        self._alarm = alarms.set(ANSWER_SECONDS, self._give_up)
+        self._alarm = alarms.set(PROBE_TIMEOUT_SECONDS, self._give_up)
 
     def on_head(self, message: Message) -> None:
         """Take who the server says it is; see ``BackendReceiver``.
@@ -98,13 +98,13 @@
         named = (message.find(self._field) or b'').decode('latin-1')
         # The name goes into a header of every request to the server.
         if named and named.isascii() and named.isprintable():
-            self._targets.note_named(InstanceId(named))
+            self._targets.note_identified(InstanceId(named))
         else:
             failure = CallFailed(
                 Code.answer_mismatched,
                 detail=f'status {message.status} names no instance',
             )
-            self._targets.note_unnamed(failure)
+            self._targets.note_unidentified(failure)
 
     def on_body(self) -> None:
         """Drop what comes of the answer's body; see ``BackendReceiver``."""
@@ -119,10 +119,10 @@
         Args:
             failure: why no answer comes.
         """
-        self._targets.note_unnamed(failure)
+        self._targets.note_unidentified(failure)
         self._end()
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Nothing more is sent; see ``BackendReceiver``."""
 
     def _give_up(self) -> None:
--- a/wagtaildale/calls/load_teller.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -22,7 +22,7 @@
 PERCENT: Final = 100
 
 
-class LoadTeller:
+class LoadNotifier:
     """Tells connected entries unasked when they are to send more, or less.
 
     Attributes:
@@ -50,24 +50,24 @@
         self._instance = instance
         self._recorder = recorder
 
-    def tell_changes(self) -> None:
+    def notify_changes(self) -> None:
         """Tell what entries do not know yet, if it matters to them."""
         now = read_clock()
         percent = self._note_condition(now)
         demand = self._gate.state.demand
         if demand.take_change(self._share_out(now), now=now) or percent:
-            self._tell(self._describe_load(percent))
+            self._notify_listeners(self._describe_load(percent))
 
-    def tell_leaving(self, leaving: Leaver) -> None:
+    def notify_leaving(self, leaving: Leaver) -> None:
         """Tell that the backend server has said that it leaves.
 
         Args:
             leaving: the server.
         """
         self._leaving = leaving
-        self._tell(self._describe_load(0))
+        self._notify_listeners(self._describe_load(0))
 
-    def tell_up(self, *, is_up: bool) -> None:
+    def notify_up(self, *, is_up: bool) -> None:
         """Tell whether the backend server takes connections.
 
         Args:
@@ -77,9 +77,9 @@
             # What comes back has said nothing yet.
             self._leaving = None
         self._is_up = is_up
-        self._tell(self._describe_load(0))
+        self._notify_listeners(self._describe_load(0))
 
-    def describe_need(self) -> Load | None:
+    def describe_initial_load(self) -> Load | None:
         """Describe the load to an entry that has just connected.
 
         Returns:
@@ -137,6 +137,6 @@
             leaving=self._leaving,
         )
 
-    def _tell(self, load: Load) -> None:
-        for tell in self.listeners:
-            tell(load)
+    def _notify_listeners(self, load: Load) -> None:
+        for notify in self.listeners:
+            notify(load)
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -16,9 +16,9 @@
     CallFields,
     decode_rate,
 )
-from wagtaildale.calls.load_teller import LoadTeller
+from wagtaildale.calls.load_notifier import LoadNotifier
 from wagtaildale.calls.server_targets import ServerTargets
-from wagtaildale.calls.server_words import ServerWords
+from wagtaildale.calls.server_feedback import FeedbackTracker
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import (
@@ -62,8 +62,8 @@
         invariants: are checked on each call.
         dialect: how the backend server is spoken to.
         loop: carries the calls.
-        strays: responses that named another request.
-        teller: tells entries unasked what they are to know.
+        stray_count: responses that named another request.
+        load_notifier: tells entries unasked what they are to know.
         server: which instance the backend server is.
         trials: which suspected requests may run there.
     """
@@ -103,8 +103,8 @@
         self.dialect = dialect
         self.ledger = RunLedger()
         self.replays = Replays()
-        self.strays = 0
-        self.teller = LoadTeller(
+        self.stray_count = 0
+        self.load_notifier = LoadNotifier(
             gate,
             instance=identity.instance,
             recorder=recorder,
@@ -120,12 +120,12 @@
             service,
             find_record=find_record,
             recorder=recorder,
-            words=ServerWords(gate, recorder=recorder),
+            feedback=FeedbackTracker(gate, recorder=recorder),
         )
-        self.server.leaving.listeners.append(self.teller.tell_leaving)
-        self.pool.watch.listeners.append(self._note_watch)
+        self.server.leaving.listeners.append(self.load_notifier.notify_leaving)
+        self.pool.watch.listeners.append(self._on_watch_changed)
         self.trials = trials
-        trials.ends.listeners.append(self.server.words.note_started)
+        trials.ends.listeners.append(self.server.feedback.note_started)
         trials.ends.listeners.append(self.pool.watch.note_down)
         self._find_record = find_record
         self._recorder = recorder
@@ -145,18 +145,20 @@
         Raises:
             CallFailed: with outcome ``not_run``, when it is not.
         """
-        known = fields.incarnation in {
+        is_known = fields.incarnation in {
             ANY_INCARNATION,
             self.identity.incarnation,
         }
-        if not known or not self._serves(fields.instance):
+        if not is_known or not self._serves(fields.instance):
             raise CallFailed(Code.wrong_instance)
         self.server.check(fields)
-        brought = decode_rate(fields.rate_milli)
-        if brought is not None:
-            self.server.words.note_brought(brought, instance=fields.instance)
+        relayed_limit = decode_rate(fields.rate_milli)
+        if relayed_limit is not None:
+            self.server.feedback.apply_relayed_limit(
+                relayed_limit, instance=fields.instance
+            )
 
-    def describe(
+    def build_answer_fields(
         self,
         fields: CallFields,
         *,
@@ -200,12 +202,14 @@
             class_us=_to_us(usual.recent),
             class_usual_us=_to_us(usual.told),
             has_arrived=has_arrived,
-            rate_milli=self.teller.describe_rate(),
-            share=self.teller.describe_share(),
-            leaving=self.server.leaving.find_leaver(self.server.name(fields)),
+            rate_milli=self.load_notifier.describe_rate(),
+            share=self.load_notifier.describe_share(),
+            leaving=self.server.leaving.find_leaver(
+                self.server.resolve_target(fields),
+            ),
         )
 
-    def note_end(
+    def record_end(
         self,
         kind: EventKind,
         fields: CallFields,
@@ -249,14 +253,14 @@
         return record is None or record.node_id == self.identity.instance
 
     def _note_stray(self) -> None:
-        self.strays += 1
+        self.stray_count += 1
 
-    def _note_watch(self) -> None:
+    def _on_watch_changed(self) -> None:
         is_up = self.pool.watch.is_up
         if is_up:
             self.server.leaving.note_started()
-            self.server.words.note_started()
-        self.teller.tell_up(is_up=is_up)
+            self.server.feedback.note_started()
+        self.load_notifier.notify_up(is_up=is_up)
 
 
 def _to_us(seconds: float) -> int:
--- a/wagtaildale/calls/owned.py
+++ b/wagtaildale/calls/owner_call.py
@@ -35,7 +35,7 @@
 LEASE_SECONDS: Final = 0.5
 # After the deadline the entry gives up by itself; an owner that still holds
 # the call this much later has lost its entry.
-OVERTIME_SECONDS: Final = 0.05
+DEADLINE_GRACE_SECONDS: Final = 0.05
 SHED_STATUS: Final = 503
 # What speaks against the backend server, and not against one request.
 BACKEND_FAULTS: Final = frozenset(
@@ -59,7 +59,7 @@
     over = 'over'
 
 
-class OwnedCall:
+class OwnerCall:
     """One call; a ``RunReceiver``.
 
     Attributes:
@@ -103,32 +103,32 @@
         assert self._fields is not None
         return self._fields
 
-    def take_reserve(self, frame: Reserve, *, delay: float) -> None:
+    def handle_reserve(self, frame: Reserve, *, delay: float) -> None:
         """Ask for a slot that is held for a run message.
 
         Args:
             frame: what the entry tells of the call.
             delay: for which the line held the message up, seconds.
         """
-        self._times.delay = delay
-        self._enter(shorten(frame.fields, delay=delay))
+        self._times.transit_seconds = delay
+        self._request_slot(shorten(frame.fields, delay=delay))
 
-    def take_run(self, frame: Run, *, delay: float) -> None:
+    def handle_run(self, frame: Run, *, delay: float) -> None:
         """Run the request, once there is a slot or on the one held.
 
         Args:
             frame: the request.
             delay: for which the line held the message up, seconds.
         """
-        self._times.delay = delay
+        self._times.transit_seconds = delay
         self._request = frame
         fields = shorten(frame.fields, delay=delay)
         if fields.lease:
-            self._redeem(fields)
+            self._redeem_lease(fields)
         else:
-            self._enter(fields)
+            self._request_slot(fields)
 
-    def take_piece(self, frame: Piece) -> None:
+    def handle_piece(self, frame: Piece) -> None:
         """Pass more of the request's body on.
 
         Args:
@@ -137,7 +137,7 @@
         if self._run is not None:
             self._run.add(frame)
 
-    def take_taken(self, frame: Taken) -> None:
+    def handle_taken(self, frame: Taken) -> None:
         """Send more of the response.
 
         Args:
@@ -151,7 +151,7 @@
         state = self.state
         if state is CallState.over:
             return
-        self._owner.note_end(
+        self._owner.record_end(
             EventKind.run_ended,
             self.fields,
             inputs=self._times.describe_wait(
@@ -162,9 +162,9 @@
         )
         self._close()
         if state is CallState.waiting:
-            self._give_up()
+            self._withdraw()
         else:
-            self._settle(Ending.abandoned)
+            self._release_slot(Ending.abandoned)
 
     def on_run_finished(self, status: int) -> None:
         """End the call: it is answered; see ``RunReceiver``.
@@ -172,7 +172,7 @@
         Args:
             status: HTTP status.
         """
-        self._owner.note_end(
+        self._owner.record_end(
             EventKind.run_ended,
             self.fields,
             inputs={
@@ -182,13 +182,13 @@
             },
         )
         self._close()
-        shed = status == SHED_STATUS
-        self._settle(Ending.failed if shed else Ending.good)
+        is_shed = status == SHED_STATUS
+        self._release_slot(Ending.failed if is_shed else Ending.good)
 
     def on_run_repeated(self) -> None:
         """End the call: it is answered as before; see ``RunReceiver``."""
         self._close()
-        self._settle(Ending.abandoned)
+        self._release_slot(Ending.abandoned)
 
     def on_run_failed(
         self,
@@ -206,11 +206,11 @@
 
     # Admission
 
-    def _enter(self, fields: CallFields) -> None:
+    def _request_slot(self, fields: CallFields) -> None:
         self._fields = fields
         owner = self._owner
         times = self._times
-        times.count_down(fields, since=times.since)
+        times.update_deadline(fields, received_at=times.arrived_at)
         try:
             owner.check_target(fields)
         except CallFailed as failure:
@@ -218,7 +218,7 @@
             return
         was_draining = owner.gate.state.draining
         self._alarm = owner.loop.alarms.set_at(
-            times.deadline + OVERTIME_SECONDS,
+            times.deadline + DEADLINE_GRACE_SECONDS,
             self._time_out,
         )
         ticket = owner.gate.enter(
@@ -231,7 +231,7 @@
                 pass_rank=fields.pass_rank,
                 stands_for=fields.stands_for,
             ),
-            self._judge,
+            self._handle_verdict,
         )
         if self.state is CallState.waiting:
             self._ticket = ticket
@@ -241,7 +241,7 @@
             detail=fields.request_id,
         )
 
-    def _judge(self, verdict: Verdict) -> None:
+    def _handle_verdict(self, verdict: Verdict) -> None:
         if isinstance(verdict, Refused):
             self._fail(
                 CallFailed(verdict.code, retry_after=verdict.retry_after),
@@ -250,16 +250,16 @@
         self._ticket = verdict.ticket
         self.state = CallState.reserved
         if self._request is not None:
-            self._start_if_meant(self._request)
+            self._start_if_target_valid(self._request)
             return
         self._owner.gate.lease(verdict.ticket, seconds=LEASE_SECONDS)
         self._replies.grant(self.fields, lease=verdict.ticket)
 
-    def _redeem(self, fields: CallFields) -> None:
+    def _redeem_lease(self, fields: CallFields) -> None:
         # The fields of the run message count: they name the incarnation
         # that gave the lease.
         self._fields = fields
-        self._times.count_down(fields, since=read_clock())
+        self._times.update_deadline(fields, received_at=read_clock())
         try:
             self._owner.check_target(fields)
         except CallFailed as failure:
@@ -275,7 +275,7 @@
         assert self._request is not None
         self._start(self._request)
 
-    def _start_if_meant(self, request: Run) -> None:
+    def _start_if_target_valid(self, request: Run) -> None:
         try:
             # Failure: a call waits for a slot while its server is listed as
             # leaving, and reaches it long after everybody knows.
@@ -302,11 +302,11 @@
     # Ends
 
     def _time_out(self) -> None:
-        ran = self.state is CallState.running
+        has_run = self.state is CallState.running
         self._fail(
             CallFailed(
                 Code.timed_out,
-                outcome=Outcome.unknown if ran else Outcome.not_run,
+                outcome=Outcome.unknown if has_run else Outcome.not_run,
             ),
         )
 
@@ -321,35 +321,37 @@
         self._note_failure(failure)
         self._close()
         if state is CallState.waiting:
-            self._give_up()
+            self._withdraw()
             return
-        faulty = failure.code in BACKEND_FAULTS
-        self._settle(Ending.failed if faulty else Ending.abandoned)
+        is_backend_fault = failure.code in BACKEND_FAULTS
+        self._release_slot(
+            Ending.failed if is_backend_fault else Ending.abandoned
+        )
         if state is CallState.running and not repeated:
             assert self._run is not None
-            self._run.settle_claims(failure)
+            self._run.settle_run_once(failure)
 
     def _note_failure(self, failure: CallFailed) -> None:
-        ran = self.state is CallState.running
-        self._owner.note_end(
-            EventKind.run_ended if ran else EventKind.run_refused,
+        has_run = self.state is CallState.running
+        self._owner.record_end(
+            EventKind.run_ended if has_run else EventKind.run_refused,
             self.fields,
             inputs={
                 'outcome': failure.outcome.value,
                 **failure.describe_ends(),
-                **self._times.describe_wait(has_run=ran),
-                **self._times.describe_run(has_run=ran),
+                **self._times.describe_wait(has_run=has_run),
+                **self._times.describe_run(has_run=has_run),
             },
             code=failure.code,
             detail=failure.detail,
         )
 
-    def _give_up(self) -> None:
+    def _withdraw(self) -> None:
         if self._ticket is not None:
             self._owner.gate.give_up(self._ticket)
-        self._owner.teller.tell_changes()
+        self._owner.load_notifier.notify_changes()
 
-    def _settle(self, ending: Ending) -> None:
+    def _release_slot(self, ending: Ending) -> None:
         if self._ticket is None:
             return
         self._owner.gate.leave(
@@ -358,7 +360,7 @@
             ending=ending,
             work_class=self.fields.work_class,
         )
-        self._owner.teller.tell_changes()
+        self._owner.load_notifier.notify_changes()
 
     def _close(self) -> None:
         self.state = CallState.over
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.descriptions import read_limit
+from wagtaildale.calls.call_descriptions import read_limit
 from wagtaildale.routing.leavers import Leaver
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
@@ -50,11 +50,11 @@
             load: the owner's word.
         """
         if load.leaving is not None:
-            self.note_leaver(address, load.leaving)
+            self.note_server_leaving(address, load.leaving)
         for instance in self._list_instances(address):
             self._note_load(instance, load)
 
-    def note_leaver(self, address: Address, leaver: Leaver) -> None:
+    def note_server_leaving(self, address: Address, leaver: Leaver) -> None:
         """Note that a backend server has said that it leaves.
 
         Failure guarded here: a node says so of servers that are not its own,
@@ -66,7 +66,7 @@
                 does not tell.
         """
         record = self._view.current.records.get(leaver.instance)
-        if record is not None and _find_address(record) != address:
+        if record is not None and _get_owner_address(record) != address:
             self._recorder.record(
                 EventKind.message_refused,
                 subject=leaver.instance,
@@ -126,9 +126,9 @@
         return [
             record.instance
             for record in self._view.current.records.values()
-            if _find_address(record) == address
+            if _get_owner_address(record) == address
         ]
 
 
-def _find_address(record: InstanceRecord) -> Address:
+def _get_owner_address(record: InstanceRecord) -> Address:
     return Address(record.host, record.owner_port)
--- a/wagtaildale/calls/knock.py
+++ b/wagtaildale/calls/port_probe.py
@@ -15,11 +15,11 @@
     from wagtaildale.reactor.loop import Loop
 
 # A port on the same machine answers or refuses at once.
-ANSWER_SECONDS: Final = 0.1
+PROBE_TIMEOUT_SECONDS: Final = 0.1
 
 
 @final
-class Knocked(Enum):
+class ProbeResult(Enum):
     """What a port did."""
 
     opened = 'opened'
@@ -27,7 +27,7 @@
     silent = 'silent'
 
 
-class Knock:
+class PortProbe:
     """One try of a port; a ``StreamReceiver``."""
 
     def __init__(
@@ -35,22 +35,22 @@
         loop: Loop,
         address: Address,
         *,
-        on_word: Callable[[Knocked], None],
+        on_result: Callable[[ProbeResult], None],
     ) -> None:
         """Begin.
 
         Args:
             loop: carries the connection.
             address: of the server.
-            on_word: is told what the port did.
+            on_result: is told what the port did.
         """
-        self._on_word = on_word
-        self._alarm = loop.alarms.set(ANSWER_SECONDS, self._give_up)
+        self._on_result = on_result
+        self._alarm = loop.alarms.set(PROBE_TIMEOUT_SECONDS, self._give_up)
         self._stream = open_stream(loop, (address.host, address.port), self)
 
     def on_open(self) -> None:
         """Conclude: somebody listens; see ``StreamReceiver``."""
-        self._conclude(Knocked.opened)
+        self._conclude(ProbeResult.opened)
 
     def on_bytes(self, chunk: bytes) -> None:
         """Do nothing: nothing was asked."""
@@ -65,16 +65,18 @@
             error: why no connection came about.
         """
         is_refused = error.errno == errno.ECONNREFUSED
-        self._conclude(Knocked.refused if is_refused else Knocked.silent)
+        self._conclude(
+            ProbeResult.refused if is_refused else ProbeResult.silent
+        )
 
     def on_drained(self) -> None:
         """Do nothing: nothing was sent."""
 
     def _give_up(self) -> None:
         # Nobody can say whether the server ended.
-        self._conclude(Knocked.silent)
+        self._conclude(ProbeResult.silent)
 
-    def _conclude(self, word: Knocked) -> None:
+    def _conclude(self, outcome: ProbeResult) -> None:
         self._alarm.cancel()
         self._stream.close()
-        self._on_word(word)
+        self._on_result(outcome)
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -14,7 +14,7 @@
     Piece,
     Taken,
 )
-from wagtaildale.calls.keyed import REPLAYED
+from wagtaildale.calls.idempotency_guard import REPLAYED_HEADER
 
 if TYPE_CHECKING:
     from wagtaildale.admission.messages import TicketId
@@ -78,7 +78,9 @@
             fields: of the call.
             lease: names the slot in the run message.
         """
-        answer = structs.replace(self._owner.describe(fields), lease=lease)
+        answer = structs.replace(
+            self._owner.build_answer_fields(fields), lease=lease
+        )
         self._entrance.reply(Granted(self._number, answer))
 
     def answer(
@@ -100,9 +102,9 @@
         self._entrance.reply(
             Answered(
                 self._number,
-                self._owner.describe(
+                self._owner.build_answer_fields(
                     fields,
-                    owner_seconds=self._times.measure(),
+                    owner_seconds=self._times.measure_elapsed(),
                     backend_seconds=self._times.measure_run(),
                 ),
                 answer.status,
@@ -123,9 +125,9 @@
         self._entrance.reply(
             Answered(
                 self._number,
-                self._owner.describe(fields),
+                self._owner.build_answer_fields(fields),
                 kept.status,
-                (*kept.headers, REPLAYED),
+                (*kept.headers, REPLAYED_HEADER),
                 kept.body,
                 more=False,
                 length=len(kept.body),
@@ -160,11 +162,11 @@
             fields: of the call.
             failure: why, and whether the request has run.
         """
-        answer = self._owner.describe(
+        answer = self._owner.build_answer_fields(
             fields,
             code=failure.code,
             outcome=failure.outcome,
-            owner_seconds=self._times.measure(),
+            owner_seconds=self._times.measure_elapsed(),
             retry_ms=round(failure.retry_after * MILLISECONDS),
             has_arrived=failure.has_arrived,
         )
--- a/wagtaildale/calls/server_ends.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from wagtaildale.calls.knock import Knock, Knocked
+from wagtaildale.calls.port_probe import PortProbe, ProbeResult
 from wagtaildale.telemetry.events import EventKind
 
 if TYPE_CHECKING:
@@ -26,10 +26,10 @@
     from wagtaildale.types import InstanceId
 
 # The connections of a process that ends close within a millisecond or so.
-CLOSE_SECONDS: Final = 0.003
+CLOSE_GRACE_SECONDS: Final = 0.003
 
 
-class CutRun(Struct, frozen=True, kw_only=True):
+class InterruptedRun(Struct, frozen=True, kw_only=True):
     """A run whose connection ended before its answer.
 
     Attributes:
@@ -38,17 +38,17 @@
         ends: servers that had ended under it, one after the other, as far
             as was known when the run began.
         is_leaving: whether that instance was to end anyway.
-        conclude: is told how many that makes now; 0 if the server lives.
+        on_resolved: is told how many that makes now; 0 if the server lives.
     """
 
     instance: InstanceId
     fingerprint: Fingerprint
     ends: int
     is_leaving: bool
-    conclude: Callable[[int], None]
+    on_resolved: Callable[[int], None]
 
 
-class ServerEnds:
+class ServerEndDetector:
     """Finds out whether the backend server ended, for runs that were cut.
 
     Attributes:
@@ -78,20 +78,22 @@
         self._node = node
         self._answered = answered
         self._recorder = recorder
-        self._held: list[CutRun] = []
+        self._held: list[InterruptedRun] = []
 
-    def hold(self, cut: CutRun, *, pool: BackendPool) -> None:
+    def hold(self, run: InterruptedRun, *, pool: BackendPool) -> None:
         """Hold a run that was cut until it is known whether the server ended.
 
         Args:
-            cut: the run.
+            run: the run.
             pool: connections to the server.
         """
-        self._held.append(cut)
+        self._held.append(run)
         if len(self._held) == 1:
-            pool.loop.alarms.set(CLOSE_SECONDS, partial(self._look, pool))
+            pool.loop.alarms.set(
+                CLOSE_GRACE_SECONDS, partial(self._check_connections, pool)
+            )
 
-    def conclude(self, *, has_ended: bool) -> None:
+    def resolve(self, *, has_ended: bool) -> None:
         """End every run that is held.
 
         Args:
@@ -100,48 +102,52 @@
         held = self._held
         self._held = []
         if has_ended:
-            for tell in self.listeners:
-                tell()
-        blamed = self._blame(held) if has_ended else []
-        for cut in held:
-            cut.conclude(cut.ends + 1 if cut in blamed else 0)
-
-    def _look(self, pool: BackendPool) -> None:
-        if pool.has_standing():
-            self.conclude(has_ended=False)
+            for notify in self.listeners:
+                notify()
+        suspects = self._find_suspects(held) if has_ended else []
+        for run in held:
+            run.on_resolved(run.ends + 1 if run in suspects else 0)
+
+    def _check_connections(self, pool: BackendPool) -> None:
+        if pool.has_open_connection():
+            self.resolve(has_ended=False)
         else:
-            Knock(pool.loop, pool.address, on_word=self._take_knock)
+            PortProbe(pool.loop, pool.address, on_result=self._handle_probe)
 
-    def _is_proven(self, cut: CutRun) -> bool:
-        return not cut.ends and self._answered.has(cut.fingerprint)
+    def _was_answered_lately(self, run: InterruptedRun) -> bool:
+        return not run.ends and self._answered.has(run.fingerprint)
 
-    def _take_knock(self, word: Knocked) -> None:
+    def _handle_probe(self, outcome: ProbeResult) -> None:
         # A port that is silent does not tell.
-        self.conclude(has_ended=word is Knocked.refused)
+        self.resolve(has_ended=outcome is ProbeResult.refused)
 
-    def _blame(self, held: list[CutRun]) -> list[CutRun]:
+    def _find_suspects(
+        self, held: list[InterruptedRun]
+    ) -> list[InterruptedRun]:
         # A server that leaves ends by itself, whatever it runs.
-        ended = [cut for cut in held if not cut.is_leaving]
+        ended = [run for run in held if not run.is_leaving]
         if not ended:
             return []
         self.count += 1
-        blamed = [cut for cut in ended if not self._is_proven(cut)]
+        suspects = [run for run in ended if not self._was_answered_lately(run)]
         self._answered.forget()
-        self._note_ends(blamed or ended, is_known=bool(blamed))
-        return blamed
+        self._record_ends(suspects or ended, is_known=bool(suspects))
+        return suspects
 
-    def _note_ends(self, blamed: list[CutRun], *, is_known: bool) -> None:
+    def _record_ends(
+        self, suspects: list[InterruptedRun], *, is_known: bool
+    ) -> None:
         # Where all that ran was answered a moment ago, the end counts, and
         # holds nobody back: it may be that of another cause.
         # Of runs of the same request, the one that knew of most ends counts.
-        blamed.sort(key=_read_ends)
-        ends = {cut.fingerprint: cut.ends + 1 for cut in blamed}
+        suspects.sort(key=_get_ends)
+        ends = {run.fingerprint: run.ends + 1 for run in suspects}
         names = ' '.join(fingerprint.hex() for fingerprint in ends)
         self._recorder.record(
             EventKind.server_ended,
-            subject=blamed[0].instance,
+            subject=suspects[0].instance,
             detail=names,
-            inputs={'requests': len(blamed), 'most_ends': max(ends.values())},
+            inputs={'requests': len(suspects), 'most_ends': max(ends.values())},
         )
         self._board.note_ends(
             ends.items(),
@@ -149,5 +155,5 @@
         )
 
 
-def _read_ends(cut: CutRun) -> int:
-    return cut.ends
+def _get_ends(run: InterruptedRun) -> int:
+    return run.ends
--- a/wagtaildale/calls/server_words.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -26,27 +26,27 @@
     from wagtaildale.telemetry.events import EventRecorder
 
 DECIMAL: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
-LEAVING: Final = b'1'
+LEAVING_VALUE: Final = b'1'
 # Of a field that cannot be read, what goes into the log.
-SHOWN_BYTES: Final = 40
+LOGGED_BYTES: Final = 40
 
 
-class ServerWord(Struct, frozen=True, kw_only=True):
+class ServerFeedback(Struct, frozen=True, kw_only=True):
     """What a backend server says with one response.
 
     Attributes:
         per_second: requests that it takes from all nodes together; nothing
             if it names no limit.
         is_leaving: whether it will end.
-        unreadable: what stands in place of either, if it cannot be read.
+        malformed: what stands in place of either, if it cannot be read.
     """
 
     per_second: float | None = None
     is_leaving: bool = False
-    unreadable: bytes = b''
+    malformed: bytes = b''
 
 
-def read_word(message: Message, dialect: Dialect) -> ServerWord:
+def parse_feedback(message: Message, dialect: Dialect) -> ServerFeedback:
     """Read what a response says of its server.
 
     Args:
@@ -56,19 +56,19 @@
     Returns:
         The server's word.
     """
-    limit = _find(message, dialect.rate_limit)
-    leaving = _find(message, dialect.leaving)
+    limit = _find_header(message, dialect.rate_limit)
+    leaving = _find_header(message, dialect.leaving)
     if limit is not None and DECIMAL.fullmatch(limit) is None:
-        return ServerWord(unreadable=limit)
-    if leaving is not None and leaving != LEAVING:
-        return ServerWord(unreadable=leaving)
-    return ServerWord(
+        return ServerFeedback(malformed=limit)
+    if leaving is not None and leaving != LEAVING_VALUE:
+        return ServerFeedback(malformed=leaving)
+    return ServerFeedback(
         per_second=None if limit is None else float(limit),
         is_leaving=leaving is not None,
     )
 
 
-class ServerWords:
+class FeedbackTracker:
     """Takes what the backend server beside a node says of itself."""
 
     def __init__(self, gate: Gate, *, recorder: EventRecorder) -> None:
@@ -87,9 +87,9 @@
         """Requests that the server takes; nothing while it names no limit."""
         return self._gate.state.rate.per_second
 
-    def take(
+    def apply(
         self,
-        word: ServerWord,
+        feedback: ServerFeedback,
         *,
         instance: InstanceId,
         begun_at: float,
@@ -97,25 +97,27 @@
         """Take the word of a response.
 
         Args:
-            word: of the server.
+            feedback: of the server.
             instance: that answered.
             begun_at: when the request was sent to it, seconds.
         """
-        if word.unreadable:
+        if feedback.malformed:
             # What cannot be read names no limit, and ends none.
-            self._refuse(word, instance)
+            self._record_malformed(feedback, instance)
             return
         if instance != self._instance:
             self._instance = instance
             self.note_started()
-        known = self.per_second
+        previous = self.per_second
         self._gate.note_server(
-            RateTold(per_second=word.per_second, begun_at=begun_at),
+            RateTold(per_second=feedback.per_second, begun_at=begun_at),
         )
-        if self.per_second != known:
+        if self.per_second != previous:
             self._record_limit(instance)
 
-    def note_brought(self, per_second: float, *, instance: InstanceId) -> None:
+    def apply_relayed_limit(
+        self, per_second: float, *, instance: InstanceId
+    ) -> None:
         """Take what an entry has heard of the server's limit.
 
         Args:
@@ -124,9 +126,9 @@
         """
         if self._gate.state.rate.is_heard:
             return
-        known = self.per_second
+        previous = self.per_second
         self._gate.note_server(RateBrought(per_second=per_second))
-        if self.per_second != known:
+        if self.per_second != previous:
             self._record_limit(instance, origin='entry')
 
     def note_started(self) -> None:
@@ -151,12 +153,14 @@
         """Count a request of the node's own to the server."""
         self._gate.note_server(ProbeSent())
 
-    def _refuse(self, word: ServerWord, instance: InstanceId) -> None:
+    def _record_malformed(
+        self, feedback: ServerFeedback, instance: InstanceId
+    ) -> None:
         self._recorder.record(
             EventKind.server_word_refused,
             code=Code.server_word_malformed,
             subject=instance,
-            detail=repr(word.unreadable[:SHOWN_BYTES]),
+            detail=repr(feedback.malformed[:LOGGED_BYTES]),
         )
 
     def _record_limit(
@@ -176,5 +180,5 @@
         )
 
 
-def _find(message: Message, name: bytes | None) -> bytes | None:
+def _find_header(message: Message, name: bytes | None) -> bytes | None:
     return None if name is None else message.find(name)
--- a/wagtaildale/calls/server_identity.py
+++ b/wagtaildale/calls/server_identity.py
@@ -16,7 +16,7 @@
 # request in this time finds out.
 DENIED_SECONDS: Final = 2.0
 # Instances that one address has had while a node runs; the oldest go.
-DENIED_MOST: Final = 64
+MAX_DENIED_INSTANCES: Final = 64
 
 
 class ServerIdentity:
@@ -43,10 +43,10 @@
             self.instance = None
         self._denied_until.pop(instance, None)
         self._denied_until[instance] = now + DENIED_SECONDS
-        if len(self._denied_until) > DENIED_MOST:
+        if len(self._denied_until) > MAX_DENIED_INSTANCES:
             self._denied_until.pop(next(iter(self._denied_until)))
 
-    def note_named(self, instance: InstanceId) -> None:
+    def note_identified(self, instance: InstanceId) -> None:
         """Note which instance the server says that it is.
 
         Args:
@@ -55,7 +55,7 @@
         self.instance = instance
         self._denied_until.pop(instance, None)
 
-    def find_name(
+    def find_target(
         self,
         instance: InstanceId,
         *,
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -76,7 +76,7 @@
         """Learn that the server has ended; the next one has said nothing."""
         self._leavers = Leavers()
 
-    def note_said(self, instance: InstanceId) -> None:
+    def note_announced(self, instance: InstanceId) -> None:
         """Note that the server has said that it leaves.
 
         Args:
@@ -86,5 +86,5 @@
         leaver = Leaver(instance, 0 if record is None else record.born)
         if self._leavers.note(leaver):
             self._recorder.record(EventKind.server_leaving, subject=instance)
-            for tell in self.listeners:
-                tell(leaver)
+            for notify in self.listeners:
+                notify(leaver)
--- a/wagtaildale/calls/server_targets.py
+++ b/wagtaildale/calls/server_targets.py
@@ -15,7 +15,10 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.fields import CallFields
-    from wagtaildale.calls.server_words import ServerWord, ServerWords
+    from wagtaildale.calls.server_feedback import (
+        ServerFeedback,
+        FeedbackTracker,
+    )
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.types import InstanceId, ServiceName
@@ -28,7 +31,7 @@
         denial_listeners: are told when the backend server is not the one
             that a request names.
         leaving: whether the backend server leaves.
-        words: what the backend server says of itself.
+        feedback: what the backend server says of itself.
     """
 
     def __init__(
@@ -37,7 +40,7 @@
         *,
         find_record: Callable[[InstanceId], InstanceRecord | None],
         recorder: EventRecorder,
-        words: ServerWords,
+        feedback: FeedbackTracker,
     ) -> None:
         """Begin with nothing known of the server.
 
@@ -45,15 +48,15 @@
             service: of the server.
             find_record: gives what is listed of an instance.
             recorder: gets an event when the server is another instance.
-            words: what the server says of itself.
+            feedback: what the server says of itself.
         """
         self.denial_listeners: list[Callable[[], None]] = []
         self.leaving = ServerLeaving(
             find_record=find_record,
             recorder=recorder,
         )
-        self.leaving.listeners.append(words.note_leaving)
-        self.words = words
+        self.leaving.listeners.append(feedback.note_leaving)
+        self.feedback = feedback
         self._service = service
         self._identity = ServerIdentity()
         self._find_record = find_record
@@ -68,14 +71,14 @@
         Raises:
             CallFailed: with outcome ``not_run``, when it would not.
         """
-        target = self._find(fields)
+        target = self._find_target(fields)
         if target is None:
-            self._tell_denial()
+            self._notify_denial()
             raise CallFailed(Code.wrong_instance)
         if any(map(self.leaving.is_leaving, (fields.instance, target))):
             raise CallFailed(Code.draining)
 
-    def name(self, fields: CallFields) -> InstanceId:
+    def resolve_target(self, fields: CallFields) -> InstanceId:
         """Name the instance that a request goes to.
 
         Args:
@@ -85,11 +88,11 @@
             The one for which it is meant, or the one that has taken its
             place at its address.
         """
-        return self._find(fields) or fields.instance
+        return self._find_target(fields) or fields.instance
 
-    def take_word(
+    def apply_feedback(
         self,
-        word: ServerWord,
+        feedback: ServerFeedback,
         *,
         instance: InstanceId,
         begun_at: float,
@@ -97,13 +100,13 @@
         """Take what the server says of itself with a response.
 
         Args:
-            word: of the server.
+            feedback: of the server.
             instance: that answered.
             begun_at: when the request was sent to it, seconds.
         """
-        self.words.take(word, instance=instance, begun_at=begun_at)
-        if word.is_leaving:
-            self.leaving.note_said(instance)
+        self.feedback.apply(feedback, instance=instance, begun_at=begun_at)
+        if feedback.is_leaving:
+            self.leaving.note_announced(instance)
 
     def note_denied(self, instance: InstanceId) -> None:
         """Note that the server is not the one that a request named.
@@ -113,9 +116,9 @@
         """
         self._identity.note_denied(instance, now=read_clock())
         self._recorder.record(EventKind.server_denied, subject=instance)
-        self._tell_denial()
+        self._notify_denial()
 
-    def note_named(self, instance: InstanceId) -> None:
+    def note_identified(self, instance: InstanceId) -> None:
         """Note which instance the server says that it is.
 
         Args:
@@ -123,9 +126,9 @@
         """
         if instance != self._identity.instance:
             self._recorder.record(EventKind.server_named, subject=instance)
-        self._identity.note_named(instance)
+        self._identity.note_identified(instance)
 
-    def note_unnamed(self, failure: CallFailed) -> None:
+    def note_unidentified(self, failure: CallFailed) -> None:
         """Note that the server was asked who it is and did not say.
 
         Args:
@@ -137,14 +140,16 @@
             detail=failure.detail,
         )
 
-    def _find(self, fields: CallFields) -> InstanceId | None:
+    def _find_target(self, fields: CallFields) -> InstanceId | None:
         named = fields.instance
-        target = self._identity.find_name(named, now=read_clock())
+        target = self._identity.find_target(named, now=read_clock())
         if target is None or target == named:
             return target
-        return target if self._may_run(fields, target) else None
+        return target if self._serves_same_service(fields, target) else None
 
-    def _may_run(self, fields: CallFields, target: InstanceId) -> bool:
+    def _serves_same_service(
+        self, fields: CallFields, target: InstanceId
+    ) -> bool:
         # Failure: an address goes to a server of another service, and it
         # runs what was meant for the one before it.
         if fields.work_class.partition('/')[0] != self._service:
@@ -152,6 +157,6 @@
         record = self._find_record(target)
         return record is None or record.service == self._service
 
-    def _tell_denial(self) -> None:
-        for tell in self.denial_listeners:
-            tell()
+    def _notify_denial(self) -> None:
+        for notify in self.denial_listeners:
+            notify()
--- a/wagtaildale/calls/server_watch.py
+++ b/wagtaildale/calls/server_watch.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.knock import Knock, Knocked
+from wagtaildale.calls.port_probe import PortProbe, ProbeResult
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
 
@@ -21,9 +21,9 @@
     from wagtaildale.telemetry.events import EventRecorder
 
 # A server takes seconds to start; each try costs it a connection.
-KNOCK_SECONDS: Final = 0.25
+PROBE_INTERVAL_SECONDS: Final = 0.25
 # A server that is not back by then takes seconds.
-QUICK_SECONDS: Final = 0.5
+QUICK_RESTART_SECONDS: Final = 0.5
 MILLISECONDS: Final = 1000
 
 
@@ -63,24 +63,27 @@
         """For how long the server has been up; 0 while it is down."""
         return read_clock() - self.changed_at if self.is_up else 0
 
-    def wait_up(self, on_over: Callable[[], None]) -> None:
+    def wait_until_up(self, on_done: Callable[[], None]) -> None:
         """Wait for a server that may be back in a moment.
 
         Args:
-            on_over: is told when it is up, or is not back soon; perhaps
+            on_done: is told when it is up, or is not back soon; perhaps
                 before this returns.
         """
-        if self.is_up or read_clock() - self.changed_at >= QUICK_SECONDS:
-            on_over()
+        if (
+            self.is_up
+            or read_clock() - self.changed_at >= QUICK_RESTART_SECONDS
+        ):
+            on_done()
         else:
-            self._waiting.append(on_over)
+            self._waiting.append(on_done)
 
     def note_down(self) -> None:
         """Learn that the server takes no connection."""
         if self.is_up:
             self._change(is_up=False)
             self._recorder.record(EventKind.server_down)
-            self._wait()
+            self._schedule_probe()
 
     def note_up(self) -> None:
         """Learn that the server has taken a connection."""
@@ -96,33 +99,33 @@
     def _change(self, *, is_up: bool) -> None:
         self.is_up = is_up
         self.changed_at = read_clock()
-        self._tell()
+        self._notify_listeners()
         if is_up:
-            self._end_waiting()
+            self._release_waiting()
 
-    def _end_waiting(self) -> None:
+    def _release_waiting(self) -> None:
         waiting = self._waiting
         self._waiting = []
-        for tell in waiting:
-            tell()
+        for notify in waiting:
+            notify()
 
-    def _tell(self) -> None:
-        for tell in self.listeners:
-            tell()
+    def _notify_listeners(self) -> None:
+        for notify in self.listeners:
+            notify()
 
-    def _wait(self) -> None:
-        self._loop.alarms.set(KNOCK_SECONDS, self._knock)
+    def _schedule_probe(self) -> None:
+        self._loop.alarms.set(PROBE_INTERVAL_SECONDS, self._probe)
 
-    def _knock(self) -> None:
+    def _probe(self) -> None:
         if not self.is_up:
-            Knock(self._loop, self._address, on_word=self._take_knock)
+            PortProbe(self._loop, self._address, on_result=self._handle_probe)
 
-    def _take_knock(self, word: Knocked) -> None:
-        if word is Knocked.opened:
+    def _handle_probe(self, outcome: ProbeResult) -> None:
+        if outcome is ProbeResult.opened:
             self.note_up()
         elif not self.is_up:
             # Word of it may have been lost, or an entry is new.
-            self._tell()
-            self._wait()
-            if read_clock() - self.changed_at >= QUICK_SECONDS:
-                self._end_waiting()
+            self._notify_listeners()
+            self._schedule_probe()
+            if read_clock() - self.changed_at >= QUICK_RESTART_SECONDS:
+                self._release_waiting()
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -20,7 +20,7 @@
     Run,
     Taken,
 )
-from wagtaildale.calls.owned import OwnedCall
+from wagtaildale.calls.owner_call import OwnerCall
 from wagtaildale.calls.transit import Transit
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.acceptor import Acceptor
@@ -67,7 +67,7 @@
         self.recorder = recorder
         self._sessions: set[PeerSession] = set()
         self.acceptor = Acceptor(owner.loop, on_accept=self._accept)
-        owner.teller.listeners.append(self._tell_load)
+        owner.load_notifier.listeners.append(self._tell_load)
 
     @property
     def open(self) -> int:
@@ -153,7 +153,7 @@
         self.owner = owner
         self.reply = reply
         self._hears_leaving = False
-        self._calls: dict[CallNumber, OwnedCall] = {}
+        self._calls: dict[CallNumber, OwnerCall] = {}
         self._transit = Transit(opened_at=read_clock())
 
     @property
@@ -181,7 +181,7 @@
         """
         self._hears_leaving = True
         self.announce_leaving()
-        load = self.owner.teller.describe_need()
+        load = self.owner.load_notifier.describe_initial_load()
         if load is not None:
             self.reply(load)
 
@@ -218,7 +218,7 @@
         """
         return self._transit.measure_delay(fields.sent_ms, now=read_clock())
 
-    def find(self, number: CallNumber) -> OwnedCall | None:
+    def find(self, number: CallNumber) -> OwnerCall | None:
         """Find a call.
 
         Args:
@@ -229,7 +229,7 @@
         """
         return self._calls.get(number)
 
-    def find_or_begin(self, number: CallNumber) -> OwnedCall | None:
+    def find_or_begin(self, number: CallNumber) -> OwnerCall | None:
         """Find a call, a new one if there is none with the number.
 
         Args:
@@ -240,7 +240,7 @@
         """
         call = self._calls.get(number)
         if call is None and len(self._calls) < CALLS_MOST:
-            call = OwnedCall(self.owner, number, entrance=self)
+            call = OwnerCall(self.owner, number, entrance=self)
             self._calls[number] = call
         return call
 
@@ -264,7 +264,7 @@
     delay = calls.measure_delay(frame.fields)
     call = calls.find_or_begin(frame.call)
     if call is not None:
-        call.take_reserve(frame, delay=delay)
+        call.handle_reserve(frame, delay=delay)
 
 
 @take_frame.register
@@ -272,21 +272,21 @@
     delay = calls.measure_delay(frame.fields)
     call = calls.find_or_begin(frame.call)
     if call is not None:
-        call.take_run(frame, delay=delay)
+        call.handle_run(frame, delay=delay)
 
 
 @take_frame.register
 def _take_piece(frame: Piece, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
-        call.take_piece(frame)
+        call.handle_piece(frame)
 
 
 @take_frame.register
 def _take_taken(frame: Taken, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
-        call.take_taken(frame)
+        call.handle_taken(frame)
 
 
 @take_frame.register
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -7,10 +7,10 @@
 from msgspec import Struct
 
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.descriptions import (
-    Sending,
+from wagtaildale.calls.call_descriptions import (
+    SendOptions,
     describe_call,
-    name_class,
+    format_class_name,
     read_report,
 )
 from wagtaildale.calls.failures import CallFailed
@@ -131,7 +131,7 @@
                 routed,
                 upstream,
                 attempts,
-                Sending(
+                SendOptions(
                     rate=self._statistics.limits.find_rate(record.instance),
                     patient=patient and not spare,
                     spare=spare,
@@ -305,7 +305,7 @@
             useless=useless,
             need=Need(
                 data_centre=parts.data_centre,
-                work_class=name_class(routed),
+                work_class=format_class_name(routed),
                 slack_seconds=routed.due - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
                 pass_rank=_find_need_rank(routed, self._statistics),
@@ -319,7 +319,7 @@
 def _find_need_rank(routed: Routed, statistics: FleetStatistics) -> int:
     return find_need_rank(
         routed.match.work_class.rank,
-        work_class=name_class(routed),
+        work_class=format_class_name(routed),
         slack_seconds=routed.due - read_clock(),
         statistics=statistics,
     )
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -16,7 +16,7 @@
 from wagtaildale.calls.callers import CallerLimits, CallerPort
 from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
-from wagtaildale.calls.identity_question import IdentityQuestion
+from wagtaildale.calls.identity_probe import IdentityProbe
 from wagtaildale.calls.owner import Identity, Owner
 from wagtaildale.calls.owner_listener import OwnerListener
 from wagtaildale.calls.peer_pool import PeerPool
@@ -164,7 +164,9 @@
                 recorder=around.recorder,
             ),
         )
-        self.owner.server.denial_listeners.append(self._make_question().ask)
+        self.owner.server.denial_listeners.append(
+            self._make_question().send_if_due
+        )
         around.suspects.listeners.append(self._review_runs)
         self.local = LocalPeer(self.owner)
         self.entry = Entry(self._make_parts())
@@ -174,7 +176,7 @@
             read_limits=self.read_limits,
         )
         self.nodes = PeerPort(self.owner, recorder=around.recorder)
-        self.owner.teller.listeners.append(
+        self.owner.load_notifier.listeners.append(
             partial(self.entry.parts.listener.note_load, figures.owner),
         )
         self._ready = CallerPort(
@@ -298,12 +300,12 @@
         self.owner.gate.drain()
         self.nodes.announce_leaving()
 
-    def _make_question(self) -> IdentityQuestion:
-        return IdentityQuestion(
+    def _make_question(self) -> IdentityProbe:
+        return IdentityProbe(
             self.owner.pool,
             address=self._figures.backend,
             field=self._figures.dialect.instance,
-            read_path=self._read_health_path,
+            read_health_path=self._read_health_path,
             targets=self.owner.server,
         )
 
--- a/wagtaildale/calls/tests/mortal.py
+++ b/wagtaildale/calls/tests/crashing_servers.py
@@ -17,22 +17,22 @@
     from collections.abc import Iterable
 
 NAMED: Final = re.compile(rb'x-request-id: (\S+)', re.IGNORECASE)
-DEADLY: Final = '/files/deadly'
+FATAL: Final = '/files/deadly'
 HARMLESS: Final = '/files/1'
 
 
-class MortalBackend(Listener):
+class CrashingBackend(Listener):
     """Ends under each request that is deadly; answers the others.
 
     Attributes:
-        deadly: paths of the requests that end it.
+        fatal_paths: paths of the requests that end it.
         arrivals: paths of the requests that reached it, in this life.
         has_ended: whether it has.
         released: is set while it answers; a request that came before waits.
     """
 
-    def __init__(self, host: str, *, deadly: Iterable[str]) -> None:
-        self.deadly = frozenset(deadly)
+    def __init__(self, host: str, *, fatal_paths: Iterable[str]) -> None:
+        self.fatal_paths = frozenset(fatal_paths)
         self.arrivals: list[str] = []
         self.has_ended = False
         self.released = threading.Event()
@@ -45,7 +45,7 @@
             return
         path = head.split(b' ', 2)[1].decode()
         self.arrivals.append(path)
-        if path in self.deadly:
+        if path in self.fatal_paths:
             self.end()
         self.released.wait(PATIENCE)
         if self.has_ended:
@@ -72,7 +72,7 @@
             super().close()
 
 
-class MortalFleet(ScriptedFleet):
+class CrashingFleet(ScriptedFleet):
     """A fleet whose servers may end."""
 
     def __init__(
@@ -80,10 +80,10 @@
         upstreams: int,
         *,
         entries: int,
-        deadly: Iterable[str] = (DEADLY,),
+        fatal_paths: Iterable[str] = (FATAL,),
     ) -> None:
         super().__init__(upstreams, entries=entries)
-        self._deadly = frozenset(deadly)
+        self._deadly = frozenset(fatal_paths)
         self._before: list[str] = []
         self._ends = 0
         self.backends = [self._start(record.host) for record in self.records]
@@ -93,11 +93,11 @@
         """How many servers have ended so far."""
         return self._ends + sum(each.has_ended for each in self.backends)
 
-    def change_deadly(self, *paths: str) -> None:
+    def set_fatal_paths(self, *paths: str) -> None:
         """Let servers that start from now on end under these requests only."""
         self._deadly = frozenset(paths)
 
-    def revive(self) -> None:
+    def restart_ended(self) -> None:
         """Start every server anew that has ended."""
         for number, backend in enumerate(self.backends):
             if backend.has_ended:
@@ -148,7 +148,7 @@
         for backend in self.backends:
             backend.close()
 
-    def _find_busy(self, before: list[int]) -> MortalBackend | None:
+    def _find_busy(self, before: list[int]) -> CrashingBackend | None:
         busy = (
             backend
             for backend, count in zip(self.backends, before, strict=True)
@@ -156,5 +156,5 @@
         )
         return next(busy, None)
 
-    def _start(self, host: str) -> MortalBackend:
-        return MortalBackend(host, deadly=self._deadly)
+    def _start(self, host: str) -> CrashingBackend:
+        return CrashingBackend(host, fatal_paths=self._deadly)
--- a/wagtaildale/calls/tests/limited.py
+++ b/wagtaildale/calls/tests/feedback_servers.py
@@ -14,7 +14,7 @@
 NAMED: Final = re.compile(rb'x-request-id: (\S+)', re.IGNORECASE)
 
 
-class NamingBackend(Listener):
+class FeedbackBackend(Listener):
     """Answers every request, and says something of itself with it.
 
     Attributes:
@@ -44,12 +44,12 @@
         )
 
 
-class NamingFleet(ScriptedFleet):
+class FeedbackFleet(ScriptedFleet):
     """A fleet whose servers say something of themselves."""
 
     def __init__(self, upstreams: int, *, entries: int) -> None:
         super().__init__(upstreams, entries=entries)
-        self.backends = [NamingBackend(each.host) for each in self.records]
+        self.backends = [FeedbackBackend(each.host) for each in self.records]
 
     def close(self) -> None:
         super().close()
--- a/wagtaildale/calls/tests/hand_moved.py
+++ b/wagtaildale/calls/tests/manual_loop.py
@@ -18,7 +18,7 @@
 STEP_SECONDS: Final = 0.01
 
 
-class HandMoved:
+class ManualLoop:
     """Has a loop and moves it until something holds."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
             on_late=lambda _seconds: None,
         )
 
-    def move_until(self, condition: Callable[[], bool]) -> None:
+    def step_until(self, condition: Callable[[], bool]) -> None:
         wait_until(lambda: self._move(condition))
 
     def _move(self, condition: Callable[[], bool]) -> bool:
--- a/wagtaildale/calls/tests/test_backends.py
+++ b/wagtaildale/calls/tests/test_backend_connection.py
@@ -14,8 +14,8 @@
 
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.backend_pool import BackendPool
-from wagtaildale.calls.backends import BackendRequest
-from wagtaildale.calls.tests.hand_moved import HandMoved, is_readable
+from wagtaildale.calls.backend_connection import BackendRequest
+from wagtaildale.calls.tests.manual_loop import ManualLoop, is_readable
 from wagtaildale.testing.builders import build_recorder
 from wagtaildale.testing.mesh import BACKEND_PORT
 from wagtaildale.types import Outcome
@@ -53,14 +53,14 @@
     def on_failed(self, failure: CallFailed) -> None:
         self.failures.append(failure)
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Do nothing."""
 
     def is_told(self) -> bool:
         return bool(self.statuses or self.failures)
 
 
-class Bench(HandMoved):
+class Bench(ManualLoop):
     """A pool, its loop and the listening socket of the server."""
 
     def __init__(self) -> None:
@@ -79,7 +79,7 @@
         self.listener.close()
         self.loop.close()
 
-    def ask(self, *, body: bytes = b'x') -> Asker:
+    def send_request(self, *, body: bytes = b'x') -> Asker:
         asker = Asker()
         request = BackendRequest(
             request_id=b'',
@@ -91,18 +91,18 @@
             length=len(body),
             idempotent=False,
         )
-        self.pool.ask(request, asker)
+        self.pool.send_request(request, asker)
         return asker
 
     def accept(self) -> socket.socket:
-        self.move_until(lambda: is_readable(self.listener))
+        self.step_until(lambda: is_readable(self.listener))
         return self.listener.accept()[0]
 
     def answer(self, sock: socket.socket, asker: Asker, reply: bytes) -> None:
-        self.move_until(lambda: is_readable(sock))
+        self.step_until(lambda: is_readable(sock))
         sock.recv(65536)
         sock.sendall(reply)
-        self.move_until(asker.is_told)
+        self.step_until(asker.is_told)
 
 
 @pytest.fixture
@@ -126,14 +126,14 @@
     it was read, so it is given up. Now the connection is looked at before
     it is used again.
     """
-    first = bench.ask()
+    first = bench.send_request()
     kept = bench.accept()
     bench.answer(kept, first, ANSWER)
     if reset:
         kept.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     kept.close()
-    second = bench.ask()
-    bench.move_until(lambda: second.is_told() or is_readable(bench.listener))
+    second = bench.send_request()
+    bench.step_until(lambda: second.is_told() or is_readable(bench.listener))
     assert not second.failures
     with bench.accept() as sock:
         bench.answer(sock, second, ANSWER)
@@ -149,9 +149,9 @@
     booking was sent after that close and counted as one that may have run,
     though another server could have had it.
     """
-    asker = bench.ask()
+    asker = bench.send_request()
     bench.accept().close()
-    bench.move_until(asker.is_told)
+    bench.step_until(asker.is_told)
     assert [each.outcome for each in asker.failures] == [Outcome.not_run]
 
 
@@ -164,9 +164,9 @@
     rest of the body cannot be sent any more, and that must not throw away
     the answer that has come.
     """
-    asker = bench.ask(body=LONG_BODY)
+    asker = bench.send_request(body=LONG_BODY)
     with bench.accept() as sock:
-        bench.move_until(lambda: is_readable(sock))
+        bench.step_until(lambda: is_readable(sock))
         sock.sendall(LAST_ANSWER)
-    bench.move_until(asker.is_told)
+    bench.step_until(asker.is_told)
     assert asker.statuses == [200]
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -14,7 +14,7 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.callers import LOOK_SECONDS, CallerLimits, CallerPort
 from wagtaildale.calls.responses import ResponseHead
-from wagtaildale.calls.tests.hand_moved import HandMoved, is_readable
+from wagtaildale.calls.tests.manual_loop import ManualLoop, is_readable
 from wagtaildale.calls.tests.pairs import PATIENCE
 from wagtaildale.reactor.stream import LINGER_SECONDS
 from wagtaildale.timers.service import read_clock
@@ -36,7 +36,7 @@
 LONGEST_SECONDS: Final = max(LINGER_SECONDS, LOOK_SECONDS)
 
 
-class Bench(HandMoved):
+class Bench(ManualLoop):
     """A port whose requests are all answered at once with the same body."""
 
     def __init__(self, *, idle_seconds: float) -> None:
@@ -71,7 +71,7 @@
         """Send a request and let the port answer it."""
         wanted = self.answered + 1
         sock.sendall(request)
-        self.move_until(lambda: self.answered == wanted)
+        self.step_until(lambda: self.answered == wanted)
 
     def read(self, sock: socket.socket, *, size: int) -> bytes:
         """Read an answer, at most to the connection's end."""
@@ -86,7 +86,7 @@
 
     def await_bytes(self, sock: socket.socket) -> None:
         """Let the port work until the caller has something to read."""
-        self.move_until(lambda: is_readable(sock))
+        self.step_until(lambda: is_readable(sock))
 
     def let_time_pass(self) -> None:
         """Ring every alarm that is set, before any socket is looked at."""
@@ -139,8 +139,8 @@
         assert bench.port.busy == 1
         assert bench.port.open == 1
         bench.read(sock, size=len(LONG_BODY))
-        bench.move_until(lambda: not bench.port.busy)
-    bench.move_until(lambda: not bench.port.open)
+        bench.step_until(lambda: not bench.port.busy)
+    bench.step_until(lambda: not bench.port.open)
 
 
 def test_slow_reader_that_hangs_up_is_forgotten(bench: Bench) -> None:
@@ -148,7 +148,7 @@
     bench.body = LONG_BODY
     with bench.connect() as sock:
         bench.ask(sock, LAST_REQUEST)
-    bench.move_until(lambda: not bench.port.open)
+    bench.step_until(lambda: not bench.port.open)
     assert not bench.port.busy
 
 
@@ -166,7 +166,7 @@
         sock.sendall(REQUEST)
         bench.port.drain()
         bench.port.close_idle()
-        bench.move_until(lambda: bench.answered == 2)
+        bench.step_until(lambda: bench.answered == 2)
         assert b'connection: close' in bench.read(sock, size=READ_BYTES)
 
 
@@ -185,7 +185,7 @@
         bench.read(sock, size=1)
         sock.sendall(REQUEST)
         bench.let_time_pass()
-        bench.move_until(lambda: bench.answered == 2)
+        bench.step_until(lambda: bench.answered == 2)
 
 
 def test_request_behind_the_last_answer_is_not_begun(bench: Bench) -> None:
--- a/wagtaildale/calls/tests/test_contained.py
+++ b/wagtaildale/calls/tests/test_contained.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from wagtaildale.calls.tests.mortal import DEADLY, HARMLESS, MortalFleet
+from wagtaildale.calls.tests.crashing_servers import (
+    FATAL,
+    HARMLESS,
+    CrashingFleet,
+)
 from wagtaildale.calls.tests.pairs import wait_until
 
 if TYPE_CHECKING:
@@ -19,15 +23,15 @@
 ANSWERED: Final = b'HTTP/1.1 200'
 
 
-def visit(fleet: MortalFleet, path: str) -> list[bytes]:
+def visit(fleet: CrashingFleet, path: str) -> list[bytes]:
     return [fleet.ask(path, entry=number % ENTRIES) for number in range(VISITS)]
 
 
 @pytest.mark.parametrize('upstreams', [2, 3, 6])
 def test_request_takes_one_server_at_a_time(upstreams: int) -> None:
     """A request ends a server, and the next one while that is down."""
-    with MortalFleet(upstreams, entries=ENTRIES) as fleet:
-        visit(fleet, DEADLY)
+    with CrashingFleet(upstreams, entries=ENTRIES) as fleet:
+        visit(fleet, FATAL)
         assert fleet.ends == 1
         answers = visit(fleet, HARMLESS)
         assert all(answer.startswith(ANSWERED) for answer in answers)
@@ -35,8 +39,8 @@
 
 def test_each_of_several_requests_takes_one_server_at_a_time() -> None:
     """Two requests together end every server of a service."""
-    paths = (DEADLY, '/files/deadly-2')
-    with MortalFleet(6, entries=ENTRIES, deadly=paths) as fleet:
+    paths = (FATAL, '/files/deadly-2')
+    with CrashingFleet(6, entries=ENTRIES, fatal_paths=paths) as fleet:
         for path in (*paths, *paths):
             visit(fleet, path)
         assert fleet.ends == len(paths)
@@ -44,29 +48,29 @@
 
 def test_request_is_tried_again_where_a_server_ended() -> None:
     """A request is held back for good, though its server is up again."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
-        fleet.ask(DEADLY)
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
+        fleet.ask(FATAL)
         first = [each.has_ended for each in fleet.backends]
-        fleet.revive()
-        wait_until(lambda: bool(visit(fleet, DEADLY)) and fleet.ends == 2)
+        fleet.restart_ended()
+        wait_until(lambda: bool(visit(fleet, FATAL)) and fleet.ends == 2)
         assert [each.has_ended for each in fleet.backends] == first
 
 
 def test_many_at_once_reach_a_server_that_is_back_one_by_one() -> None:
     """Five callers wait for a server, and all of them reach it at once."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
-        fleet.ask(DEADLY)
-        fleet.revive()
-        before = fleet.count_arrivals(DEADLY)
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
+        fleet.ask(FATAL)
+        fleet.restart_ended()
+        before = fleet.count_arrivals(FATAL)
         with ThreadPoolExecutor(5) as callers:
             for number in range(5):
-                callers.submit(fleet.ask, DEADLY, entry=number % ENTRIES)
-        assert fleet.count_arrivals(DEADLY) <= before + 1
+                callers.submit(fleet.ask, FATAL, entry=number % ENTRIES)
+        assert fleet.count_arrivals(FATAL) <= before + 1
 
 
 def test_run_elsewhere_is_given_up_when_a_server_ends() -> None:
     """A request runs at two servers, ends one, and then the other one."""
-    with MortalFleet(2, entries=1) as fleet, ThreadPoolExecutor(2) as callers:
+    with CrashingFleet(2, entries=1) as fleet, ThreadPoolExecutor(2) as callers:
         for backend in fleet.backends:
             backend.released.clear()
         wait_until(lambda: all(is_connected(each, 1) for each in fleet.owners))
@@ -83,7 +87,7 @@
 
 def test_popular_lookup_beside_it_waits_for_nobody() -> None:
     """A lookup that all callers send ran on the server that ended."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
         visit(fleet, POPULAR)
         fleet.end_one(POPULAR)
         answers = visit(fleet, POPULAR)
@@ -92,24 +96,25 @@
 
 def test_server_that_ended_is_not_asked_until_it_is_back() -> None:
     """Each entry finds out anew, every half second, that a server is down."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
         wait_until(lambda: all(is_connected(each) for each in fleet.owners))
-        fleet.ask(DEADLY)
+        fleet.ask(FATAL)
         down = next(
             owner
             for owner, each in zip(fleet.owners, fleet.backends, strict=True)
             if each.has_ended
         )
         wait_until(lambda: all(knows_of_down(each) for each in fleet.entries))
-        before = down.owner.pool.opened
+        before = down.owner.pool.opened_count
         for _time in range(5):
             answers = visit(fleet, HARMLESS)
             assert all(answer.startswith(ANSWERED) for answer in answers)
-        assert down.owner.pool.opened == before
-        fleet.revive()
+        assert down.owner.pool.opened_count == before
+        fleet.restart_ended()
         wait_until(
             lambda: (
-                bool(visit(fleet, HARMLESS)) and down.owner.pool.opened > before
+                bool(visit(fleet, HARMLESS))
+                and down.owner.pool.opened_count > before
             ),
         )
 
--- a/wagtaildale/calls/tests/test_mortal.py
+++ b/wagtaildale/calls/tests/test_crashing_servers.py
@@ -8,7 +8,11 @@
 import pytest
 from msgspec import structs
 
-from wagtaildale.calls.tests.mortal import DEADLY, HARMLESS, MortalFleet
+from wagtaildale.calls.tests.crashing_servers import (
+    FATAL,
+    HARMLESS,
+    CrashingFleet,
+)
 from wagtaildale.calls.tests.pairs import wait_until
 from wagtaildale.suspects import records
 from wagtaildale.telemetry.events import EventKind
@@ -31,12 +35,12 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[MortalFleet]:
-    with MortalFleet(UPSTREAMS, entries=ENTRIES) as made:
+def fleet() -> Iterator[CrashingFleet]:
+    with CrashingFleet(UPSTREAMS, entries=ENTRIES) as made:
         yield made
 
 
-def list_kinds(fleet: MortalFleet) -> set[EventKind]:
+def list_kinds(fleet: CrashingFleet) -> set[EventKind]:
     return {
         event.kind
         for node in fleet.nodes
@@ -44,75 +48,77 @@
     }
 
 
-def end_servers(fleet: MortalFleet, count: int) -> None:
+def end_servers(fleet: CrashingFleet, count: int) -> None:
     while fleet.ends < count:
-        fleet.ask(DEADLY)
-        fleet.revive()
+        fleet.ask(FATAL)
+        fleet.restart_ended()
 
 
 def test_request_that_ends_servers_is_not_sent_on_for_ever(
-    fleet: MortalFleet,
+    fleet: CrashingFleet,
 ) -> None:
     """A caller ends every server of a service again and again."""
     end_servers(fleet, ENDS_BORNE)
-    before = fleet.count_arrivals(DEADLY)
+    before = fleet.count_arrivals(FATAL)
     for _time in range(COMES_AGAIN):
-        fleet.ask(DEADLY)
-        fleet.revive()
-    assert fleet.count_arrivals(DEADLY) - before <= RETRIES_BORNE
+        fleet.ask(FATAL)
+        fleet.restart_ended()
+    assert fleet.count_arrivals(FATAL) - before <= RETRIES_BORNE
     assert fleet.ask(HARMLESS).startswith(ANSWERED)
 
 
 def test_request_that_rests_no_more_ends_two_servers_at_most(
-    fleet: MortalFleet,
+    fleet: CrashingFleet,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that ends servers is tried anew with each visit."""
     monkeypatch.setattr(records, 'RESTS_SECONDS', NO_REST)
     end_servers(fleet, ENDS_BORNE)
     for time in range(COMES_AGAIN):
-        fleet.ask(DEADLY, entry=time % ENTRIES)
-        fleet.revive()
+        fleet.ask(FATAL, entry=time % ENTRIES)
+        fleet.restart_ended()
     assert fleet.ends <= ENDS_BORNE + len(NO_REST)
 
 
 @pytest.mark.parametrize('method', ['GET', 'POST'])
 def test_caller_of_a_harmful_request_is_told_to_wait(
-    fleet: MortalFleet,
+    fleet: CrashingFleet,
     method: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A refusal says at once that nothing ran, and not to come at once."""
     monkeypatch.setattr(records, 'RESTS_SECONDS', LONG_REST)
-    path = DEADLY if method == 'GET' else '/bookings'
-    fleet.change_deadly(path)
+    path = FATAL if method == 'GET' else '/bookings'
+    fleet.set_fatal_paths(path)
     for backend in fleet.backends:
         backend.end()
-    fleet.revive()
+    fleet.restart_ended()
     while not fleet.suspects.table.list_grave():
         assert fleet.ask(path, method=method).startswith(MAY_HAVE_RUN)
-        fleet.revive()
+        fleet.restart_ended()
     fleet.ask(path, method=method)
-    fleet.revive()
+    fleet.restart_ended()
     answer = fleet.ask(path, method=method)
     assert answer.startswith(NOT_RUN)
     assert b'"code":4026' in answer
     assert b'retry-after: 60.000' in answer
 
 
-def test_word_of_a_server_that_ended_is_in_the_log(fleet: MortalFleet) -> None:
+def test_word_of_a_server_that_ended_is_in_the_log(
+    fleet: CrashingFleet,
+) -> None:
     """Operators see ten failed runs, and not that a server ended."""
-    fleet.ask(DEADLY)
+    fleet.ask(FATAL)
     assert EventKind.server_ended in list_kinds(fleet)
 
 
 def test_nobody_is_turned_away_when_all_servers_end_at_once(
-    fleet: MortalFleet,
+    fleet: CrashingFleet,
 ) -> None:
     """A popular lookup is refused since many servers that ran it ended."""
-    fleet.change_deadly()
+    fleet.set_fatal_paths()
     fleet.end_all(POPULAR, requests=2 * UPSTREAMS)
-    fleet.revive()
+    fleet.restart_ended()
     assert fleet.suspects.table.records
     answers = [
         fleet.ask(POPULAR, entry=time % ENTRIES)
@@ -122,18 +128,18 @@
 
 
 def test_nobody_is_turned_away_when_servers_end_again_and_again(
-    fleet: MortalFleet,
+    fleet: CrashingFleet,
 ) -> None:
     """A popular lookup is refused for servers that end every other moment."""
-    fleet.change_deadly()
+    fleet.set_fatal_paths()
     for _time in range(2 * ENDS_BORNE):
         fleet.end_all(POPULAR, requests=UPSTREAMS)
-        fleet.revive()
+        fleet.restart_ended()
         assert fleet.ask(POPULAR).startswith(ANSWERED)
 
 
 def test_request_beside_one_that_ends_servers_comes_back(
-    fleet: MortalFleet,
+    fleet: CrashingFleet,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An innocent request is turned away for good.
@@ -141,18 +147,18 @@
     It was running each time that a server ended.
     """
     monkeypatch.setattr(records, 'RESTS_SECONDS', NO_REST)
-    fleet.change_deadly()
+    fleet.set_fatal_paths()
     while not fleet.suspects.table.list_grave():
         fleet.end_all(POPULAR, requests=1)
-        fleet.revive()
+        fleet.restart_ended()
     fleet.end_all(POPULAR, requests=1)
-    fleet.revive()
+    fleet.restart_ended()
     assert fleet.ask(POPULAR).startswith(ANSWERED)
     wait_until(lambda: not fleet.suspects.table.list_grave())
     assert EventKind.server_ended in list_kinds(fleet)
 
 
-def test_server_that_leaves_ends_under_nobody(fleet: MortalFleet) -> None:
+def test_server_that_leaves_ends_under_nobody(fleet: CrashingFleet) -> None:
     """A request is blamed for a planned end of its server."""
     leaving = [
         structs.replace(record, state=ListedState.leaving)
@@ -162,5 +168,5 @@
         owner.show(*leaving)
     for entry in fleet.entries:
         entry.show(*fleet.records)
-    fleet.ask(DEADLY)
+    fleet.ask(FATAL)
     assert not fleet.suspects.table.records
--- a/wagtaildale/calls/tests/test_limited.py
+++ b/wagtaildale/calls/tests/test_rate_limits.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from wagtaildale.calls.tests.limited import NamingFleet
+from wagtaildale.calls.tests.feedback_servers import FeedbackFleet
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from wagtaildale.calls.tests.limited import NamingBackend
+    from wagtaildale.calls.tests.feedback_servers import FeedbackBackend
 
 ENTRIES: Final = 3
 UPSTREAMS: Final = 3
@@ -25,23 +25,23 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[NamingFleet]:
-    with NamingFleet(UPSTREAMS, entries=ENTRIES) as made:
+def fleet() -> Iterator[FeedbackFleet]:
+    with FeedbackFleet(UPSTREAMS, entries=ENTRIES) as made:
         yield made
 
 
-def visit(fleet: NamingFleet, times: int = VISITS) -> list[bytes]:
+def visit(fleet: FeedbackFleet, times: int = VISITS) -> list[bytes]:
     return [fleet.ask(PATH, entry=time % ENTRIES) for time in range(times)]
 
 
-def assert_kept(backend: NamingBackend, *, since: float) -> None:
+def assert_kept(backend: FeedbackBackend, *, since: float) -> None:
     late = [at for at in backend.arrivals if at > since]
     seconds = time.monotonic() - since
     assert len(late) <= ALLOWED_SHARE * LIMIT * seconds + ALLOWED_MORE
 
 
 def test_server_gets_no_more_than_the_rate_that_it_names(
-    fleet: NamingFleet,
+    fleet: FeedbackFleet,
 ) -> None:
     """A server in need names a limit, and gets as many as before."""
     limited = fleet.backends[0]
@@ -53,7 +53,9 @@
     assert all(answer.startswith(b'HTTP/1.1 200') for answer in answers)
 
 
-def test_rate_is_kept_after_a_restart_of_the_owner(fleet: NamingFleet) -> None:
+def test_rate_is_kept_after_a_restart_of_the_owner(
+    fleet: FeedbackFleet,
+) -> None:
     """An owner that has just started lets everything through to a server."""
     limited = fleet.backends[0]
     limited.name_limit(LIMIT)
@@ -65,7 +67,7 @@
 
 
 def test_callers_of_a_limited_service_are_refused_at_once(
-    fleet: NamingFleet,
+    fleet: FeedbackFleet,
 ) -> None:
     """Every server of a service names a limit."""
     for backend in fleet.backends:
--- a/wagtaildale/calls/tests/test_replaced.py
+++ b/wagtaildale/calls/tests/test_replaced_servers.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.calls import server_identity
 from wagtaildale.calls.tests.pairs import wait_until
-from wagtaildale.calls.tests.replaced import ReplacedFleet
+from wagtaildale.calls.tests.replaced_servers import ReplacedFleet
 from wagtaildale.settings.model import RETRY_SHARE, RETRY_SLACK
 from wagtaildale.telemetry.events import EventKind
 
--- a/wagtaildale/calls/tests/test_server_ends.py
+++ b/wagtaildale/calls/tests/test_server_end_detector.py
@@ -6,7 +6,10 @@
 
 import pytest
 
-from wagtaildale.calls.server_ends import CutRun, ServerEnds
+from wagtaildale.calls.server_end_detector import (
+    InterruptedRun,
+    ServerEndDetector,
+)
 from wagtaildale.suspects.answered import AnsweredLately
 from wagtaildale.suspects.tests.builders import build_fingerprint
 from wagtaildale.telemetry.events import EventKind
@@ -38,7 +41,7 @@
         self.loop = self
         self._stands = stands
 
-    def has_standing(self) -> bool:
+    def has_open_connection(self) -> bool:
         return self._stands
 
 
@@ -50,23 +53,23 @@
         self.recorder = build_recorder()
         self.answered = AnsweredLately()
         self.told: list[int] = []
-        self.ends = ServerEnds(
+        self.ends = ServerEndDetector(
             self.suspects.make_board(),
             node=InstanceId('n-1'),
             answered=self.answered,
             recorder=self.recorder,
         )
 
-    def cut(self, *, ends: int = 0, is_leaving: bool = False) -> CutRun:
-        return CutRun(
+    def cut(self, *, ends: int = 0, is_leaving: bool = False) -> InterruptedRun:
+        return InterruptedRun(
             instance=InstanceId('i-1'),
             fingerprint=FINGERPRINT,
             ends=ends,
             is_leaving=is_leaving,
-            conclude=self.told.append,
+            on_resolved=self.told.append,
         )
 
-    def hold(self, *cuts: CutRun, stands: bool) -> FakePool:
+    def hold(self, *cuts: InterruptedRun, stands: bool) -> FakePool:
         pool = FakePool(stands=stands)
         for cut in cuts:
             self.ends.hold(cut, pool=pool)  # type: ignore[arg-type]
@@ -90,7 +93,7 @@
 def test_run_that_knew_of_most_ends_counts(judged: Judged) -> None:
     """Two runs of a request end with a server, one begun before word came."""
     judged.hold(judged.cut(ends=1), judged.cut(), stands=False)
-    judged.ends.conclude(has_ended=True)
+    judged.ends.resolve(has_ended=True)
     assert judged.told == [2, 1]
     assert judged.suspects.table.records[FINGERPRINT].ends == 2
     assert judged.ends.count == 1
@@ -98,14 +101,14 @@
 
 def test_server_that_was_to_end_blames_nobody(judged: Judged) -> None:
     judged.hold(judged.cut(is_leaving=True), stands=False)
-    judged.ends.conclude(has_ended=True)
+    judged.ends.resolve(has_ended=True)
     assert judged.told == [0]
     assert not judged.ends.count
 
 
 def test_end_is_one_line_of_the_log(judged: Judged) -> None:
     judged.hold(judged.cut(), judged.cut(), stands=False)
-    judged.ends.conclude(has_ended=True)
+    judged.ends.resolve(has_ended=True)
     events = judged.recorder.read_since(0)
     assert [event.kind for event in events] == [EventKind.server_ended]
     assert events[0].detail == FINGERPRINT.hex()
--- a/wagtaildale/calls/tests/test_server_words.py
+++ b/wagtaildale/calls/tests/test_server_feedback.py
@@ -7,7 +7,11 @@
 import pytest
 
 from wagtaildale.calls.parsing import MessageParser
-from wagtaildale.calls.server_words import ServerWord, ServerWords, read_word
+from wagtaildale.calls.server_feedback import (
+    ServerFeedback,
+    FeedbackTracker,
+    parse_feedback,
+)
 from wagtaildale.errors.codes import Code
 from wagtaildale.platform.dialect import PLATFORM_DIALECT
 from wagtaildale.telemetry.events import EventKind
@@ -28,26 +32,26 @@
     return message
 
 
-def read(extra: bytes) -> ServerWord:
-    return read_word(build_response(extra), PLATFORM_DIALECT)
+def parse(extra: bytes) -> ServerFeedback:
+    return parse_feedback(build_response(extra), PLATFORM_DIALECT)
 
 
 @pytest.mark.parametrize(
     ('extra', 'expected'),
     [
-        (b'', ServerWord()),
-        (b'Server-Limit: 19.1\r\n', ServerWord(per_second=19.1)),
-        (b'Server-Limit: 5\r\n', ServerWord(per_second=5)),
-        (b'Server-Limit: 0\r\n', ServerWord(per_second=0)),
-        (b'Server-Leaving: 1\r\n', ServerWord(is_leaving=True)),
+        (b'', ServerFeedback()),
+        (b'Server-Limit: 19.1\r\n', ServerFeedback(per_second=19.1)),
+        (b'Server-Limit: 5\r\n', ServerFeedback(per_second=5)),
+        (b'Server-Limit: 0\r\n', ServerFeedback(per_second=0)),
+        (b'Server-Leaving: 1\r\n', ServerFeedback(is_leaving=True)),
         (
             b'Server-Limit: 2.3\r\nServer-Leaving: 1\r\n',
-            ServerWord(per_second=2.3, is_leaving=True),
+            ServerFeedback(per_second=2.3, is_leaving=True),
         ),
     ],
 )
-def test_word_is_read(extra: bytes, expected: ServerWord) -> None:
-    assert read(extra) == expected
+def test_word_is_read(extra: bytes, expected: ServerFeedback) -> None:
+    assert parse(extra) == expected
 
 
 @pytest.mark.parametrize(
@@ -56,22 +60,24 @@
 )
 def test_limit_that_is_no_number_is_refused(text: bytes) -> None:
     """A server names nonsense, and its owner sends nothing, or everything."""
-    assert read(b'Server-Limit: %b\r\n' % text) == ServerWord(unreadable=text)
+    assert parse(b'Server-Limit: %b\r\n' % text) == ServerFeedback(
+        malformed=text
+    )
 
 
 def test_changes_are_in_the_log() -> None:
     """Operators cannot see that a server names a limit."""
     recorder = build_recorder()
-    words = ServerWords(build_gate(), recorder=recorder)
-    said = (
-        ServerWord(per_second=2.5),
-        ServerWord(per_second=2.5),
-        ServerWord(unreadable=b'x'),
-        ServerWord(per_second=3),
-        ServerWord(),
+    tracker = FeedbackTracker(build_gate(), recorder=recorder)
+    received = (
+        ServerFeedback(per_second=2.5),
+        ServerFeedback(per_second=2.5),
+        ServerFeedback(malformed=b'x'),
+        ServerFeedback(per_second=3),
+        ServerFeedback(),
     )
-    for begun_at, word in enumerate(said):
-        words.take(word, instance=SERVER, begun_at=begun_at)
+    for begun_at, feedback in enumerate(received):
+        tracker.apply(feedback, instance=SERVER, begun_at=begun_at)
     events = recorder.read_since(0)
     assert [event.kind for event in events] == [
         EventKind.server_limited,
--- a/wagtaildale/calls/tests/test_server_leaving.py
+++ b/wagtaildale/calls/tests/test_server_leaving.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec import structs
 
-from wagtaildale.calls.tests.limited import NamingFleet
+from wagtaildale.calls.tests.feedback_servers import FeedbackFleet
 from wagtaildale.calls.tests.pairs import wait_until
 
 if TYPE_CHECKING:
@@ -23,22 +23,22 @@
 
 
 @pytest.fixture
-def fleet() -> Iterator[NamingFleet]:
-    with NamingFleet(UPSTREAMS, entries=ENTRIES) as made:
+def fleet() -> Iterator[FeedbackFleet]:
+    with FeedbackFleet(UPSTREAMS, entries=ENTRIES) as made:
         yield made
 
 
-def visit(fleet: NamingFleet, *, entry: int = 0) -> list[bytes]:
+def visit(fleet: FeedbackFleet, *, entry: int = 0) -> list[bytes]:
     return [fleet.ask(PATH, entry=entry) for _time in range(VISITS)]
 
 
-def hear_leaving(fleet: NamingFleet) -> None:
+def hear_leaving(fleet: FeedbackFleet) -> None:
     """Let the first server leave, and its first entry pass that on."""
     fleet.backends[0].says = LEAVES
     wait_until(lambda: LEAVES in fleet.ask(PATH))
 
 
-def test_server_that_says_it_leaves_gets_no_more(fleet: NamingFleet) -> None:
+def test_server_that_says_it_leaves_gets_no_more(fleet: FeedbackFleet) -> None:
     """A server that is listed as ready has said that it leaves."""
     hear_leaving(fleet)
     before = len(fleet.backends[0].arrivals)
@@ -48,7 +48,7 @@
     assert len(fleet.backends[0].arrivals) == before
 
 
-def test_entry_remembers_when_the_owner_does_not(fleet: NamingFleet) -> None:
+def test_entry_remembers_when_the_owner_does_not(fleet: FeedbackFleet) -> None:
     """The process beside a leaving server starts anew and knows nothing."""
     hear_leaving(fleet)
     fleet.restart_owner(0)
@@ -59,7 +59,7 @@
 
 
 def test_callers_are_refused_where_all_servers_leave(
-    fleet: NamingFleet,
+    fleet: FeedbackFleet,
 ) -> None:
     """With no other left, requests go to servers that are about to end."""
     for backend in fleet.backends:
@@ -71,7 +71,7 @@
     assert sum(len(each.arrivals) for each in fleet.backends) == before
 
 
-def test_server_that_starts_again_is_used_again(fleet: NamingFleet) -> None:
+def test_server_that_starts_again_is_used_again(fleet: FeedbackFleet) -> None:
     """A server keeps its id when it starts again, and is left out for good."""
     hear_leaving(fleet)
     for other in fleet.backends:
--- a/wagtaildale/calls/tests/test_server_targets.py
+++ b/wagtaildale/calls/tests/test_server_targets.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.server_targets import ServerTargets
-from wagtaildale.calls.server_words import ServerWords
+from wagtaildale.calls.server_feedback import FeedbackTracker
 from wagtaildale.calls.tests.pairs import build_run
 from wagtaildale.errors.codes import Code
 from wagtaildale.testing.builders import (
@@ -38,10 +38,10 @@
         service,
         find_record=records.get,
         recorder=recorder,
-        words=ServerWords(build_gate(), recorder=recorder),
+        feedback=FeedbackTracker(build_gate(), recorder=recorder),
     )
     targets.note_denied(EARLIER)
-    targets.note_named(LATER)
+    targets.note_identified(LATER)
     return targets
 
 
@@ -57,7 +57,7 @@
     fields = build_run(instance=EARLIER).fields
     targets = build_targets()
     targets.check(fields)
-    assert targets.name(fields) == LATER
+    assert targets.resolve_target(fields) == LATER
 
 
 def test_server_of_another_service_does_not_get_the_request() -> None:
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -11,7 +11,7 @@
 
 from standins.hosted import HostedBackend
 from wagtaildale.calls.peers import REFUSED
-from wagtaildale.calls.tests.owners import BODY, SilentOwner
+from wagtaildale.calls.tests.scripted_owners import BODY, SilentOwner
 from wagtaildale.calls.tests.pairs import PATIENCE, Pair, read_code, wait_until
 from wagtaildale.errors.codes import Code
 from wagtaildale.lifecycle.stop import Stop
--- a/wagtaildale/calls/tests/test_condition.py
+++ b/wagtaildale/calls/tests/test_slow_servers.py
@@ -26,7 +26,7 @@
 def turn(pair: Pair, ratio: float) -> None:
     owner = pair.far.owner
     owner.gate.state.condition.ratio = ratio
-    pair.far.calls.loop.submit(owner.teller.tell_changes).result()
+    pair.far.calls.loop.submit(owner.load_notifier.notify_changes).result()
 
 
 def test_entry_hears_that_a_server_turns_slow_and_well_again(
--- a/wagtaildale/calls/trials.py
+++ b/wagtaildale/calls/trials.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.server_ends import ServerEnds
+from wagtaildale.calls.server_end_detector import ServerEndDetector
 from wagtaildale.calls.turns import Turns
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.trials import list_places
@@ -72,7 +72,7 @@
         self._node = node
         self._dialect = dialect
         self.answered = AnsweredLately()
-        self.ends = ServerEnds(
+        self.ends = ServerEndDetector(
             board,
             node=node,
             answered=self.answered,
