--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -1,9 +1,9 @@
 """Connections to the backend server beside this node.
 
-One request runs on a connection at a time. Bytes that come when nothing is
-asked, or behind a whole response, belong to no request: the connection is
-closed. A response that names another request is thrown away and the right
-one waited for.
+A connection carries one request at a time. Bytes that arrive while no
+request is pending, or after a complete response, belong to no request, so
+the connection is closed. A response that names another request is discarded
+and the connection keeps waiting for the right one.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
     from wagtaildale.calls.parsing import Header
 
 MAX_HEAD_BYTES: Final = 65_536
-# The backend server is on the same machine: an open connection takes a
-# round trip on loopback, and one that takes this long is not coming.
+# The backend server is on the same machine, so connecting takes one round
+# trip on loopback; a connection still pending after this time will not open.
 CONNECT_TIMEOUT_SECONDS: Final = 0.4
-# How long an idle connection is kept if the server does not say.
-IDLE_SECONDS: Final = 4.0
-# Before the time that the server says, so that a request does not cross
-# its close.
+# Idle time of a connection whose server sends no Keep-Alive timeout.
+DEFAULT_IDLE_SECONDS: Final = 4.0
+# Subtracted from the server's Keep-Alive timeout, so that no request is sent
+# while the server closes the connection.
 IDLE_MARGIN_SECONDS: Final = 1.0
 FIRST_FINAL_STATUS: Final = 200
 KEEP_ALIVE: Final = b'keep-alive'
@@ -50,17 +50,18 @@
 
 
 class BackendRequest(Struct, frozen=True, kw_only=True):
-    """A request as it goes to the backend server.
+    """A request as it is sent to the backend server.
 
     Attributes:
-        request_id: that the response must name; empty if servers do not.
+        request_id: id that the response must echo; empty if backend servers
+            do not echo it.
         method: HTTP method.
         target: path and query.
-        headers: all but the body's framing.
-        body: all of it, or its beginning.
-        more: whether pieces follow.
-        length: of the body where it was announced, else -1.
-        idempotent: whether running it twice does no harm.
+        headers: header fields without those that frame the body.
+        body: the whole body, or its first piece.
+        more: whether further pieces of the body follow.
+        length: announced length of the body in bytes, or -1.
+        idempotent: whether the request may safely run twice.
     """
 
     request_id: bytes
@@ -74,44 +75,45 @@
 
 
 class BackendReceiver(Protocol):
-    """Whoever asked the backend server."""
+    """Receiver of the response to one request."""
 
     def on_head(self, message: Message) -> None:
-        """Take the head of the response.
+        """Handle the head of the response.
 
         Args:
-            message: its body is taken from it as it comes.
+            message: the response; its body is read from it as it arrives.
         """
 
     def on_body(self) -> None:
-        """Learn that more of the body is here, or its end."""
+        """Handle further bytes of the body, or its end."""
 
     def on_failed(self, failure: CallFailed) -> None:
-        """Learn that no response comes, or not all of it.
+        """Handle a missing or incomplete response.
 
         Args:
-            failure: with outcome ``not_run`` if nothing was sent.
+            failure: the cause, with outcome ``not_run`` if nothing was sent.
         """
 
     def on_writable(self) -> None:
-        """Learn that the server has taken what was sent of the body."""
+        """Continue after the server has read the body sent so far."""
 
 
 class BackendConnection:
-    """One connection; a ``StreamReceiver``."""
+    """One connection to the backend server; a ``StreamReceiver``."""
 
     def __init__(self, pool: BackendPool, address: Address) -> None:
-        """Begin to open it.
+        """Start connecting.
 
         Args:
-            pool: takes it back when idle.
-            address: of the backend server.
+            pool: pool that the connection returns to when idle.
+            address: address of the backend server.
         """
         self.idle_until = float(0)
         self.used_at = read_clock()
         self._pool = pool
         self._parser = MessageParser(
-            of_requests=False, head_bytes=MAX_HEAD_BYTES
+            of_requests=False,
+            head_bytes=MAX_HEAD_BYTES,
         )
         self._request: BackendRequest | None = None
         self._receiver: BackendReceiver | None = None
@@ -126,43 +128,45 @@
         )
         self._connect_alarm = pool.loop.alarms.set(
             CONNECT_TIMEOUT_SECONDS,
-            self._give_up_connecting,
+            self._on_connect_timeout,
         )
 
     @property
     def is_full(self) -> bool:
-        """Whether the server has yet to take what was sent."""
+        """Whether sent bytes still wait in the send buffer."""
         return self._stream.is_full
 
     @property
     def is_quiet(self) -> bool:
-        """Whether the server has neither closed nor sent anything unasked."""
+        """Whether the server has neither closed nor sent unexpected bytes."""
         return glance(self._stream) is Glance.nothing
 
     @property
     def is_established(self) -> bool:
-        """Whether it is open at both ends."""
+        """Whether the connection is open at both ends."""
         return self._is_open and self.is_quiet
 
     def send_request(
-        self, request: BackendRequest, receiver: BackendReceiver
+        self,
+        request: BackendRequest,
+        receiver: BackendReceiver,
     ) -> None:
         """Send a request.
 
         Args:
-            request: what to send.
-            receiver: gets the response.
+            request: request to send.
+            receiver: receiver of the response.
         """
         self._request = request
         self._receiver = receiver
         self._stream.send(self._write_request(request))
 
-    def add(self, piece: bytes, *, more: bool) -> None:
-        """Send more of the request's body.
+    def send_piece(self, piece: bytes, *, more: bool) -> None:
+        """Send another piece of the request's body.
 
         Args:
-            piece: may be empty where only the end is told.
-            more: whether pieces follow.
+            piece: bytes of the body; may be empty if it only marks the end.
+            more: whether further pieces follow.
         """
         if self._chunked:
             piece = write_chunk(piece) if piece else b''
@@ -170,7 +174,7 @@
         self._stream.send(piece)
 
     def read_more(self, *, wanted: bool) -> None:
-        """Read on, or leave what comes with the server for now.
+        """Resume or pause reading of the response.
 
         Args:
             wanted: whether to read.
@@ -181,29 +185,33 @@
             self._stream.pause()
 
     def close(self) -> None:
-        """Close at once: the server drops the request that runs on it."""
+        """Close at once, which makes the server drop the running request."""
         self._connect_alarm.cancel()
         self._receiver = None
         self._stream.close()
         self._pool.discard(self)
 
     def on_open(self) -> None:
-        """Learn that the connection stands; the request goes out now."""
+        """Let the request go out on the connection, which is open now."""
         if not self.is_quiet:
-            # Failure: a leaving server takes the connection and closes it,
-            # and a request sent after that counts as one that may have run.
-            # It has not left this process: another server may have it.
-            self._fail(Code.backend_unreachable, 'closed unasked')
+            # A leaving server accepts the connection and closes it at once.
+            # If the request were sent after that, it would count as one that
+            # may have run. It has not left this process, so it fails as not
+            # run and can go to another server.
+            self._fail(
+                Code.backend_unreachable,
+                'connection closed, or unexpected bytes, before the request',
+            )
             return
         self._is_open = True
         self._connect_alarm.cancel()
         self._pool.watch.note_up()
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take bytes of a response.
+        """Parse bytes of a response.
 
         Args:
-            chunk: as read.
+            chunk: bytes as read from the socket.
         """
         if self._receiver is None:
             self.close()
@@ -213,43 +221,46 @@
         except CallFailed as failure:
             self._fail(Code.backend_cut, failure.detail)
             return
-        self._take_messages()
+        self._process_messages()
 
     def on_end(self) -> None:
-        """Learn that the server sends no more."""
+        """Handle the end of the stream from the server."""
         message = self._message
-        unframed = (
+        is_close_delimited = (
             message is not None
             and message.length == UNKNOWN_LENGTH
             and not message.is_chunked
         )
-        if self._receiver is None or message is None or not unframed:
-            self._fail(Code.backend_cut, 'closed')
+        if self._receiver is None or message is None or not is_close_delimited:
+            self._fail(
+                Code.backend_cut,
+                'connection closed before the end of the response',
+            )
             return
-        # Such a body ends where the connection does.
+        # Without a length or chunks, the body ends with the connection.
         message.is_complete = True
         message.keep_alive = False
         self._finish()
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the connection is gone.
+        """Handle the loss of the connection.
 
         Args:
-            error: why.
+            error: cause of the loss.
         """
         if not self._is_open and error.errno == errno.ECONNREFUSED:
             self._pool.watch.note_down()
         self._fail(Code.backend_cut, str(error))
 
     def on_drained(self) -> None:
-        """Learn that the server has taken what was sent."""
+        """Notify the receiver that the send buffer is empty."""
         if self._receiver is not None:
             self._receiver.on_writable()
 
-    def _give_up_connecting(self) -> None:
-        self._fail(Code.backend_unreachable, 'connecting took too long')
+    def _on_connect_timeout(self) -> None:
+        self._fail(Code.backend_unreachable, 'timed out connecting')
 
-    def _take_messages(self) -> None:
+    def _process_messages(self) -> None:
         message = self._parser.peek()
         while message is not None and self._message is None:
             if self._accept(message):
@@ -267,8 +278,9 @@
             self._receiver.on_body()
 
     def _accept(self, message: Message) -> bool:
-        # Failure: a response comes twice, the second one late, and the next
-        # request on the connection gets an answer that is not its own.
+        # Discards a response that names another request. When a response
+        # arrives twice, the late copy would otherwise answer the next request
+        # on the connection.
         request = self._request
         assert request is not None
         assert self._receiver is not None
@@ -277,11 +289,11 @@
         echoed = message.find(self._pool.request_id_field)
         if request.request_id and echoed != request.request_id:
             self._stray = message
-            self._pool.note_stray()
+            self._pool.on_stray_response()
             return False
         self._message = message
         if request.method == b'HEAD' or message.status in BODILESS:
-            # The parser would wait for a body that does not come.
+            # These responses have no body, but the parser waits for one.
             message.is_complete = True
             message.keep_alive = False
         self._receiver.on_head(message)
@@ -297,13 +309,13 @@
         self._parser.drop()
         request = self._request
         assert request is not None
-        # A connection that has given a stray response, or has not taken all
-        # of a request, is not used again: what comes next on it is unsure.
+        # A connection that has delivered a stray response, or has not sent a
+        # whole request, is not reused: what follows on it is undefined.
         is_in_sync = self._stray is None and not self._parser.has_more()
         is_fully_sent = not request.more and not self._stream.unsent
         if message.keep_alive and is_in_sync and is_fully_sent:
             self.used_at = read_clock()
-            self.idle_until = self.used_at + _find_idle_seconds(message)
+            self.idle_until = self.used_at + _read_idle_seconds(message)
             self._pool.release(self)
         else:
             self.close()
@@ -344,11 +356,11 @@
         return head + body
 
 
-def _find_idle_seconds(message: Message) -> float:
+def _read_idle_seconds(message: Message) -> float:
     keep_alive = message.find(KEEP_ALIVE) or b''
     start = keep_alive.find(TIMEOUT_PREFIX)
     if start < 0:
-        return IDLE_SECONDS
+        return DEFAULT_IDLE_SECONDS
     digits = keep_alive[start + len(TIMEOUT_PREFIX) :].split(b',')[0].strip()
     seconds = int(digits) if digits.isdigit() else 0
     return max(0, seconds - IDLE_MARGIN_SECONDS)
--- a/wagtaildale/calls/backend_messages.py
+++ b/wagtaildale/calls/backend_messages.py
@@ -1,4 +1,4 @@
-"""What an owner says to its backend server, and what it hears."""
+"""Requests to the backend server and its responses."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class BackendResponse:
-    """A response as far as it has come and gone on.
+    """A response that is being received and forwarded to the entry.
 
     Attributes:
-        message: as it is read.
-        buffer: what of its body has come and not gone on.
-        is_started: whether its head has gone on.
-        window: what the entry lets pass.
+        message: the response as parsed so far.
+        buffer: bytes of the body that are received but not forwarded yet.
+        is_started: whether the head was forwarded.
+        window: flow-control window granted by the entry.
     """
 
     def __init__(self, message: Message) -> None:
-        """Begin with the head.
+        """Create the response once its head is received.
 
         Args:
-            message: its body is taken from it as it comes.
+            message: the response; its body is read from it as it arrives.
         """
         self.message = message
         self.buffer = bytearray()
@@ -40,10 +40,10 @@
         self.window = SendWindow()
 
     def drain_buffer(self) -> bytes:
-        """Take what is held to pass it on.
+        """Empty the buffer and count its bytes against the window.
 
         Returns:
-            The bytes, perhaps none.
+            The buffered bytes; may be empty.
         """
         drained = bytes(self.buffer)
         self.buffer.clear()
@@ -52,14 +52,15 @@
 
 
 def find_refusal(owner: Owner, message: Message) -> bytes | None:
-    """Find the backend server's word that it has not run a request.
+    """Find the header by which a backend server reports a request not run.
 
     Args:
-        owner: of the backend server.
-        message: its response.
+        owner: owner of the backend server.
+        message: response of the server.
 
     Returns:
-        What it said, or nothing: then the request may have run.
+        Value of the header, or its name for a misdirected request; None if
+        the request may have run.
     """
     field = owner.dialect.not_run
     if field is None:
@@ -76,13 +77,13 @@
     deadline: float,
     instance: InstanceId,
 ) -> BackendRequest:
-    """Build a request as it goes to the backend server.
+    """Build the HTTP request for the backend server.
 
     Args:
-        owner: of the backend server.
-        run: the request as its entry sent it.
-        deadline: when nobody waits any more, seconds on the clock.
-        instance: that is to run it.
+        owner: owner of the backend server.
+        run: run message as the entry sent it.
+        deadline: time at which the caller gives up, in seconds on the clock.
+        instance: instance that should run the request.
 
     Returns:
         The request.
@@ -110,7 +111,7 @@
     deadline: float,
     instance: InstanceId,
 ) -> HeaderPairs:
-    """Write what a backend server is told, and copies onto its own calls."""
+    """Build the header fields that a server copies to its own calls."""
     dialect = owner.dialect
     fields = run.fields
     remaining_ms = max(1, int((deadline - read_clock()) * MILLISECONDS))
--- a/wagtaildale/calls/backend_pool.py
+++ b/wagtaildale/calls/backend_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend server that wait for a request."""
+"""Pool of connections to one backend server."""
 
 from __future__ import annotations
 
@@ -19,17 +19,22 @@
     from wagtaildale.reactor.loop import Loop
     from wagtaildale.telemetry.events import EventRecorder
 
-# A request that must not run twice goes out only on a connection that was
-# used this lately: servers forget idle ones, and a reset then leaves open
+# A non-idempotent request reuses a connection only if its last use is this
+# recent. Servers drop idle connections, and after a reset it is unknown
 # whether the request was read.
-FRESH_SECONDS: Final = 0.5
+SAFE_REUSE_SECONDS: Final = 0.5
 
 
 class BackendPool:
-    """Connections to one backend server, the one used last taken first.
+    """Connections to one backend server, reused most recent first.
 
     Attributes:
-        watch: whether the server takes connections.
+        loop: event loop of the connections.
+        request_id_field: header field in which responses echo their request.
+        on_stray_response: called for each response to another request.
+        opened_count: number of connections opened so far.
+        address: address of the backend server.
+        watch: monitor of whether the server accepts connections.
     """
 
     def __init__(
@@ -38,21 +43,23 @@
         *,
         address: Address,
         request_id_field: bytes,
-        note_stray: Callable[[], None],
+        on_stray_response: Callable[[], None],
         recorder: EventRecorder,
     ) -> None:
-        """Begin with none.
+        """Create a pool without connections.
 
         Args:
-            loop: carries the connections.
-            address: of the backend server.
-            request_id_field: by which responses name their request.
-            note_stray: is told of a response to another request.
-            recorder: gets an event when the server goes down, or is up again.
+            loop: event loop of the connections.
+            address: address of the backend server.
+            request_id_field: header field in which responses echo their
+                request.
+            on_stray_response: called for each response to another request.
+            recorder: recorder of events when the server goes down or is up
+                again.
         """
         self.loop = loop
         self.request_id_field = request_id_field
-        self.note_stray = note_stray
+        self.on_stray_response = on_stray_response
         self.opened_count = 0
         self.address = address
         self.watch = ServerWatch(loop, address, recorder=recorder)
@@ -67,8 +74,8 @@
         """Send a request on an idle connection or a new one.
 
         Args:
-            request: what to send.
-            receiver: gets the response.
+            request: request to send.
+            receiver: receiver of the response.
 
         Returns:
             The connection; closing it cancels the request.
@@ -78,18 +85,18 @@
         return connection
 
     def release(self, connection: BackendConnection) -> None:
-        """Keep an idle connection.
+        """Return an idle connection to the pool.
 
         Args:
-            connection: of this pool.
+            connection: connection of this pool.
         """
         self._idle.append(connection)
 
     def discard(self, connection: BackendConnection) -> None:
-        """Forget a connection that is closed.
+        """Remove a closed connection from the pool.
 
         Args:
-            connection: of this pool.
+            connection: connection of this pool.
         """
         self._all.discard(connection)
         if connection in self._idle:
@@ -99,7 +106,8 @@
         """Tell whether any connection is open at both ends.
 
         Returns:
-            Whether the server runs: one that ends closes all of them.
+            Whether the server runs: a process that ends closes all of its
+            connections.
         """
         return any(connection.is_established for connection in self._all)
 
@@ -118,20 +126,24 @@
         return connection
 
     def _acquire_idle(
-        self, request: BackendRequest
+        self,
+        request: BackendRequest,
     ) -> BackendConnection | None:
         now = read_clock()
         self._close_expired(now)
         while self._idle:
             latest = self._idle[-1]
-            if not request.idempotent and now - latest.used_at > FRESH_SECONDS:
+            if (
+                not request.idempotent
+                and now - latest.used_at > SAFE_REUSE_SECONDS
+            ):
                 return None
             self._idle.pop()
             if latest.is_quiet:
                 return latest
-            # Failure: a server's close has come and is not handled yet, and
-            # a request that goes out behind it is lost: nobody can say
-            # whether it was read. Such a connection is not used again.
+            # The server's close has arrived, but the loop has not handled it
+            # yet. A request sent now would be lost, and whether it was read
+            # would be unknown, so the connection is not reused.
             latest.close()
         return None
 
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -1,4 +1,4 @@
-"""One request at the backend server: sent if it may run, and answered."""
+"""Runs one request at the backend server and forwards the response."""
 
 from __future__ import annotations
 
@@ -29,8 +29,9 @@
     from wagtaildale.calls.parsing import Message
     from wagtaildale.calls.replies import Replies
 
-# A response up to this size is whole before any of it goes on: one that is
-# cut is then an error of its own, and never a short answer.
+# A response up to this size is received completely before any of it is
+# forwarded, so that one that breaks off becomes an error instead of a
+# truncated answer.
 MAX_BUFFERED_BYTES: Final = 65_536
 
 
@@ -38,14 +39,14 @@
     """The call that a run belongs to."""
 
     def on_run_finished(self, status: int) -> None:
-        """Learn that the whole answer of the backend server was passed on.
+        """Handle the end of a run whose whole response was forwarded.
 
         Args:
             status: HTTP status.
         """
 
     def on_run_repeated(self) -> None:
-        """Learn that the answer of an earlier run was given."""
+        """Handle a run answered with the stored answer of an earlier run."""
 
     def on_run_failed(
         self,
@@ -53,17 +54,18 @@
         *,
         repeated: bool = False,
     ) -> None:
-        """Learn that there is no whole answer.
+        """Handle a run without a complete answer.
 
         Args:
-            failure: with outcome ``not_run`` only where that is certain.
-            repeated: whether the request came a second time; what is known
-                of it is then the first one's.
+            failure: the cause, with outcome ``not_run`` only if that is
+                certain.
+            repeated: whether the request is a duplicate; the first request
+                then decides what is recorded for it.
         """
 
 
 class BackendRun:
-    """Runs a request and passes its answer on; a ``BackendReceiver``."""
+    """Runs a request and forwards its answer; a ``BackendReceiver``."""
 
     def __init__(
         self,
@@ -74,14 +76,14 @@
         replies: Replies,
         times: CallTimes,
     ) -> None:
-        """Prepare; ``begin`` sends the request.
+        """Prepare the run; ``begin`` sends the request.
 
         Args:
-            call: that the run belongs to.
-            run: the request.
-            owner: of the backend server.
-            replies: to the entry.
-            times: of the call.
+            call: call that the run belongs to.
+            run: run message with the request.
+            owner: owner of the backend server.
+            replies: writer of the replies to the entry.
+            times: times of the call.
         """
         self._call = call
         self._run = run
@@ -99,55 +101,55 @@
 
     @property
     def is_answering(self) -> bool:
-        """Whether the beginning of the answer was passed on."""
+        """Whether the head of the answer was forwarded."""
         return self._response is not None and self._response.is_started
 
     def begin(self) -> None:
-        """Send the request, or give the answer kept for its key."""
+        """Send the request, or the answer stored for its idempotency key."""
         owner = self._owner
         if owner.trials.may_end(self._run):
-            # The server that ended under it may be back in a moment.
+            # The server that this request ended may restart within moments.
             owner.pool.watch.wait_until_up(self._start)
         else:
             self._start()
 
-    def add(self, piece: Piece) -> None:
-        """Pass more of the request's body on.
+    def send_piece(self, piece: Piece) -> None:
+        """Send another piece of the request's body to the server.
 
         Args:
-            piece: of the body.
+            piece: piece of the body.
         """
         if self._connection is not None:
-            self._connection.add(piece.body, more=piece.more)
+            self._connection.send_piece(piece.body, more=piece.more)
             self._unacknowledged_bytes += len(piece.body)
             if not self._connection.is_full:
                 self.on_writable()
 
     def note_taken(self, count: int) -> None:
-        """Send more of the response.
+        """Continue the response after the entry has forwarded some of it.
 
         Args:
-            count: bytes that the entry has passed on.
+            count: number of bytes that the entry has forwarded.
         """
         if self._response is not None:
             self._response.window.note_taken(count)
             self._forward()
 
     def close(self) -> None:
-        """Stop; what comes after this is dropped."""
+        """Stop the run and ignore everything that arrives later."""
         self._is_over = True
         self._owner.trials.release(self._run)
         connection = self._connection
         self._connection = None
         if connection is not None:
-            # The backend server drops a request whose connection closes.
+            # Closing the connection makes the server drop the request.
             connection.close()
 
     def settle_run_once(self, failure: CallFailed) -> None:
-        """Settle what is kept of a request that must not run twice.
+        """Update the records that keep a request from running twice.
 
         Args:
-            failure: how it ended.
+            failure: how the run ended.
         """
         if failure.outcome is Outcome.not_run:
             self._owner.ledger.forget(self._run.fields.request_id)
@@ -156,7 +158,7 @@
             self._idempotency.settle(None)
 
     def on_head(self, message: Message) -> None:
-        """Take the head of the backend server's response.
+        """Handle the head of the backend server's response.
 
         Args:
             message: the response.
@@ -171,14 +173,14 @@
             )
 
     def on_body(self) -> None:
-        """Take what has come of the response."""
+        """Buffer the received part of the body and forward it when ready."""
         response = self._response
         if response is None:
             return
         response.buffer += response.message.take_body()
         is_complete = response.message.is_complete
         if is_complete:
-            # The connection is free for another request, or closed.
+            # The pool has reused or closed the connection.
             self._connection = None
         if (
             is_complete
@@ -188,10 +190,10 @@
             self._forward()
 
     def on_failed(self, failure: CallFailed) -> None:
-        """End the run: the backend server gives no whole response.
+        """End the run without a complete response.
 
         Args:
-            failure: why.
+            failure: cause of the failure.
         """
         self._connection = None
         self._owner.invariants.hold(
@@ -216,7 +218,7 @@
             self._call.on_run_failed(failure)
 
     def on_writable(self) -> None:
-        """Learn that the backend server has taken what was sent."""
+        """Acknowledge to the entry what the backend server has read."""
         if self._unacknowledged_bytes:
             self._replies.acknowledge(self._unacknowledged_bytes)
             self._unacknowledged_bytes = 0
@@ -259,8 +261,9 @@
 
     def _run_now(self) -> None:
         if self._times.is_past_deadline:
-            # Failure: a paused process wakes and sends what nobody waits
-            # for. The deadline is looked at last thing before the send.
+            # The process may have been paused since admission. Checking the
+            # deadline just before the send avoids running a request whose
+            # caller has given up.
             self._call.on_run_failed(CallFailed(Code.past_deadline))
         elif self._may_run():
             self._send()
@@ -269,8 +272,8 @@
             self._call.on_run_failed(failure, repeated=True)
 
     def _may_run(self) -> bool:
-        # Failure: a run message comes twice and a booking is made twice. The
-        # second one stops here; its outcome is the first's.
+        # A run message that arrives twice would make a booking twice. The
+        # second one stops here and has the outcome of the first.
         fields = self._run.fields
         owner = self._owner
         return owner.invariants.hold(
--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -1,4 +1,4 @@
-"""What an entry tells an owner of a call, and reads of what it answers."""
+"""Builds an entry's description of a call and reads the owner's reports."""
 
 from __future__ import annotations
 
@@ -27,18 +27,19 @@
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
 DEADLINE_MARGIN_SECONDS: Final = 0.02
-MARGIN_RATIO: Final = 4
+MIN_REMAINING_MARGINS: Final = 4
 
 
 class SendOptions(Struct, frozen=True, kw_only=True):
-    """How an attempt is sent.
+    """Options for options an attempt.
 
     Attributes:
-        patient: whether it may wait for a slot past its target.
-        spare: whether it is to run only where a slot is free.
-        rate: requests a second that its server is known to take, if any.
-        pass_rank: by which it was drawn; see ``admission.shares``.
-        share: of such requests, the part that goes to this upstream.
+        patient: whether the attempt may wait for a slot past its target time.
+        spare: whether the attempt may run only if a slot is free at once.
+        rate: known rate limit of the server in requests per second, if any.
+        pass_rank: rank for the sampling of requests to limited servers; see
+            ``admission.shares``.
+        share: share of the requests of this rank that goes to this upstream.
     """
 
     patient: bool
@@ -49,10 +50,10 @@
 
 
 def read_report(answer: AnswerFields) -> OwnerReport:
-    """Read what an owner says of itself with an answer.
+    """Read the report of an owner from an answer.
 
     Args:
-        answer: its fields.
+        answer: fields of the answer.
 
     Returns:
         The report.
@@ -72,13 +73,13 @@
 
 
 def read_limit(message: AnswerFields | Load) -> NamedLimit | None:
-    """Read what an owner says that its backend server takes.
+    """Read the limit of a backend server from a message of its owner.
 
     Args:
-        message: its word.
+        message: answer or load message of the owner.
 
     Returns:
-        The limit; nothing if the owner has not heard the server yet.
+        The limit; None if the owner has no feedback from the server yet.
     """
     if message.rate_milli == UNHEARD_RATE:
         return None
@@ -89,13 +90,13 @@
 
 
 def format_class_name(routed: Routed) -> str:
-    """Name the class of a call.
+    """Format the qualified class name of a call.
 
     Args:
         routed: the call.
 
     Returns:
-        Service and class.
+        Names of the service and the class, joined by a slash.
     """
     return f'{routed.service}/{routed.match.work_class.name}'
 
@@ -104,30 +105,30 @@
     routed: Routed,
     upstream: UpstreamStatistics,
     attempts: Attempts,
-    sending: SendOptions,
+    options: SendOptions,
 ) -> CallFields:
-    """Describe a call to its owner.
+    """Describe a call for the owner of its upstream.
 
     Args:
         routed: the call.
-        upstream: where this attempt goes.
-        attempts: of the call, this one included.
-        sending: how it is sent.
+        upstream: upstream of this attempt.
+        attempts: attempts of the call, including this one.
+        options: options for options this attempt.
 
     Returns:
-        What the owner is told.
+        Fields to send to the owner.
     """
     work_class = routed.match.work_class
     now = read_clock()
-    # Failure: under overload every slow answer gets a second attempt, which
-    # waits for a slot that a first one needs. One whose target is over runs
-    # only where a slot is free at once.
-    target_seconds = 0 if sending.spare else max(0, routed.due - now)
+    # Under overload, every slow answer would get a second attempt, which
+    # would queue for a slot that a first attempt needs. A spare attempt, or
+    # one past its target time, therefore runs only if a slot is free at once.
+    target_seconds = 0 if options.spare else max(0, routed.due - now)
     remaining = routed.deadline - now
-    if remaining > DEADLINE_MARGIN_SECONDS * MARGIN_RATIO:
-        # Failure: at the deadline the entry gives up a moment before the
-        # owner's word comes that nothing has run, and the caller hears
-        # "unknown". The owner's deadline is a little earlier.
+    if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
+        # The owner's deadline is slightly earlier than the entry's. With equal
+        # deadlines the entry would give up just before the owner's "not run"
+        # arrives, and the caller would get "unknown".
         remaining -= DEADLINE_MARGIN_SECONDS
     return CallFields(
         request_id=routed.request_id,
@@ -141,9 +142,9 @@
         depth=routed.depth,
         retries=attempts.retries_left,
         ends=attempts.ends,
-        rate_milli=encode_rate(sending.rate),
-        pass_rank=sending.pass_rank,
-        passed_parts=round(sending.share * PARTS),
+        rate_milli=encode_rate(options.rate),
+        pass_rank=options.pass_rank,
+        passed_parts=round(options.share * PARTS),
         rank=work_class.rank,
-        patient=sending.patient,
+        patient=options.patient,
     )
--- a/wagtaildale/calls/call_times.py
+++ b/wagtaildale/calls/call_times.py
@@ -1,4 +1,4 @@
-"""The times of one call at its owner."""
+"""Timestamps and durations of one call at its owner."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class CallTimes:
-    """When a call came, began to run, and is to be over.
+    """Timestamps of one call, in seconds on the clock.
 
     Attributes:
-        arrived_at: when it came, seconds on the clock, as all here.
-        deadline: when its caller waits no more.
-        run_started_at: when it went to the backend server; the same as
-            ``arrived_at`` before that.
-        transit_seconds: for how long its last message was held up on its way.
+        arrived_at: time at which the call arrived at the owner.
+        deadline: time at which the caller gives up.
+        run_started_at: time at which the request was sent to the backend
+            server; ``arrived_at`` until then.
+        transit_seconds: time that the last message was delayed in transit.
     """
 
     def __init__(self) -> None:
-        """Begin when the call comes."""
+        """Record the arrival of the call."""
         self.arrived_at = read_clock()
         self.deadline = self.arrived_at
         self.run_started_at = self.arrived_at
@@ -33,48 +33,48 @@
 
     @property
     def is_past_deadline(self) -> bool:
-        """Whether nobody waits for the call any more."""
+        """Whether the caller has given up."""
         return read_clock() >= self.deadline
 
     def update_deadline(
         self, fields: CallFields, *, received_at: float
     ) -> None:
-        """Count the deadline from the time that is left.
+        """Compute the deadline from the remaining time of a message.
 
         Args:
-            fields: of the message that has come.
-            arrived_at: when it came.
+            fields: fields of the message.
+            received_at: time at which the message arrived.
         """
         self.deadline = received_at + fields.remaining_ms / MILLISECONDS
 
     def start_run(self) -> None:
-        """Learn that the call goes to the backend server now."""
+        """Record that the request is sent to the backend server now."""
         self.run_started_at = read_clock()
 
     def measure_elapsed(self) -> float:
-        """Measure how long the call has been at its owner.
+        """Measure the time since the call arrived at the owner.
 
         Returns:
-            Seconds.
+            Duration in seconds.
         """
         return read_clock() - self.arrived_at
 
     def measure_run(self) -> float:
-        """Measure how long the call has been at the backend server.
+        """Measure the time since the request was sent to the server.
 
         Returns:
-            Seconds.
+            Duration in seconds.
         """
         return read_clock() - self.run_started_at
 
     def describe_wait(self, *, has_run: bool) -> Inputs:
-        """Describe for the log what the call waited for.
+        """Build the log inputs for the time before the run.
 
         Args:
-            has_run: whether it went to the backend server.
+            has_run: whether the request was sent to the backend server.
 
         Returns:
-            Milliseconds on its way and at its owner.
+            Milliseconds of delay in transit and of waiting at the owner.
         """
         until = self.run_started_at if has_run else read_clock()
         return {
@@ -83,13 +83,13 @@
         }
 
     def describe_run(self, *, has_run: bool) -> Inputs:
-        """Describe for the log how long the call ran.
+        """Build the log inputs for the duration of the run.
 
         Args:
-            has_run: whether it went to the backend server.
+            has_run: whether the request was sent to the backend server.
 
         Returns:
-            Milliseconds at the backend server.
+            Milliseconds at the backend server; 0 if it was not sent.
         """
         return {'took_ms': _to_ms(self.measure_run()) if has_run else 0}
 
--- a/wagtaildale/calls/idempotency_guard.py
+++ b/wagtaildale/calls/idempotency_guard.py
@@ -1,4 +1,4 @@
-"""Runs a request with an ``Idempotency-Key`` once, as far as can be known."""
+"""Keeps a request with an ``Idempotency-Key`` from running twice."""
 
 from __future__ import annotations
 
@@ -18,58 +18,62 @@
 
 
 class IdempotencyGuard:
-    """The key of one request at its owner; without a key it does nothing."""
+    """Guards one request by its key; does nothing for one without a key.
+
+    Detects only repeats of a key that reach this owner.
+    """
 
     def __init__(self, run: Run, replays: Replays) -> None:
-        """Look for the caller's key.
+        """Read the key of the request.
 
         Args:
-            run: the request.
-            replays: the owner's.
+            run: run message with the request.
+            replays: answers that the owner has stored by key.
         """
         self._replays = replays
-        self._key = None if run.fields.idempotent else _find_key(run)
+        self._key = None if run.fields.idempotent else _read_key(run)
 
     def begin(self) -> KeptAnswer | None:
-        """Begin the request.
+        """Register the request under its key.
 
         Returns:
-            The answer from before, if the key has one; else it is to run.
+            The stored answer for the key; None if the request has to run.
 
         Raises:
-            CallFailed: while the first request with the key runs, or when
-                its answer is not kept.
+            CallFailed: if the first request with the key is still running,
+                or if its answer is not stored.
         """
         if self._key is None:
             return None
         entry = self._replays.begin(self._key)
         if entry.state is KeyState.fresh:
             return None
-        # What is known of the key is the first request's to settle.
+        # Only the first request with the key may update its entry.
         self._key = None
         if entry.answer is None:
             raise CallFailed(Code.key_repeated, outcome=Outcome.unknown)
         return entry.answer
 
     def settle(self, answer: KeptAnswer | None) -> None:
-        """Settle the key after its request has run, or may have.
+        """Store the outcome for the key after its request ran or may have.
 
         Args:
-            answer: nothing if none came, or it is too large to keep.
+            answer: answer to store; None if none arrived, or if it is too
+                large to store.
         """
         if self._key is not None:
             self._replays.keep(self._key, answer)
 
     def forget(self) -> None:
-        """Forget the key: its request did not run."""
+        """Remove the key, because its request did not run."""
         if self._key is not None:
             self._replays.forget(self._key)
 
 
-def _find_key(run: Run) -> str | None:
+def _read_key(run: Run) -> str | None:
     for name, text in run.headers:
         if name == KEY_FIELD:
-            # One key names one request: the same key for another target is
-            # another request.
+            # The key includes method and target, because the same key for
+            # another target denotes another request.
             return f'{run.method!r} {run.target!r} {text!r}'
     return None
--- a/wagtaildale/calls/identity_probe.py
+++ b/wagtaildale/calls/identity_probe.py
@@ -1,4 +1,4 @@
-"""Asks the backend server beside a node which instance it is."""
+"""Probes which instance the backend server beside a node is."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     from wagtaildale.calls.server_targets import ServerTargets
     from wagtaildale.timers.alarms import Alarm
 
-# Health checks take a slot like requests, so that few are sent; each second
-# without an answer is one in which callers are refused.
+# Few probes are sent, because a health check takes a slot like a request.
+# But callers are refused for each second without an answer.
 PROBE_INTERVAL_SECONDS: Final = 1.0
-# A server that is full answers when a request has ended.
+# A server without a free slot answers only after a request has ended.
 PROBE_TIMEOUT_SECONDS: Final = 0.9
 
 
 class IdentityProbe:
-    """Sends a health check when it is due; a ``BackendReceiver``."""
+    """Sends health checks at a limited rate; a ``BackendReceiver``."""
 
     def __init__(
         self,
@@ -40,34 +40,38 @@
         read_health_path: Callable[[], str],
         targets: ServerTargets,
     ) -> None:
-        """Prepare; nothing is sent yet.
+        """Create the probe without sending anything.
 
         Args:
             pool: connections to the server.
-            address: of the server.
-            field: of an answer that names the instance; nothing if servers
-                do not say.
-            read_health_path: gives where they answer, or nothing.
-            targets: are told which instance the server says it is, or why
-                it does not say.
+            address: address of the server.
+            field: header field of a response that names the instance; None
+                if servers do not identify themselves.
+            read_health_path: callback that returns the path of the health
+                check; empty if there is none.
+            targets: receiver of the reported instance, or of the failure.
         """
         self._pool = pool
         self._address = address
-        self._field = field
-        self._read_path = read_health_path
+        self._identity_field = field
+        self._read_health_path = read_health_path
         self._targets = targets
-        self._next_at = float(0)
+        self._next_probe_at = float(0)
         self._connection: BackendConnection | None = None
         self._message: Message | None = None
         self._alarm: Alarm | None = None
 
     def send_if_due(self) -> None:
-        """Ask, unless that was done a moment ago."""
-        path = self._read_path()
+        """Send a probe, at most one every ``PROBE_INTERVAL_SECONDS``."""
+        path = self._read_health_path()
         now = read_clock()
-        if self._field is None or not path or now < self._next_at:
+        if (
+            self._identity_field is None
+            or not path
+            or now < self._next_probe_at
+        ):
             return
-        self._next_at = now + PROBE_INTERVAL_SECONDS
+        self._next_probe_at = now + PROBE_INTERVAL_SECONDS
         host = f'{self._address.host}:{self._address.port}'
         request = BackendRequest(
             request_id=b'',
@@ -82,55 +86,58 @@
         self._targets.feedback.note_probe()
         self._connection = self._pool.send_request(request, self)
         alarms = self._pool.loop.alarms
-        self._alarm = alarms.set(PROBE_TIMEOUT_SECONDS, self._give_up)
+        self._alarm = alarms.set(PROBE_TIMEOUT_SECONDS, self._on_timeout)
 
     def on_head(self, message: Message) -> None:
-        """Take who the server says it is; see ``BackendReceiver``.
+        """Read the reported instance; see ``BackendReceiver``.
 
-        Its status does not matter: a server that is ill or leaves is still
-        the one that it names.
+        The status does not matter: a server that is unhealthy or leaving
+        still reports its own instance.
 
         Args:
-            message: the answer.
+            message: response to the health check.
         """
         self._message = message
-        assert self._field is not None
-        named = (message.find(self._field) or b'').decode('latin-1')
-        # The name goes into a header of every request to the server.
+        assert self._identity_field is not None
+        named = (message.find(self._identity_field) or b'').decode('latin-1')
+        # The name becomes a header value in every request to the server.
         if named and named.isascii() and named.isprintable():
             self._targets.note_identified(InstanceId(named))
         else:
             failure = CallFailed(
                 Code.answer_mismatched,
-                detail=f'status {message.status} names no instance',
+                detail=(
+                    f'health check response with status {message.status} '
+                    'names no valid instance'
+                ),
             )
             self._targets.note_unidentified(failure)
 
     def on_body(self) -> None:
-        """Drop what comes of the answer's body; see ``BackendReceiver``."""
+        """Discard the body of the response; see ``BackendReceiver``."""
         assert self._message is not None
         self._message.take_body()
         if self._message.is_complete:
-            self._end()
+            self._finish()
 
     def on_failed(self, failure: CallFailed) -> None:
-        """Give up until the next question; see ``BackendReceiver``.
+        """Give up until the next probe; see ``BackendReceiver``.
 
         Args:
-            failure: why no answer comes.
+            failure: cause of the missing response.
         """
         self._targets.note_unidentified(failure)
-        self._end()
+        self._finish()
 
     def on_writable(self) -> None:
-        """Nothing more is sent; see ``BackendReceiver``."""
+        """Do nothing: the request has no body; see ``BackendReceiver``."""
 
-    def _give_up(self) -> None:
+    def _on_timeout(self) -> None:
         if self._connection is not None:
             self._connection.close()
         self.on_failed(CallFailed(Code.timed_out))
 
-    def _end(self) -> None:
+    def _finish(self) -> None:
         self._connection = None
         if self._alarm is not None:
             self._alarm.cancel()
--- a/wagtaildale/calls/load_notifier.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -1,4 +1,4 @@
-"""What an owner tells entries of its backend server's load and limits."""
+"""Notifies entries of the load and limits of a backend server."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class LoadNotifier:
-    """Tells connected entries unasked when they are to send more, or less.
+    """Notifies connected entries when they should send more or fewer calls.
 
     Attributes:
-        listeners: are told.
+        listeners: callbacks for each load message.
     """
 
     def __init__(
@@ -36,12 +36,13 @@
         instance: InstanceId,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with nobody to tell.
+        """Start without listeners.
 
         Args:
-            gate: in front of the backend server.
-            instance: of this node.
-            recorder: gets an event when the server turns slow, or well.
+            gate: admission control of the backend server.
+            instance: instance of this node.
+            recorder: recorder of events when the server becomes slow or
+                recovers.
         """
         self.listeners: list[Callable[[Load], None]] = []
         self._is_up = True
@@ -51,49 +52,51 @@
         self._recorder = recorder
 
     def notify_changes(self) -> None:
-        """Tell what entries do not know yet, if it matters to them."""
+        """Notify entries of changes of the load that affect them."""
         now = read_clock()
-        percent = self._note_condition(now)
+        percent = self._update_condition(now)
         demand = self._gate.state.demand
         if demand.take_change(self._share_out(now), now=now) or percent:
             self._notify_listeners(self._describe_load(percent))
 
     def notify_leaving(self, leaving: Leaver) -> None:
-        """Tell that the backend server has said that it leaves.
+        """Notify entries that the backend server is leaving.
 
         Args:
-            leaving: the server.
+            leaving: the leaving server.
         """
         self._leaving = leaving
         self._notify_listeners(self._describe_load(0))
 
     def notify_up(self, *, is_up: bool) -> None:
-        """Tell whether the backend server takes connections.
+        """Notify entries whether the backend server accepts connections.
 
         Args:
             is_up: whether it does.
         """
         if is_up and not self._is_up:
-            # What comes back has said nothing yet.
+            # The restarted server has not announced that it is leaving.
             self._leaving = None
         self._is_up = is_up
         self._notify_listeners(self._describe_load(0))
 
     def describe_initial_load(self) -> Load | None:
-        """Describe the load to an entry that has just connected.
+        """Describe the load for an entry that has just connected.
 
         Returns:
-            What others were told unasked; nothing of a sound server.
+            The load that other entries were notified of; None if the server
+            has no restrictions.
         """
         load = self._describe_load(0)
         is_sound = load.is_up and load.share is None and load.leaving is None
         return None if is_sound else load
 
     def describe_rate(self) -> int:
-        """Describe the rate that the backend server takes.
+        """Encode the rate limit of the backend server.
 
         Returns:
-            Thousandths of a request a second, or a negative mark.
+            Limit in thousandths of a request per second; negative if there
+            is none or if it is not known yet.
         """
         rate = self._gate.state.rate
         if rate.is_heard or rate.is_named:
@@ -101,15 +104,15 @@
         return UNHEARD_RATE
 
     def describe_share(self) -> PassShare | None:
-        """Describe which requests entries may send.
+        """Describe which share of their requests entries may send.
 
         Returns:
-            The share of each rank; nothing if all may come.
+            The share for each rank; None if all requests may be sent.
         """
         share = self._share_out(read_clock())
         return None if share == ALL_PASS else share
 
-    def _note_condition(self, now: float) -> int:
+    def _update_condition(self, now: float) -> int:
         condition = self._gate.state.condition
         if not condition.take_change(now=now):
             return 0
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -1,4 +1,4 @@
-"""The owner: the only way to the backend server beside this node."""
+"""The owner: the only access to the backend server beside this node."""
 
 from __future__ import annotations
 
@@ -44,28 +44,33 @@
 
 
 class Identity(Struct, frozen=True, kw_only=True):
-    """Which process of which instance this is."""
+    """Instance and incarnation of this process.
+
+    Attributes:
+        instance: id of the instance.
+        incarnation: number of its current start.
+    """
 
     instance: InstanceId
     incarnation: Incarnation
 
 
 class Owner:
-    """What all calls to one backend server share.
+    """State shared by all calls to one backend server.
 
     Attributes:
-        identity: of this process.
-        gate: in front of the backend server.
-        pool: connections to it.
-        ledger: non-idempotent requests that were let through.
-        replays: answers kept for repeated idempotency keys.
-        invariants: are checked on each call.
-        dialect: how the backend server is spoken to.
-        loop: carries the calls.
-        stray_count: responses that named another request.
-        load_notifier: tells entries unasked what they are to know.
-        server: which instance the backend server is.
-        trials: which suspected requests may run there.
+        identity: instance and incarnation of this process.
+        gate: admission control of the backend server.
+        pool: connections to the backend server.
+        ledger: ids of the non-idempotent requests that were admitted.
+        replays: answers stored for repeated idempotency keys.
+        invariants: invariants checked on each call.
+        dialect: header fields that the backend server uses.
+        loop: event loop of the calls.
+        stray_count: number of responses that named another request.
+        load_notifier: sender of load updates to the connected entries.
+        server: resolver of the instance that the backend server is.
+        trials: admission of requests suspected of ending servers.
     """
 
     def __init__(
@@ -82,19 +87,19 @@
         find_record: Callable[[InstanceId], InstanceRecord | None],
         trials: Trials,
     ) -> None:
-        """Take charge of a backend server.
+        """Create the owner of a backend server.
 
         Args:
-            identity: of this process.
-            service: of the backend server.
-            loop: carries the calls.
-            gate: in front of the backend server.
-            backend: where it listens.
-            invariants: are checked on each call.
-            recorder: gets an event for each call that ends.
-            dialect: how it is spoken to.
-            find_record: gives what is listed of an instance.
-            trials: which suspected requests may run there.
+            identity: instance and incarnation of this process.
+            service: service of the backend server.
+            loop: event loop of the calls.
+            gate: admission control of the backend server.
+            backend: address on which the backend server listens.
+            invariants: invariants checked on each call.
+            recorder: recorder of an event for each call that ends.
+            dialect: header fields that the backend server uses.
+            find_record: lookup of an instance's record in the list.
+            trials: admission of requests suspected of ending servers.
         """
         self.identity = identity
         self.loop = loop
@@ -113,7 +118,7 @@
             loop,
             address=backend,
             request_id_field=dialect.request_id,
-            note_stray=self._note_stray,
+            on_stray_response=self._count_stray_response,
             recorder=recorder,
         )
         self.server = ServerTargets(
@@ -131,19 +136,21 @@
         self._recorder = recorder
 
     def check_target(self, fields: CallFields) -> None:
-        """Check that a call is meant for this owner, and take its word.
+        """Check that a call is meant for this owner and apply its rate limit.
 
-        Failure guarded here: an address is reused by another instance, or
-        this process was replaced, and a call for the one that was there
-        comes here. Or an entry has not heard yet that the instance leaves,
-        and sends it new work; its owner has. Or the server has said that it
-        is another instance, and would turn the request away once more.
+        Rejects calls that would reach the wrong server: the address may be
+        reused by another instance, or this process may have replaced the one
+        that the call names. It also rejects new work when the owner already
+        knows that the instance is leaving but the entry does not, and when
+        the server has identified itself as another instance and would refuse
+        the request again.
 
         Args:
-            fields: what the entry told.
+            fields: fields of the call, as the entry sent them.
 
         Raises:
-            CallFailed: with outcome ``not_run``, when it is not.
+            CallFailed: with outcome ``not_run``, if the call is not meant
+                for this owner.
         """
         is_known = fields.incarnation in {
             ANY_INCARNATION,
@@ -169,19 +176,20 @@
         retry_ms: int = 0,
         has_arrived: bool = False,
     ) -> AnswerFields:
-        """Describe this owner in an answer.
+        """Build the fields of an answer, with the state of this owner.
 
         Args:
-            fields: of the call that is answered.
+            fields: fields of the call that is answered.
             code: numbered result code.
             outcome: whether the request ran.
-            owner_seconds: spent here, waiting included.
-            backend_seconds: spent at the backend server.
-            retry_ms: after which asking again is worth it.
-            has_arrived: whether the backend server turned it away.
+            owner_seconds: time spent at the owner, including the queue.
+            backend_seconds: time spent at the backend server.
+            retry_ms: time after which a retry is useful, in milliseconds.
+            has_arrived: whether the request reached the backend server,
+                which refused it.
 
         Returns:
-            What goes along with the answer.
+            Fields that go with the answer.
         """
         state = self.gate.state
         usual = state.find_usual(fields.work_class)
@@ -218,14 +226,14 @@
         code: int = 0,
         detail: str = '',
     ) -> None:
-        """Record how a call ended here.
+        """Record an event for a call that ended at this owner.
 
         Args:
-            kind: whether it ran or was refused.
-            fields: what the entry told of it.
-            inputs: times and outcome.
-            code: numbered result code, if something is wrong.
-            detail: anything more, for a person.
+            kind: kind of the event: the call ran or was refused.
+            fields: fields of the call.
+            inputs: times and outcome of the call.
+            code: numbered result code; 0 if the call succeeded.
+            detail: further text for operators.
         """
         state = self.gate.state
         self._recorder.record(
@@ -247,12 +255,12 @@
     def _serves(self, instance: InstanceId) -> bool:
         if self.dialect.expected_instance is None:
             return instance == self.identity.instance
-        # The backend server itself refuses what is meant for another; this
-        # process learns who is beside it from the list alone, and late.
+        # The backend server itself refuses requests for another instance.
+        # This process knows its server only from the list, which lags.
         record = self._find_record(instance)
         return record is None or record.node_id == self.identity.instance
 
-    def _note_stray(self) -> None:
+    def _count_stray_response(self) -> None:
         self.stray_count += 1
 
     def _on_watch_changed(self) -> None:
--- a/wagtaildale/calls/owner_call.py
+++ b/wagtaildale/calls/owner_call.py
@@ -1,7 +1,7 @@
-"""One call at its owner: admitted, run and ended.
+"""One call at its owner: admission, run and end.
 
-What runs it at the backend server is in ``backend_run``, what is answered in
-``replies``.
+Running the request at the backend server is in ``backend_run``, and writing
+the answers is in ``replies``.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
     from wagtaildale.calls.replies import Entrance
     from wagtaildale.timers.alarms import Alarm
 
-# Long enough for a run message over a slow connection, short enough that a
-# slot whose entry died is soon free again.
+# Long enough for a run message over a slow connection, and short enough that
+# a slot is soon free again after its entry died.
 LEASE_SECONDS: Final = 0.5
-# After the deadline the entry gives up by itself; an owner that still holds
-# the call this much later has lost its entry.
+# At the deadline the entry gives up by itself. If the owner still has the call
+# this much later, the entry is gone.
 DEADLINE_GRACE_SECONDS: Final = 0.05
 SHED_STATUS: Final = 503
-# What speaks against the backend server, and not against one request.
+# Failures that indicate a fault of the backend server rather than of one
+# request.
 BACKEND_FAULTS: Final = frozenset(
     (
         Code.backend_cut,
@@ -51,7 +52,7 @@
 
 @final
 class CallState(Enum):
-    """Where a call stands at its owner."""
+    """State of a call at its owner."""
 
     waiting = 'waiting'
     reserved = 'reserved'
@@ -60,10 +61,10 @@
 
 
 class OwnerCall:
-    """One call; a ``RunReceiver``.
+    """One call at its owner; a ``RunReceiver``.
 
     Attributes:
-        state: where it stands.
+        state: current state of the call.
     """
 
     def __init__(
@@ -73,12 +74,12 @@
         *,
         entrance: Entrance,
     ) -> None:
-        """Begin with nothing known of it.
+        """Create the call before its first message is handled.
 
         Args:
-            owner: of the backend server.
-            number: of the call, on the entry's connection.
-            entrance: the way back.
+            owner: owner of the backend server.
+            number: number of the call on the entry's connection.
+            entrance: connection back to the entry.
         """
         self.state = CallState.waiting
         self._owner = owner
@@ -99,26 +100,26 @@
 
     @property
     def fields(self) -> CallFields:
-        """What the entry told of the call."""
+        """Fields of the call, as the entry sent them."""
         assert self._fields is not None
         return self._fields
 
     def handle_reserve(self, frame: Reserve, *, delay: float) -> None:
-        """Ask for a slot that is held for a run message.
+        """Request a slot that is leased until the run message arrives.
 
         Args:
-            frame: what the entry tells of the call.
-            delay: for which the line held the message up, seconds.
+            frame: message with the fields of the call.
+            delay: time that the message was delayed in transit, in seconds.
         """
         self._times.transit_seconds = delay
         self._request_slot(shorten(frame.fields, delay=delay))
 
     def handle_run(self, frame: Run, *, delay: float) -> None:
-        """Run the request, once there is a slot or on the one held.
+        """Run the request on the leased slot, or once a slot is free.
 
         Args:
-            frame: the request.
-            delay: for which the line held the message up, seconds.
+            frame: message with the request.
+            delay: time that the message was delayed in transit, in seconds.
         """
         self._times.transit_seconds = delay
         self._request = frame
@@ -129,25 +130,25 @@
             self._request_slot(fields)
 
     def handle_piece(self, frame: Piece) -> None:
-        """Pass more of the request's body on.
+        """Send another piece of the request's body to the server.
 
         Args:
-            frame: the piece.
+            frame: message with the piece.
         """
         if self._run is not None:
-            self._run.add(frame)
+            self._run.send_piece(frame)
 
     def handle_taken(self, frame: Taken) -> None:
-        """Send more of the response.
+        """Continue the response after the entry has forwarded some of it.
 
         Args:
-            frame: how much the entry has passed on.
+            frame: message with the number of bytes forwarded.
         """
         if self._run is not None:
             self._run.note_taken(frame.count)
 
     def cancel(self) -> None:
-        """Stop whatever is done for the call: nobody waits for it."""
+        """Stop the call because nobody waits for its answer."""
         state = self.state
         if state is CallState.over:
             return
@@ -167,7 +168,7 @@
             self._release_slot(Ending.abandoned)
 
     def on_run_finished(self, status: int) -> None:
-        """End the call: it is answered; see ``RunReceiver``.
+        """End a call that was answered; see ``RunReceiver``.
 
         Args:
             status: HTTP status.
@@ -186,7 +187,7 @@
         self._release_slot(Ending.failed if is_shed else Ending.good)
 
     def on_run_repeated(self) -> None:
-        """End the call: it is answered as before; see ``RunReceiver``."""
+        """End a call answered from a stored answer; see ``RunReceiver``."""
         self._close()
         self._release_slot(Ending.abandoned)
 
@@ -199,8 +200,8 @@
         """End the call without an answer; see ``RunReceiver``.
 
         Args:
-            failure: why, and whether it has run.
-            repeated: whether it came a second time.
+            failure: cause of the failure, and whether the request ran.
+            repeated: whether the request is a duplicate.
         """
         self._fail(failure, repeated=repeated)
 
@@ -256,8 +257,8 @@
         self._replies.grant(self.fields, lease=verdict.ticket)
 
     def _redeem_lease(self, fields: CallFields) -> None:
-        # The fields of the run message count: they name the incarnation
-        # that gave the lease.
+        # The fields of the run message apply: they name the incarnation
+        # that granted the lease.
         self._fields = fields
         self._times.update_deadline(fields, received_at=read_clock())
         try:
@@ -277,8 +278,8 @@
 
     def _start_if_target_valid(self, request: Run) -> None:
         try:
-            # Failure: a call waits for a slot while its server is listed as
-            # leaving, and reaches it long after everybody knows.
+            # The server may be listed as leaving while the call waits for a
+            # slot; without a second check the call would still reach it.
             self._owner.check_target(self.fields)
         except CallFailed as failure:
             self._fail(failure)
@@ -318,7 +319,7 @@
             self._replies.cut()
         else:
             self._replies.fail(self.fields, failure)
-        self._note_failure(failure)
+        self._record_failure(failure)
         self._close()
         if state is CallState.waiting:
             self._withdraw()
@@ -331,7 +332,7 @@
             assert self._run is not None
             self._run.settle_run_once(failure)
 
-    def _note_failure(self, failure: CallFailed) -> None:
+    def _record_failure(self, failure: CallFailed) -> None:
         has_run = self.state is CallState.running
         self._owner.record_end(
             EventKind.run_ended if has_run else EventKind.run_refused,
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -1,4 +1,4 @@
-"""What an entry hears from owners without a call."""
+"""Handles messages from owners to an entry that belong to no call."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class OwnerListener:
-    """Notes owners' word in the statistics of their upstreams."""
+    """Records what owners report in the statistics of their upstreams."""
 
     def __init__(
         self,
@@ -31,23 +31,24 @@
         statistics: FleetStatistics,
         recorder: EventRecorder,
     ) -> None:
-        """Prepare.
+        """Create the listener.
 
         Args:
-            view: tells which upstreams stand at an address.
-            statistics: of all upstreams.
-            recorder: gets an event when a server says that it leaves.
+            view: current view, which maps addresses to upstreams.
+            statistics: statistics of all upstreams.
+            recorder: recorder of an event when a server announces that it
+                is leaving.
         """
         self._view = view
         self._statistics = statistics
         self._recorder = recorder
 
     def note_load(self, address: Address, load: Load) -> None:
-        """Note how full and how fast a backend server is.
+        """Record the load and speed of a backend server.
 
         Args:
-            address: of its owner.
-            load: the owner's word.
+            address: address of its owner.
+            load: load message of the owner.
         """
         if load.leaving is not None:
             self.note_server_leaving(address, load.leaving)
@@ -55,22 +56,26 @@
             self._note_load(instance, load)
 
     def note_server_leaving(self, address: Address, leaver: Leaver) -> None:
-        """Note that a backend server has said that it leaves.
+        """Record that a backend server has announced that it is leaving.
 
-        Failure guarded here: a node says so of servers that are not its own,
-        and nobody asks them any more.
+        A node may report only its own server. Otherwise it could take the
+        servers of other nodes out of use.
 
         Args:
-            address: of whoever tells.
-            leaver: the server; its start is that listed here if its owner
-                does not tell.
+            address: address of the owner that reports it.
+            leaver: the leaving server; if its owner does not give its start,
+                the listed start applies.
         """
         record = self._view.current.records.get(leaver.instance)
         if record is not None and _get_owner_address(record) != address:
             self._recorder.record(
                 EventKind.message_refused,
                 subject=leaver.instance,
-                detail=f'told by {address.host}:{address.port}',
+                detail=(
+                    'leaving was reported by '
+                    f'{address.host}:{address.port}, '
+                    'which does not own this instance'
+                ),
             )
             return
         if not leaver.born and record is not None:
@@ -82,10 +87,10 @@
             )
 
     def note_leaving(self, address: Address) -> None:
-        """Note an owner that takes no new calls.
+        """Record an owner that accepts no new calls.
 
         Args:
-            address: of the owner.
+            address: address of the owner.
         """
         now = read_clock()
         for instance in self._list_instances(address):
@@ -93,10 +98,10 @@
             upstream.ejection.note_leaving(now)
 
     def note_silent(self, address: Address) -> None:
-        """Note an owner of whom nothing is heard.
+        """Record an owner that no longer answers.
 
         Args:
-            address: of the owner.
+            address: address of the owner.
         """
         now = read_clock()
         for instance in self._list_instances(address):
@@ -122,7 +127,8 @@
             )
 
     def _list_instances(self, address: Address) -> list[InstanceId]:
-        # An owner does not know under which ids it is listed.
+        # Looks instances up by address, because an owner does not know the
+        # ids under which it is listed.
         return [
             record.instance
             for record in self._view.current.records.values()
--- a/wagtaildale/calls/port_probe.py
+++ b/wagtaildale/calls/port_probe.py
@@ -1,4 +1,4 @@
-"""Tries the port of the backend server beside a node, and asks nothing."""
+"""Probes the port of a backend server without sending a request."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
     from wagtaildale.calls.addresses import Address
     from wagtaildale.reactor.loop import Loop
 
-# A port on the same machine answers or refuses at once.
+# A port on the same machine accepts or refuses a connection at once.
 PROBE_TIMEOUT_SECONDS: Final = 0.1
 
 
 @final
 class ProbeResult(Enum):
-    """What a port did."""
+    """Result of a port probe."""
 
     opened = 'opened'
     refused = 'refused'
@@ -28,7 +28,7 @@
 
 
 class PortProbe:
-    """One try of a port; a ``StreamReceiver``."""
+    """One attempt to connect to a port; a ``StreamReceiver``."""
 
     def __init__(
         self,
@@ -37,46 +37,44 @@
         *,
         on_result: Callable[[ProbeResult], None],
     ) -> None:
-        """Begin.
+        """Start connecting.
 
         Args:
-            loop: carries the connection.
-            address: of the server.
-            on_result: is told what the port did.
+            loop: event loop of the connection.
+            address: address of the server.
+            on_result: callback for the result.
         """
         self._on_result = on_result
-        self._alarm = loop.alarms.set(PROBE_TIMEOUT_SECONDS, self._give_up)
+        self._alarm = loop.alarms.set(PROBE_TIMEOUT_SECONDS, self._on_timeout)
         self._stream = open_stream(loop, (address.host, address.port), self)
 
     def on_open(self) -> None:
-        """Conclude: somebody listens; see ``StreamReceiver``."""
-        self._conclude(ProbeResult.opened)
+        """Report an open port; see ``StreamReceiver``."""
+        self._finish(ProbeResult.opened)
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Do nothing: nothing was asked."""
+        """Do nothing, since no request was sent."""
 
     def on_end(self) -> None:
-        """Do nothing: the connection is closed once it is open."""
+        """Do nothing, since the connection is closed as soon as it opens."""
 
     def on_lost(self, error: OSError) -> None:
-        """Conclude; see ``StreamReceiver``.
+        """Report a refused or silent port; see ``StreamReceiver``.
 
         Args:
-            error: why no connection came about.
+            error: reason why the connection failed.
         """
         is_refused = error.errno == errno.ECONNREFUSED
-        self._conclude(
-            ProbeResult.refused if is_refused else ProbeResult.silent
-        )
+        self._finish(ProbeResult.refused if is_refused else ProbeResult.silent)
 
     def on_drained(self) -> None:
-        """Do nothing: nothing was sent."""
+        """Do nothing, since nothing was sent."""
 
-    def _give_up(self) -> None:
-        # Nobody can say whether the server ended.
-        self._conclude(ProbeResult.silent)
+    def _on_timeout(self) -> None:
+        # Without an answer it is unknown whether the server has ended.
+        self._finish(ProbeResult.silent)
 
-    def _conclude(self, outcome: ProbeResult) -> None:
+    def _finish(self, outcome: ProbeResult) -> None:
         self._alarm.cancel()
         self._stream.close()
         self._on_result(outcome)
--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -1,8 +1,8 @@
-"""Tells a backend server that ended from a connection that did.
+"""Tells the end of a backend server from the end of one connection.
 
-A server that ends closes every connection, and its port refuses new ones.
-One that breaks off an answer, or resets what it has no room for, keeps the
-others open.
+A server process that ends closes all of its connections, and its port refuses
+new ones. A server that breaks off one answer, or resets a connection for lack
+of capacity, keeps the other connections open.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.types import InstanceId
 
-# The connections of a process that ends close within a millisecond or so.
+# The connections of a process that ends close within about a millisecond.
 CLOSE_GRACE_SECONDS: Final = 0.003
 
 
@@ -33,12 +33,13 @@
     """A run whose connection ended before its answer.
 
     Attributes:
-        instance: that ran the request.
-        fingerprint: of the request.
-        ends: servers that had ended under it, one after the other, as far
-            as was known when the run began.
-        is_leaving: whether that instance was to end anyway.
-        on_resolved: is told how many that makes now; 0 if the server lives.
+        instance: instance that ran the request.
+        fingerprint: fingerprint of the request.
+        ends: number of consecutive servers that had ended under the request,
+            as known when the run started.
+        is_leaving: whether the instance was due to end anyway.
+        on_resolved: called with the number of ends including this one; 0 if
+            the run does not count as the cause of an end.
     """
 
     instance: InstanceId
@@ -49,11 +50,11 @@
 
 
 class ServerEndDetector:
-    """Finds out whether the backend server ended, for runs that were cut.
+    """Determines for interrupted runs whether the backend server ended.
 
     Attributes:
-        count: how often it did.
-        listeners: are told when it did.
+        count: number of ends detected so far.
+        listeners: callbacks for each end of the server.
     """
 
     def __init__(
@@ -64,13 +65,13 @@
         answered: AnsweredLately,
         recorder: EventRecorder,
     ) -> None:
-        """Prepare.
+        """Create the detector.
 
         Args:
-            board: is told under which requests a server ended.
-            node: beside the server.
-            answered: those that did not end it a moment ago.
-            recorder: gets an event when it did.
+            board: board of the requests under which servers ended.
+            node: node beside the server.
+            answered: requests that the server has answered lately.
+            recorder: recorder of an event for each end of the server.
         """
         self.count = 0
         self.listeners: list[Callable[[], None]] = []
@@ -78,34 +79,35 @@
         self._node = node
         self._answered = answered
         self._recorder = recorder
-        self._held: list[InterruptedRun] = []
+        self._pending: list[InterruptedRun] = []
 
     def hold(self, run: InterruptedRun, *, pool: BackendPool) -> None:
-        """Hold a run that was cut until it is known whether the server ended.
+        """Hold an interrupted run until the server's state is known.
 
         Args:
-            run: the run.
+            run: the interrupted run.
             pool: connections to the server.
         """
-        self._held.append(run)
-        if len(self._held) == 1:
+        self._pending.append(run)
+        if len(self._pending) == 1:
             pool.loop.alarms.set(
-                CLOSE_GRACE_SECONDS, partial(self._check_connections, pool)
+                CLOSE_GRACE_SECONDS,
+                partial(self._check_connections, pool),
             )
 
     def resolve(self, *, has_ended: bool) -> None:
-        """End every run that is held.
+        """Resolve all pending runs.
 
         Args:
-            has_ended: whether the server did.
+            has_ended: whether the server has ended.
         """
-        held = self._held
-        self._held = []
+        pending = self._pending
+        self._pending = []
         if has_ended:
             for notify in self.listeners:
                 notify()
-        suspects = self._find_suspects(held) if has_ended else []
-        for run in held:
+        suspects = self._handle_server_end(pending) if has_ended else []
+        for run in pending:
             run.on_resolved(run.ends + 1 if run in suspects else 0)
 
     def _check_connections(self, pool: BackendPool) -> None:
@@ -118,14 +120,15 @@
         return not run.ends and self._answered.has(run.fingerprint)
 
     def _handle_probe(self, outcome: ProbeResult) -> None:
-        # A port that is silent does not tell.
+        # A port that does not answer proves nothing.
         self.resolve(has_ended=outcome is ProbeResult.refused)
 
-    def _find_suspects(
-        self, held: list[InterruptedRun]
+    def _handle_server_end(
+        self,
+        pending: list[InterruptedRun],
     ) -> list[InterruptedRun]:
-        # A server that leaves ends by itself, whatever it runs.
-        ended = [run for run in held if not run.is_leaving]
+        # A leaving server ends as planned, whatever it runs.
+        ended = [run for run in pending if not run.is_leaving]
         if not ended:
             return []
         self.count += 1
@@ -135,11 +138,15 @@
         return suspects
 
     def _record_ends(
-        self, suspects: list[InterruptedRun], *, is_known: bool
+        self,
+        suspects: list[InterruptedRun],
+        *,
+        is_known: bool,
     ) -> None:
-        # Where all that ran was answered a moment ago, the end counts, and
-        # holds nobody back: it may be that of another cause.
-        # Of runs of the same request, the one that knew of most ends counts.
+        # If the server had answered all of the running requests shortly
+        # before, the end counts but restricts no request, because it may have
+        # another cause. Of several runs of one request, the one with the most
+        # known ends counts.
         suspects.sort(key=_get_ends)
         ends = {run.fingerprint: run.ends + 1 for run in suspects}
         names = ' '.join(fingerprint.hex() for fingerprint in ends)
--- a/wagtaildale/calls/server_feedback.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself along with its responses."""
+"""Reads and applies what a backend server reports in its responses."""
 
 from __future__ import annotations
 
@@ -27,18 +27,19 @@
 
 DECIMAL: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
 LEAVING_VALUE: Final = b'1'
-# Of a field that cannot be read, what goes into the log.
+# Part of a malformed header value that is logged.
 LOGGED_BYTES: Final = 40
 
 
 class ServerFeedback(Struct, frozen=True, kw_only=True):
-    """What a backend server says with one response.
+    """Feedback of a backend server in one response.
 
     Attributes:
-        per_second: requests that it takes from all nodes together; nothing
-            if it names no limit.
-        is_leaving: whether it will end.
-        malformed: what stands in place of either, if it cannot be read.
+        per_second: requests per second that the server accepts from all
+            nodes together; None if it sets no limit.
+        is_leaving: whether the server announces that it is leaving.
+        malformed: value of a header that could not be parsed; empty if all
+            could.
     """
 
     per_second: float | None = None
@@ -47,14 +48,14 @@
 
 
 def parse_feedback(message: Message, dialect: Dialect) -> ServerFeedback:
-    """Read what a response says of its server.
+    """Parse the feedback headers of a response.
 
     Args:
         message: the response.
-        dialect: names the fields.
+        dialect: names of the header fields.
 
     Returns:
-        The server's word.
+        The feedback of the server.
     """
     limit = _find_header(message, dialect.rate_limit)
     leaving = _find_header(message, dialect.leaving)
@@ -69,14 +70,14 @@
 
 
 class FeedbackTracker:
-    """Takes what the backend server beside a node says of itself."""
+    """Applies the feedback of the backend server beside a node."""
 
     def __init__(self, gate: Gate, *, recorder: EventRecorder) -> None:
-        """Begin with nothing heard.
+        """Start without feedback.
 
         Args:
-            gate: in front of the server; goes by what it says.
-            recorder: gets an event with each change.
+            gate: admission control of the server, which applies its limits.
+            recorder: recorder of an event for each change.
         """
         self._gate = gate
         self._recorder = recorder
@@ -84,7 +85,7 @@
 
     @property
     def per_second(self) -> float | None:
-        """Requests that the server takes; nothing while it names no limit."""
+        """Rate limit in requests per second; None while there is none."""
         return self._gate.state.rate.per_second
 
     def apply(
@@ -94,15 +95,15 @@
         instance: InstanceId,
         begun_at: float,
     ) -> None:
-        """Take the word of a response.
+        """Apply the feedback of a response.
 
         Args:
-            feedback: of the server.
-            instance: that answered.
-            begun_at: when the request was sent to it, seconds.
+            feedback: feedback read from the response.
+            instance: instance that answered.
+            begun_at: time at which the request was sent, in seconds.
         """
         if feedback.malformed:
-            # What cannot be read names no limit, and ends none.
+            # A malformed header neither sets nor removes a limit.
             self._record_malformed(feedback, instance)
             return
         if instance != self._instance:
@@ -118,11 +119,11 @@
     def apply_relayed_limit(
         self, per_second: float, *, instance: InstanceId
     ) -> None:
-        """Take what an entry has heard of the server's limit.
+        """Apply a rate limit that an entry knows from an earlier owner.
 
         Args:
-            per_second: requests that it takes.
-            instance: that was asked.
+            per_second: limit in requests per second.
+            instance: instance that the request names.
         """
         if self._gate.state.rate.is_heard:
             return
@@ -132,25 +133,25 @@
             self._record_limit(instance, origin='entry')
 
     def note_started(self) -> None:
-        """Learn that the server has ended; the next one has said nothing."""
+        """Clear the limit, because a new server process started."""
         if self.per_second is not None:
             self._recorder.record(
                 EventKind.server_unlimited,
                 subject=self._instance,
-                detail='started anew',
+                detail='the server restarted',
             )
         self._gate.note_server(ServerStarted())
 
     def note_leaving(self, _leaver: Leaver) -> None:
-        """Learn that the server leaves: whoever waits for it is refused.
+        """Refuse the requests that wait for a leaving server.
 
         Args:
-            _leaver: the server.
+            _leaver: the leaving server.
         """
         self._gate.note_server(ServerLeaves())
 
     def note_probe(self) -> None:
-        """Count a request of the node's own to the server."""
+        """Count a probe that the node sends to the server."""
         self._gate.note_server(ProbeSent())
 
     def _record_malformed(
--- a/wagtaildale/calls/server_identity.py
+++ b/wagtaildale/calls/server_identity.py
@@ -1,8 +1,9 @@
-"""Which instance the backend server beside a node is.
+"""Tracks which instance the backend server beside a node is.
 
-Load pattern answered: servers start anew while the platform is silent, and
-until it is back every request names one that is gone. Each of them reaches a
-server that turns it away, and takes the place of one that could be run.
+When servers restart while the platform is unreachable, every request names an
+instance that no longer exists until the platform is back. Without this, each
+of these requests is sent to a server that refuses it, and takes capacity from
+requests that could run.
 """
 
 from __future__ import annotations
@@ -12,32 +13,33 @@
 if TYPE_CHECKING:
     from wagtaildale.types import InstanceId
 
-# Nobody is told when an instance comes back under the id that it had; one
-# request in this time finds out.
+# No message announces an instance that restarts under its old id, so one
+# request per interval is let through to find out.
 DENIED_SECONDS: Final = 2.0
-# Instances that one address has had while a node runs; the oldest go.
+# Bounds the memory for instances that an address has had while the node runs;
+# the oldest are dropped.
 MAX_DENIED_INSTANCES: Final = 64
 
 
 class ServerIdentity:
-    """What the backend server has said of who it is.
+    """Identity that the backend server has reported.
 
     Attributes:
-        instance: which one it last said that it is; nothing while it has not
-            said so, or has turned that name away since.
+        instance: last reported instance; None if the server has not reported
+            one, or has refused a request for that instance since.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing known: whoever is named is taken to be there."""
+        """Start with no known identity, so that every instance is accepted."""
         self.instance: InstanceId | None = None
         self._denied_until: dict[InstanceId, float] = {}
 
     def note_denied(self, instance: InstanceId, *, now: float) -> None:
-        """Note that the server is not the one that a request named.
+        """Record that the server is not the instance that a request named.
 
         Args:
-            instance: that was named.
-            now: seconds.
+            instance: instance that the request named.
+            now: current time in seconds.
         """
         if instance == self.instance:
             self.instance = None
@@ -47,10 +49,10 @@
             self._denied_until.pop(next(iter(self._denied_until)))
 
     def note_identified(self, instance: InstanceId) -> None:
-        """Note which instance the server says that it is.
+        """Record the instance that the server reports to be.
 
         Args:
-            instance: that it named.
+            instance: reported instance.
         """
         self.instance = instance
         self._denied_until.pop(instance, None)
@@ -61,15 +63,15 @@
         *,
         now: float,
     ) -> InstanceId | None:
-        """Find under which name a request goes to the server.
+        """Find the instance to name in a request to the server.
 
         Args:
-            instance: for which it is meant.
-            now: seconds.
+            instance: instance that the request is meant for.
+            now: current time in seconds.
 
         Returns:
-            The name: its own, or that of the instance that the server says
-            it is; nothing if the server would turn the request away.
+            The given instance, or the one that the server reports to be;
+            None if the server would refuse the request.
         """
         denied_until = self._denied_until.get(instance)
         if denied_until is None:
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -1,4 +1,4 @@
-"""Whether the backend server beside a node leaves."""
+"""Tracks whether the backend server beside a node is leaving."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class ServerLeaving:
-    """Knows it by the list, and by the server's own word.
+    """Tracks leaving servers from the list and from their announcements.
 
     Attributes:
-        listeners: are told who has said that it leaves.
+        listeners: callbacks for each announcement by a server.
     """
 
     def __init__(
@@ -29,11 +29,12 @@
         find_record: Callable[[InstanceId], InstanceRecord | None],
         recorder: EventRecorder,
     ) -> None:
-        """Begin with nothing heard of the server.
+        """Start without announcements.
 
         Args:
-            find_record: gives what is listed of an instance.
-            recorder: gets an event when the server says that it leaves.
+            find_record: lookup of an instance's record in the list.
+            recorder: recorder of an event when the server announces that it
+                is leaving.
         """
         self.listeners: list[Callable[[Leaver], None]] = []
         self._find_record = find_record
@@ -41,13 +42,13 @@
         self._leavers = Leavers()
 
     def is_leaving(self, instance: InstanceId) -> bool:
-        """Tell whether an instance leaves.
+        """Tell whether an instance is leaving.
 
         Args:
-            instance: any.
+            instance: instance to look up.
 
         Returns:
-            Whether it is listed so, or has said so itself.
+            Whether it is listed as leaving or has announced it.
         """
         record = self._find_record(instance)
         if record is not None and record.state is ListedState.leaving:
@@ -55,13 +56,14 @@
         return self.find_leaver(instance) is not None
 
     def find_leaver(self, instance: InstanceId) -> Leaver | None:
-        """Find whether an instance has said itself that it leaves.
+        """Find the announcement of an instance that it is leaving.
 
         Args:
-            instance: any.
+            instance: instance to look up.
 
         Returns:
-            The start of it that did, as it is listed; nothing if none has.
+            The instance, with its start if it is listed; None if it has not
+            announced since that start that it is leaving.
         """
         if not self._leavers:
             return None
@@ -73,14 +75,14 @@
         return None
 
     def note_started(self) -> None:
-        """Learn that the server has ended; the next one has said nothing."""
+        """Clear the announcements, because a new server process started."""
         self._leavers = Leavers()
 
     def note_announced(self, instance: InstanceId) -> None:
-        """Note that the server has said that it leaves.
+        """Record the server's announcement that it is leaving.
 
         Args:
-            instance: that answered.
+            instance: instance that answered.
         """
         record = self._find_record(instance)
         leaver = Leaver(instance, 0 if record is None else record.born)
--- a/wagtaildale/calls/server_targets.py
+++ b/wagtaildale/calls/server_targets.py
@@ -1,4 +1,4 @@
-"""For which instances a backend server runs requests."""
+"""Decides for which instances a backend server runs requests."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class ServerTargets:
-    """Names the instance that a request goes to, or refuses it unrun.
+    """Resolves the instance that runs a request, or refuses the request.
 
     Attributes:
-        denial_listeners: are told when the backend server is not the one
-            that a request names.
-        leaving: whether the backend server leaves.
-        feedback: what the backend server says of itself.
+        denial_listeners: callbacks for each request that names an instance
+            other than the backend server.
+        leaving: tracker of whether the backend server is leaving.
+        feedback: tracker of what the backend server reports in responses.
     """
 
     def __init__(
@@ -42,13 +42,14 @@
         recorder: EventRecorder,
         feedback: FeedbackTracker,
     ) -> None:
-        """Begin with nothing known of the server.
+        """Start with nothing known of the server.
 
         Args:
-            service: of the server.
-            find_record: gives what is listed of an instance.
-            recorder: gets an event when the server is another instance.
-            feedback: what the server says of itself.
+            service: service of the server.
+            find_record: lookup of an instance's record in the list.
+            recorder: recorder of an event when the server turns out to be
+                another instance.
+            feedback: tracker of what the server reports in responses.
         """
         self.denial_listeners: list[Callable[[], None]] = []
         self.leaving = ServerLeaving(
@@ -66,10 +67,10 @@
         """Check that the server would run a request now.
 
         Args:
-            fields: what the entry told.
+            fields: fields of the call.
 
         Raises:
-            CallFailed: with outcome ``not_run``, when it would not.
+            CallFailed: with outcome ``not_run``, if it would not.
         """
         target = self._find_target(fields)
         if target is None:
@@ -79,14 +80,14 @@
             raise CallFailed(Code.draining)
 
     def resolve_target(self, fields: CallFields) -> InstanceId:
-        """Name the instance that a request goes to.
+        """Resolve the instance that runs a request.
 
         Args:
-            fields: of its call, after ``check``.
+            fields: fields of the call, after ``check``.
 
         Returns:
-            The one for which it is meant, or the one that has taken its
-            place at its address.
+            The instance that the request names, or the one that replaced it
+            at its address.
         """
         return self._find_target(fields) or fields.instance
 
@@ -97,42 +98,42 @@
         instance: InstanceId,
         begun_at: float,
     ) -> None:
-        """Take what the server says of itself with a response.
+        """Apply what the server reports of itself in a response.
 
         Args:
-            feedback: of the server.
-            instance: that answered.
-            begun_at: when the request was sent to it, seconds.
+            feedback: feedback read from the response.
+            instance: instance that answered.
+            begun_at: time at which the request was sent, in seconds.
         """
         self.feedback.apply(feedback, instance=instance, begun_at=begun_at)
         if feedback.is_leaving:
             self.leaving.note_announced(instance)
 
     def note_denied(self, instance: InstanceId) -> None:
-        """Note that the server is not the one that a request named.
+        """Record that the server is not the instance that a request named.
 
         Args:
-            instance: that was named.
+            instance: instance that the request named.
         """
         self._identity.note_denied(instance, now=read_clock())
         self._recorder.record(EventKind.server_denied, subject=instance)
         self._notify_denial()
 
     def note_identified(self, instance: InstanceId) -> None:
-        """Note which instance the server says that it is.
+        """Record the instance that the server reports to be.
 
         Args:
-            instance: that it named.
+            instance: reported instance.
         """
         if instance != self._identity.instance:
             self._recorder.record(EventKind.server_named, subject=instance)
         self._identity.note_identified(instance)
 
     def note_unidentified(self, failure: CallFailed) -> None:
-        """Note that the server was asked who it is and did not say.
+        """Record that the server did not identify itself when asked.
 
         Args:
-            failure: why.
+            failure: cause of the failure.
         """
         self._recorder.record(
             EventKind.server_unnamed,
@@ -150,8 +151,8 @@
     def _serves_same_service(
         self, fields: CallFields, target: InstanceId
     ) -> bool:
-        # Failure: an address goes to a server of another service, and it
-        # runs what was meant for the one before it.
+        # An address may be reassigned to a server of another service, which
+        # must not run requests meant for the previous one.
         if fields.work_class.partition('/')[0] != self._service:
             return False
         record = self._find_record(target)
--- a/wagtaildale/calls/server_watch.py
+++ b/wagtaildale/calls/server_watch.py
@@ -1,8 +1,8 @@
-"""Whether the backend server beside a node is up.
+"""Monitors whether the backend server beside a node is up.
 
-Failure guarded here: a server ends, and every entry finds that out by itself,
-again and again, by requests that its port refuses. The owner knows within
-milliseconds; it looks by itself when the server is back.
+The owner detects the end of its server within milliseconds and then probes
+the port until the server is back. Without this, every entry would find out by
+itself, again and again, through requests that the port refuses.
 """
 
 from __future__ import annotations
@@ -20,20 +20,22 @@
     from wagtaildale.reactor.loop import Loop
     from wagtaildale.telemetry.events import EventRecorder
 
-# A server takes seconds to start; each try costs it a connection.
+# A server takes seconds to start, and each probe costs it a connection.
 PROBE_INTERVAL_SECONDS: Final = 0.25
-# A server that is not back by then takes seconds.
+# A server that is not back by then takes seconds to start, so the waiting
+# runs go on without it.
 QUICK_RESTART_SECONDS: Final = 0.5
 MILLISECONDS: Final = 1000
 
 
 class ServerWatch:
-    """Knows whether the server takes connections.
+    """Tracks whether the server accepts connections.
 
     Attributes:
-        is_up: whether it does, as far as is known.
-        changed_at: since when, seconds on the clock.
-        listeners: are told, when it changes and with each try in between.
+        is_up: last known state.
+        changed_at: time of the last change, in seconds on the clock.
+        listeners: callbacks for each change, and for each failed probe while
+            the server is down.
     """
 
     def __init__(
@@ -43,12 +45,13 @@
         *,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with a server that is taken to be up.
+        """Start with the assumption that the server is up.
 
         Args:
-            loop: carries connections to it.
-            address: of the server.
-            recorder: gets an event when it goes down, and is up again.
+            loop: event loop of the probes.
+            address: address of the server.
+            recorder: recorder of events when the server goes down or is up
+                again.
         """
         self.is_up = True
         self.changed_at = read_clock()
@@ -60,15 +63,15 @@
 
     @property
     def up_seconds(self) -> float:
-        """For how long the server has been up; 0 while it is down."""
+        """Seconds that the server has been up; 0 while it is down."""
         return read_clock() - self.changed_at if self.is_up else 0
 
     def wait_until_up(self, on_done: Callable[[], None]) -> None:
-        """Wait for a server that may be back in a moment.
+        """Wait for a server that may restart quickly.
 
         Args:
-            on_done: is told when it is up, or is not back soon; perhaps
-                before this returns.
+            on_done: callback for when the server is up, or not back within
+                ``QUICK_RESTART_SECONDS``; may be called before this returns.
         """
         if (
             self.is_up
@@ -79,14 +82,14 @@
             self._waiting.append(on_done)
 
     def note_down(self) -> None:
-        """Learn that the server takes no connection."""
+        """Record that the server refused a connection."""
         if self.is_up:
             self._change(is_up=False)
             self._recorder.record(EventKind.server_down)
             self._schedule_probe()
 
     def note_up(self) -> None:
-        """Learn that the server has taken a connection."""
+        """Record that the server accepted a connection."""
         if not self.is_up:
             since = self.changed_at
             self._change(is_up=True)
@@ -124,7 +127,8 @@
         if outcome is ProbeResult.opened:
             self.note_up()
         elif not self.is_up:
-            # Word of it may have been lost, or an entry is new.
+            # Repeats the notification, because an earlier one may have been
+            # lost or an entry may have connected since.
             self._notify_listeners()
             self._schedule_probe()
             if read_clock() - self.changed_at >= QUICK_RESTART_SECONDS:
--- a/wagtaildale/calls/tests/test_backend_connection.py
+++ b/wagtaildale/calls/tests/test_backend_connection.py
@@ -69,7 +69,7 @@
             self.loop,
             address=Address(HOST, BACKEND_PORT),
             request_id_field=b'x-request-id',
-            note_stray=lambda: None,
+            on_stray_response=lambda: None,
             recorder=build_recorder(),
         )
         self.listener = socket.create_server((HOST, BACKEND_PORT))
