--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -133,7 +133,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether sent bytes still wait in the send buffer."""
+        """Whether the sender should wait for ``on_writable``."""
         return self._stream.is_full
 
     @property
@@ -234,7 +234,7 @@
         if self._receiver is None or message is None or not is_close_delimited:
             self._fail(
                 Code.backend_cut,
-                'connection closed before the end of the response',
+                'connection closed before a complete response',
             )
             return
         # Without a length or chunks, the body ends with the connection.
@@ -258,7 +258,10 @@
             self._receiver.on_writable()
 
     def _on_connect_timeout(self) -> None:
-        self._fail(Code.backend_unreachable, 'timed out connecting')
+        self._fail(
+            Code.backend_unreachable,
+            'timed out connecting to the backend server',
+        )
 
     def _process_messages(self) -> None:
         message = self._parser.peek()
--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -31,7 +31,7 @@
 
 
 class SendOptions(Struct, frozen=True, kw_only=True):
-    """Options for options an attempt.
+    """Options for sending an attempt.
 
     Attributes:
         patient: whether the attempt may wait for a slot past its target time.
@@ -113,7 +113,7 @@
         routed: the call.
         upstream: upstream of this attempt.
         attempts: attempts of the call, including this one.
-        options: options for options this attempt.
+        options: options for sending this attempt.
 
     Returns:
         Fields to send to the owner.
--- a/wagtaildale/calls/call_times.py
+++ b/wagtaildale/calls/call_times.py
@@ -37,7 +37,10 @@
         return read_clock() >= self.deadline
 
     def update_deadline(
-        self, fields: CallFields, *, received_at: float
+        self,
+        fields: CallFields,
+        *,
+        received_at: float,
     ) -> None:
         """Compute the deadline from the remaining time of a message.
 
--- a/wagtaildale/calls/identity_probe.py
+++ b/wagtaildale/calls/identity_probe.py
@@ -99,10 +99,10 @@
         """
         self._message = message
         assert self._identity_field is not None
-        named = (message.find(self._identity_field) or b'').decode('latin-1')
+        reported = (message.find(self._identity_field) or b'').decode('latin-1')
         # The name becomes a header value in every request to the server.
-        if named and named.isascii() and named.isprintable():
-            self._targets.note_identified(InstanceId(named))
+        if reported and reported.isascii() and reported.isprintable():
+            self._targets.note_identified(InstanceId(reported))
         else:
             failure = CallFailed(
                 Code.answer_mismatched,
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -162,7 +162,8 @@
         relayed_limit = decode_rate(fields.rate_milli)
         if relayed_limit is not None:
             self.server.feedback.apply_relayed_limit(
-                relayed_limit, instance=fields.instance
+                relayed_limit,
+                instance=fields.instance,
             )
 
     def build_answer_fields(
--- a/wagtaildale/calls/owner_call.py
+++ b/wagtaildale/calls/owner_call.py
@@ -326,7 +326,7 @@
             return
         is_backend_fault = failure.code in BACKEND_FAULTS
         self._release_slot(
-            Ending.failed if is_backend_fault else Ending.abandoned
+            Ending.failed if is_backend_fault else Ending.abandoned,
         )
         if state is CallState.running and not repeated:
             assert self._run is not None
--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -134,31 +134,31 @@
         self.count += 1
         suspects = [run for run in ended if not self._was_answered_lately(run)]
         self._answered.forget()
-        self._record_ends(suspects or ended, is_known=bool(suspects))
+        self._record_ends(suspects or ended, has_suspects=bool(suspects))
         return suspects
 
     def _record_ends(
         self,
-        suspects: list[InterruptedRun],
+        ended: list[InterruptedRun],
         *,
-        is_known: bool,
+        has_suspects: bool,
     ) -> None:
         # If the server had answered all of the running requests shortly
         # before, the end counts but restricts no request, because it may have
         # another cause. Of several runs of one request, the one with the most
         # known ends counts.
-        suspects.sort(key=_get_ends)
-        ends = {run.fingerprint: run.ends + 1 for run in suspects}
+        ended.sort(key=_get_ends)
+        ends = {run.fingerprint: run.ends + 1 for run in ended}
         names = ' '.join(fingerprint.hex() for fingerprint in ends)
         self._recorder.record(
             EventKind.server_ended,
-            subject=suspects[0].instance,
+            subject=ended[0].instance,
             detail=names,
-            inputs={'requests': len(suspects), 'most_ends': max(ends.values())},
+            inputs={'requests': len(ended), 'most_ends': max(ends.values())},
         )
         self._board.note_ends(
             ends.items(),
-            places=(self._node,) if is_known else (),
+            places=(self._node,) if has_suspects else (),
         )
 
 
--- a/wagtaildale/calls/server_feedback.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -117,7 +117,10 @@
             self._record_limit(instance)
 
     def apply_relayed_limit(
-        self, per_second: float, *, instance: InstanceId
+        self,
+        per_second: float,
+        *,
+        instance: InstanceId,
     ) -> None:
         """Apply a rate limit that an entry knows from an earlier owner.
 
@@ -155,7 +158,9 @@
         self._gate.note_server(ProbeSent())
 
     def _record_malformed(
-        self, feedback: ServerFeedback, instance: InstanceId
+        self,
+        feedback: ServerFeedback,
+        instance: InstanceId,
     ) -> None:
         self._recorder.record(
             EventKind.server_word_refused,
--- a/wagtaildale/calls/server_targets.py
+++ b/wagtaildale/calls/server_targets.py
@@ -142,14 +142,16 @@
         )
 
     def _find_target(self, fields: CallFields) -> InstanceId | None:
-        named = fields.instance
-        target = self._identity.find_target(named, now=read_clock())
-        if target is None or target == named:
+        requested = fields.instance
+        target = self._identity.find_target(requested, now=read_clock())
+        if target is None or target == requested:
             return target
         return target if self._serves_same_service(fields, target) else None
 
     def _serves_same_service(
-        self, fields: CallFields, target: InstanceId
+        self,
+        fields: CallFields,
+        target: InstanceId,
     ) -> bool:
         # An address may be reassigned to a server of another service, which
         # must not run requests meant for the previous one.
--- a/wagtaildale/calls/server_watch.py
+++ b/wagtaildale/calls/server_watch.py
@@ -82,7 +82,7 @@
             self._waiting.append(on_done)
 
     def note_down(self) -> None:
-        """Record that the server refused a connection."""
+        """Record that the server is down or refused a connection."""
         if self.is_up:
             self._change(is_up=False)
             self._recorder.record(EventKind.server_down)
@@ -93,10 +93,10 @@
         if not self.is_up:
             since = self.changed_at
             self._change(is_up=True)
-            down = read_clock() - since
+            down_seconds = read_clock() - since
             self._recorder.record(
                 EventKind.server_up,
-                inputs={'down_ms': round(down * MILLISECONDS)},
+                inputs={'down_ms': round(down_seconds * MILLISECONDS)},
             )
 
     def _change(self, *, is_up: bool) -> None:
--- a/wagtaildale/calls/tests/manual_loop.py
+++ b/wagtaildale/calls/tests/manual_loop.py
@@ -1,6 +1,6 @@
 """A loop that a test steps by hand.
 
-What the other side does has then always arrived before the loop polls.
+The actions of the other side then always take effect before the loop polls.
 """
 
 from __future__ import annotations
--- a/wagtaildale/calls/tests/test_backend_connection.py
+++ b/wagtaildale/calls/tests/test_backend_connection.py
@@ -1,7 +1,7 @@
 """Tests of connections to a backend server that closes them unexpectedly.
 
-The tests step the loop and the server by hand, so that what the server does
-has always arrived before the loop polls.
+The tests step the loop and the server by hand, so that the actions of the
+server always take effect before the loop polls.
 """
 
 from __future__ import annotations
@@ -99,7 +99,10 @@
         return self.listener.accept()[0]
 
     def answer(
-        self, sock: socket.socket, receiver: RecordingReceiver, reply: bytes
+        self,
+        sock: socket.socket,
+        receiver: RecordingReceiver,
+        reply: bytes,
     ) -> None:
         self.step_until(lambda: is_readable(sock))
         sock.recv(65536)
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -139,7 +139,7 @@
 
 
 def test_only_upstream_refuses_calls_while_leaving(pair: Pair) -> None:
-    """Lookups time out while the last server of a service stops.
+    """Lookups wait in vain while the last server of a service stops.
 
     The entry has no other upstream, so it connects and gets "not run".
     """
--- a/wagtaildale/calls/tests/test_server_feedback.py
+++ b/wagtaildale/calls/tests/test_server_feedback.py
@@ -63,7 +63,7 @@
 def test_limit_that_is_not_a_number_is_rejected(text: bytes) -> None:
     """An invalid limit makes the owner send nothing, or everything."""
     assert parse(b'Server-Limit: %b\r\n' % text) == ServerFeedback(
-        malformed=text
+        malformed=text,
     )
 
 
