--- a/wagtaildale/calls/backends.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -1,9 +1,9 @@
 """Connections to the backend server beside this node.
 
-One request runs on a connection at a time. Bytes that come when nothing is
-asked, or behind a whole response, belong to no request: the connection is
-closed. A response that names another request is thrown away and the right
-one waited for.
+A connection carries one request at a time. Bytes that arrive while no
+request is pending, or after a complete response, belong to no request, so
+the connection is closed. A response that names another request is discarded
+and the connection keeps waiting for the right one.
 """
 
 from __future__ import annotations
@@ -35,32 +35,33 @@
     from wagtaildale.calls.backend_pool import BackendPool
     from wagtaildale.calls.parsing import Header
 
-HEAD_BYTES: Final = 65_536
-# The backend server is on the same machine: an open connection takes a
-# round trip on loopback, and one that takes this long is not coming.
-CONNECT_SECONDS: Final = 0.4
-# How long an idle connection is kept if the server does not say.
-IDLE_SECONDS: Final = 4.0
-# Before the time that the server says, so that a request does not cross
-# its close.
+MAX_HEAD_BYTES: Final = 65_536
+# The backend server is on the same machine, so connecting takes one round
+# trip on loopback; a connection still pending after this time will not open.
+CONNECT_TIMEOUT_SECONDS: Final = 0.4
+# Idle time of a connection whose server sends no Keep-Alive timeout.
+DEFAULT_IDLE_SECONDS: Final = 4.0
+# Subtracted from the server's Keep-Alive timeout, so that no request is sent
+# while the server closes the connection.
 IDLE_MARGIN_SECONDS: Final = 1.0
 FIRST_FINAL_STATUS: Final = 200
 KEEP_ALIVE: Final = b'keep-alive'
-TIMEOUT_MARK: Final = b'timeout='
+TIMEOUT_PREFIX: Final = b'timeout='
 
 
 class BackendRequest(Struct, frozen=True, kw_only=True):
-    """A request as it goes to the backend server.
+    """A request as it is sent to the backend server.
 
     Attributes:
-        request_id: that the response must name; empty if servers do not.
+        request_id: id that the response must echo; empty if backend servers
+            do not echo it.
         method: HTTP method.
         target: path and query.
-        headers: all but the body's framing.
-        body: all of it, or its beginning.
-        more: whether pieces follow.
-        length: of the body where it was announced, else -1.
-        idempotent: whether running it twice does no harm.
+        headers: header fields without those that frame the body.
+        body: the whole body, or its first piece.
+        more: whether further pieces of the body follow.
+        length: announced length of the body in bytes, or -1.
+        idempotent: whether the request may safely run twice.
     """
 
     request_id: bytes
@@ -74,43 +75,46 @@
 
 
 class BackendReceiver(Protocol):
-    """Whoever asked the backend server."""
+    """Receiver of the response to one request."""
 
     def on_head(self, message: Message) -> None:
-        """Take the head of the response.
+        """Handle the head of the response.
 
         Args:
-            message: its body is taken from it as it comes.
+            message: the response; its body is read from it as it arrives.
         """
 
     def on_body(self) -> None:
-        """Learn that more of the body is here, or its end."""
+        """Handle further bytes of the body, or its end."""
 
     def on_failed(self, failure: CallFailed) -> None:
-        """Learn that no response comes, or not all of it.
+        """Handle a missing or incomplete response.
 
         Args:
-            failure: with outcome ``not_run`` if nothing was sent.
+            failure: the cause, with outcome ``not_run`` if nothing was sent.
         """
 
-    def on_room(self) -> None:
-        """Learn that the server has taken what was sent of the body."""
+    def on_writable(self) -> None:
+        """Continue after the server has read the body sent so far."""
 
 
 class BackendConnection:
-    """One connection; a ``StreamReceiver``."""
+    """One connection to the backend server; a ``StreamReceiver``."""
 
     def __init__(self, pool: BackendPool, address: Address) -> None:
-        """Begin to open it.
+        """Start connecting.
 
         Args:
-            pool: takes it back when idle.
-            address: of the backend server.
+            pool: pool that the connection returns to when idle.
+            address: address of the backend server.
         """
         self.idle_until = float(0)
         self.used_at = read_clock()
         self._pool = pool
-        self._parser = MessageParser(of_requests=False, head_bytes=HEAD_BYTES)
+        self._parser = MessageParser(
+            of_requests=False,
+            head_bytes=MAX_HEAD_BYTES,
+        )
         self._request: BackendRequest | None = None
         self._receiver: BackendReceiver | None = None
         self._message: Message | None = None
@@ -122,43 +126,47 @@
             (address.host, address.port),
             self,
         )
-        self._connecting = pool.loop.alarms.set(
-            CONNECT_SECONDS,
-            self._give_up_connecting,
+        self._connect_alarm = pool.loop.alarms.set(
+            CONNECT_TIMEOUT_SECONDS,
+            self._on_connect_timeout,
         )
 
     @property
     def is_full(self) -> bool:
-        """Whether the server has yet to take what was sent."""
+        """Whether the sender should wait for ``on_writable``."""
         return self._stream.is_full
 
     @property
     def is_quiet(self) -> bool:
-        """Whether the server has neither closed nor sent anything unasked."""
+        """Whether the server has neither closed nor sent unexpected bytes."""
         return peek_input(self._stream) is PendingInput.nothing
 
     @property
-    def is_standing(self) -> bool:
-        """Whether it is open at both ends."""
+    def is_established(self) -> bool:
+        """Whether the connection is open at both ends."""
         return self._is_open and self.is_quiet
 
-    def ask(self, request: BackendRequest, receiver: BackendReceiver) -> None:
+    def send_request(
+        self,
+        request: BackendRequest,
+        receiver: BackendReceiver,
+    ) -> None:
         """Send a request.
 
         Args:
-            request: what to send.
-            receiver: gets the response.
+            request: request to send.
+            receiver: receiver of the response.
         """
         self._request = request
         self._receiver = receiver
         self._stream.send(self._write_request(request))
 
-    def add(self, piece: bytes, *, more: bool) -> None:
-        """Send more of the request's body.
+    def send_piece(self, piece: bytes, *, more: bool) -> None:
+        """Send another piece of the request's body.
 
         Args:
-            piece: may be empty where only the end is told.
-            more: whether pieces follow.
+            piece: bytes of the body; may be empty if it only marks the end.
+            more: whether further pieces follow.
         """
         if self._chunked:
             piece = write_chunk(piece) if piece else b''
@@ -166,7 +174,7 @@
         self._stream.send(piece)
 
     def read_more(self, *, wanted: bool) -> None:
-        """Read on, or leave what comes with the server for now.
+        """Resume or pause reading of the response.
 
         Args:
             wanted: whether to read.
@@ -177,29 +185,33 @@
             self._stream.pause()
 
     def close(self) -> None:
-        """Close at once: the server drops the request that runs on it."""
-        self._connecting.cancel()
+        """Close at once, which makes the server drop the running request."""
+        self._connect_alarm.cancel()
         self._receiver = None
         self._stream.close()
-        self._pool.forget(self)
+        self._pool.discard(self)
 
     def on_open(self) -> None:
-        """Learn that the connection stands; the request goes out now."""
+        """Let the request go out on the connection, which is open now."""
         if not self.is_quiet:
-            # Failure: a leaving server takes the connection and closes it,
-            # and a request sent after that counts as one that may have run.
-            # It has not left this process: another server may have it.
-            self._fail(Code.backend_unreachable, 'closed unasked')
+            # A leaving server accepts the connection and closes it at once.
+            # If the request were sent after that, it would count as one that
+            # may have run. It has not left this process, so it fails as not
+            # run and can go to another server.
+            self._fail(
+                Code.backend_unreachable,
+                'connection closed, or unexpected bytes, before the request',
+            )
             return
         self._is_open = True
-        self._connecting.cancel()
+        self._connect_alarm.cancel()
         self._pool.watch.note_up()
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take bytes of a response.
+        """Parse bytes of a response.
 
         Args:
-            chunk: as read.
+            chunk: bytes as read from the socket.
         """
         if self._receiver is None:
             self.close()
@@ -209,43 +221,49 @@
         except CallFailed as failure:
             self._fail(Code.backend_cut, failure.detail)
             return
-        self._take_messages()
+        self._process_messages()
 
     def on_end(self) -> None:
-        """Learn that the server sends no more."""
+        """Handle the end of the stream from the server."""
         message = self._message
-        unframed = (
+        is_close_delimited = (
             message is not None
             and message.length == UNKNOWN_LENGTH
             and not message.is_chunked
         )
-        if self._receiver is None or message is None or not unframed:
-            self._fail(Code.backend_cut, 'closed')
+        if self._receiver is None or message is None or not is_close_delimited:
+            self._fail(
+                Code.backend_cut,
+                'connection closed before a complete response',
+            )
             return
-        # Such a body ends where the connection does.
+        # Without a length or chunks, the body ends with the connection.
         message.is_complete = True
         message.keep_alive = False
         self._finish()
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the connection is gone.
+        """Handle the loss of the connection.
 
         Args:
-            error: why.
+            error: cause of the loss.
         """
         if not self._is_open and error.errno == errno.ECONNREFUSED:
             self._pool.watch.note_down()
         self._fail(Code.backend_cut, str(error))
 
     def on_drained(self) -> None:
-        """Learn that the server has taken what was sent."""
+        """Notify the receiver that the send buffer is empty."""
         if self._receiver is not None:
-            self._receiver.on_room()
+            self._receiver.on_writable()
 
-    def _give_up_connecting(self) -> None:
-        self._fail(Code.backend_unreachable, 'connecting took too long')
+    def _on_connect_timeout(self) -> None:
+        self._fail(
+            Code.backend_unreachable,
+            'timed out connecting to the backend server',
+        )
 
-    def _take_messages(self) -> None:
+    def _process_messages(self) -> None:
         message = self._parser.peek()
         while message is not None and self._message is None:
             if self._accept(message):
@@ -263,21 +281,22 @@
             self._receiver.on_body()
 
     def _accept(self, message: Message) -> bool:
-        # Failure: a response comes twice, the second one late, and the next
-        # request on the connection gets an answer that is not its own.
+        # Discards a response that names another request. When a response
+        # arrives twice, the late copy would otherwise answer the next request
+        # on the connection.
         request = self._request
         assert request is not None
         assert self._receiver is not None
         if message.status < FIRST_FINAL_STATUS or message is self._stray:
             return False
-        named = message.find(self._pool.request_id_field)
-        if request.request_id and named != request.request_id:
+        echoed = message.find(self._pool.request_id_field)
+        if request.request_id and echoed != request.request_id:
             self._stray = message
-            self._pool.note_stray()
+            self._pool.on_stray_response()
             return False
         self._message = message
         if request.method == b'HEAD' or message.status in BODILESS_STATUSES:
-            # The parser would wait for a body that does not come.
+            # These responses have no body, but the parser waits for one.
             message.is_complete = True
             message.keep_alive = False
         self._receiver.on_head(message)
@@ -293,14 +312,14 @@
         self._parser.drop()
         request = self._request
         assert request is not None
-        # A connection that has given a stray response, or has not taken all
-        # of a request, is not used again: what comes next on it is unsure.
-        clean = self._stray is None and not self._parser.has_more()
-        whole = not request.more and not self._stream.unsent
-        if message.keep_alive and clean and whole:
+        # A connection that has delivered a stray response, or has not sent a
+        # whole request, is not reused: what follows on it is undefined.
+        is_in_sync = self._stray is None and not self._parser.has_more()
+        is_fully_sent = not request.more and not self._stream.unsent
+        if message.keep_alive and is_in_sync and is_fully_sent:
             self.used_at = read_clock()
-            self.idle_until = self.used_at + _find_idle_seconds(message)
-            self._pool.take_back(self)
+            self.idle_until = self.used_at + _read_idle_seconds(message)
+            self._pool.release(self)
         else:
             self.close()
         receiver.on_body()
@@ -308,13 +327,13 @@
     def _fail(self, code: Code, detail: str) -> None:
         receiver = self._receiver
         self._receiver = None
-        sent = self._is_open
+        was_sent = self._is_open
         self.close()
         if receiver is None:
             return
         failure = CallFailed(
-            code if sent else Code.backend_unreachable,
-            outcome=Outcome.unknown if sent else Outcome.not_run,
+            code if was_sent else Code.backend_unreachable,
+            outcome=Outcome.unknown if was_sent else Outcome.not_run,
             detail=detail,
         )
         receiver.on_failed(failure)
@@ -340,11 +359,11 @@
         return head + body
 
 
-def _find_idle_seconds(message: Message) -> float:
-    named = message.find(KEEP_ALIVE) or b''
-    mark = named.find(TIMEOUT_MARK)
-    if mark < 0:
-        return IDLE_SECONDS
-    digits = named[mark + len(TIMEOUT_MARK) :].split(b',')[0].strip()
+def _read_idle_seconds(message: Message) -> float:
+    keep_alive = message.find(KEEP_ALIVE) or b''
+    start = keep_alive.find(TIMEOUT_PREFIX)
+    if start < 0:
+        return DEFAULT_IDLE_SECONDS
+    digits = keep_alive[start + len(TIMEOUT_PREFIX) :].split(b',')[0].strip()
     seconds = int(digits) if digits.isdigit() else 0
     return max(0, seconds - IDLE_MARGIN_SECONDS)
--- /dev/null
+++ b/wagtaildale/calls/call_descriptions.py
@@ -0,0 +1,150 @@
+"""Builds an entry's description of a call and reads the owner's reports."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final
+
+from msgspec import Struct
+
+from wagtaildale.admission.shares import ALL_PASS, PARTS_PER_WHOLE
+from wagtaildale.calls.fields import (
+    UNKNOWN_RATE,
+    CallFields,
+    decode_rate,
+    encode_rate,
+)
+from wagtaildale.routing.known_limits import NamedLimit
+from wagtaildale.routing.upstream import OwnerReport, UpstreamStatistics
+from wagtaildale.timers.service import read_clock
+from wagtaildale.types import ANY_INCARNATION
+
+if TYPE_CHECKING:
+    from wagtaildale.calls.attempts import Attempts
+    from wagtaildale.calls.fields import AnswerFields
+    from wagtaildale.calls.frames import LoadReport
+    from wagtaildale.calls.routed_call import RoutedCall
+
+MILLISECONDS: Final = 1000
+MICROSECONDS: Final = 1_000_000
+DEADLINE_MARGIN_SECONDS: Final = 0.02
+MIN_REMAINING_MARGINS: Final = 4
+
+
+class SendOptions(Struct, frozen=True, kw_only=True):
+    """Options for sending an attempt.
+
+    Attributes:
+        patient: whether the attempt may wait for a slot past its target time.
+        spare: whether the attempt may run only if a slot is free at once.
+        rate: known rate limit of the server in requests per second, if any.
+        pass_rank: rank for the sampling of requests to limited servers; see
+            ``admission.shares``.
+        share: share of the requests of this rank that goes to this upstream.
+    """
+
+    patient: bool
+    spare: bool
+    rate: float | None
+    pass_rank: int
+    share: float
+
+
+def read_report(answer: AnswerFields) -> OwnerReport:
+    """Read the report of an owner from an answer.
+
+    Args:
+        answer: fields of the answer.
+
+    Returns:
+        The report.
+    """
+    return OwnerReport(
+        incarnation=answer.incarnation,
+        in_flight=answer.in_flight,
+        limit=answer.limit,
+        queued=answer.queued,
+        slot_seconds=answer.slot_us / MICROSECONDS,
+        run_seconds=answer.backend_us / MICROSECONDS,
+        class_seconds=answer.class_us / MICROSECONDS,
+        class_usual=answer.class_usual_us / MICROSECONDS,
+        code=answer.code,
+        named=read_limit(answer),
+    )
+
+
+def read_limit(message: AnswerFields | LoadReport) -> NamedLimit | None:
+    """Read the limit of a backend server from a message of its owner.
+
+    Args:
+        message: answer or load message of the owner.
+
+    Returns:
+        The limit; None if the owner has no feedback from the server yet.
+    """
+    if message.rate_milli == UNKNOWN_RATE:
+        return None
+    return NamedLimit(
+        per_second=decode_rate(message.rate_milli),
+        share=message.share or ALL_PASS,
+    )
+
+
+def format_class_name(routed: RoutedCall) -> str:
+    """Format the qualified class name of a call.
+
+    Args:
+        routed: the call.
+
+    Returns:
+        Names of the service and the class, joined by a slash.
+    """
+    return f'{routed.service}/{routed.match.work_class.name}'
+
+
+def describe_call(
+    routed: RoutedCall,
+    upstream: UpstreamStatistics,
+    attempts: Attempts,
+    options: SendOptions,
+) -> CallFields:
+    """Describe a call for the owner of its upstream.
+
+    Args:
+        routed: the call.
+        upstream: upstream of this attempt.
+        attempts: attempts of the call, including this one.
+        options: options for sending this attempt.
+
+    Returns:
+        Fields to send to the owner.
+    """
+    work_class = routed.match.work_class
+    now = read_clock()
+    # Under overload, every slow answer would get a second attempt, which
+    # would queue for a slot that a first attempt needs. A spare attempt, or
+    # one past its target time, therefore runs only if a slot is free at once.
+    target_seconds = 0 if options.spare else max(0, routed.due - now)
+    remaining = routed.deadline - now
+    if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
+        # The owner's deadline is slightly earlier than the entry's. With equal
+        # deadlines the entry would give up just before the owner's "not run"
+        # arrives, and the caller would get "unknown".
+        remaining -= DEADLINE_MARGIN_SECONDS
+    return CallFields(
+        request_id=routed.request_id,
+        attempt=len(attempts.tried),
+        work_class=format_class_name(routed),
+        idempotent=work_class.idempotent,
+        within_ms=int(target_seconds * MILLISECONDS),
+        remaining_ms=max(0, int(remaining * MILLISECONDS)),
+        instance=upstream.instance,
+        incarnation=ANY_INCARNATION,
+        depth=routed.depth,
+        retries=attempts.retries_left,
+        ends=attempts.ends,
+        rate_milli=encode_rate(options.rate),
+        pass_rank=options.pass_rank,
+        passed_parts=round(options.share * PARTS_PER_WHOLE),
+        rank=work_class.rank,
+        patient=options.patient,
+    )
--- a/wagtaildale/calls/call_times.py
+++ b/wagtaildale/calls/call_times.py
@@ -1,4 +1,4 @@
-"""The times of one call at its owner."""
+"""Timestamps and durations of one call at its owner."""
 
 from __future__ import annotations
 
@@ -14,80 +14,85 @@
 
 
 class CallTimes:
-    """When a call came, began to run, and is to be over.
+    """Timestamps of one call, in seconds on the clock.
 
     Attributes:
-        since: when it came, seconds on the clock, as all here.
-        deadline: when its caller waits no more.
-        running_since: when it went to the backend server; the same as
-            ``since`` before that.
-        delay: for how long its last message was held up on its way.
+        arrived_at: time at which the call arrived at the owner.
+        deadline: time at which the caller gives up.
+        run_started_at: time at which the request was sent to the backend
+            server; ``arrived_at`` until then.
+        transit_seconds: time that the last message was delayed in transit.
     """
 
     def __init__(self) -> None:
-        """Begin when the call comes."""
-        self.since = read_clock()
-        self.deadline = self.since
-        self.running_since = self.since
-        self.delay = float(0)
+        """Record the arrival of the call."""
+        self.arrived_at = read_clock()
+        self.deadline = self.arrived_at
+        self.run_started_at = self.arrived_at
+        self.transit_seconds = float(0)
 
     @property
     def is_past_deadline(self) -> bool:
-        """Whether nobody waits for the call any more."""
+        """Whether the caller has given up."""
         return read_clock() >= self.deadline
 
-    def count_down(self, fields: CallFields, *, since: float) -> None:
-        """Count the deadline from the time that is left.
+    def update_deadline(
+        self,
+        fields: CallFields,
+        *,
+        received_at: float,
+    ) -> None:
+        """Compute the deadline from the remaining time of a message.
 
         Args:
-            fields: of the message that has come.
-            since: when it came.
+            fields: fields of the message.
+            received_at: time at which the message arrived.
         """
-        self.deadline = since + fields.remaining_ms / MILLISECONDS
+        self.deadline = received_at + fields.remaining_ms / MILLISECONDS
 
-    def begin_run(self) -> None:
-        """Learn that the call goes to the backend server now."""
-        self.running_since = read_clock()
+    def start_run(self) -> None:
+        """Record that the request is sent to the backend server now."""
+        self.run_started_at = read_clock()
 
-    def measure(self) -> float:
-        """Measure how long the call has been at its owner.
+    def measure_elapsed(self) -> float:
+        """Measure the time since the call arrived at the owner.
 
         Returns:
-            Seconds.
+            Duration in seconds.
         """
-        return read_clock() - self.since
+        return read_clock() - self.arrived_at
 
     def measure_run(self) -> float:
-        """Measure how long the call has been at the backend server.
+        """Measure the time since the request was sent to the server.
 
         Returns:
-            Seconds.
+            Duration in seconds.
         """
-        return read_clock() - self.running_since
+        return read_clock() - self.run_started_at
 
     def describe_wait(self, *, has_run: bool) -> Inputs:
-        """Describe for the log what the call waited for.
+        """Build the log inputs for the time before the run.
 
         Args:
-            has_run: whether it went to the backend server.
+            has_run: whether the request was sent to the backend server.
 
         Returns:
-            Milliseconds on its way and at its owner.
+            Milliseconds of delay in transit and of waiting at the owner.
         """
-        until = self.running_since if has_run else read_clock()
+        until = self.run_started_at if has_run else read_clock()
         return {
-            'held_up_ms': _to_ms(self.delay),
-            'waited_ms': _to_ms(until - self.since),
+            'held_up_ms': _to_ms(self.transit_seconds),
+            'waited_ms': _to_ms(until - self.arrived_at),
         }
 
     def describe_run(self, *, has_run: bool) -> Inputs:
-        """Describe for the log how long the call ran.
+        """Build the log inputs for the duration of the run.
 
         Args:
-            has_run: whether it went to the backend server.
+            has_run: whether the request was sent to the backend server.
 
         Returns:
-            Milliseconds at the backend server.
+            Milliseconds at the backend server; 0 if it was not sent.
         """
         return {'took_ms': _to_ms(self.measure_run()) if has_run else 0}
 
--- /dev/null
+++ b/wagtaildale/calls/identity_probe.py
@@ -0,0 +1,143 @@
+"""Probes which instance the backend server beside a node is."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final
+
+from wagtaildale.calls.backend_connection import BackendRequest
+from wagtaildale.calls.failures import CallFailed
+from wagtaildale.calls.parsing import UNKNOWN_LENGTH
+from wagtaildale.errors.codes import Code
+from wagtaildale.timers.service import read_clock
+from wagtaildale.types import InstanceId
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from wagtaildale.calls.addresses import Address
+    from wagtaildale.calls.backend_pool import BackendPool
+    from wagtaildale.calls.backend_connection import BackendConnection
+    from wagtaildale.calls.parsing import Message
+    from wagtaildale.calls.server_targets import ServerTargets
+    from wagtaildale.timers.alarms import Alarm
+
+# Few probes are sent, because a health check takes a slot like a request.
+# But callers are refused for each second without an answer.
+PROBE_INTERVAL_SECONDS: Final = 1.0
+# A server without a free slot answers only after a request has ended.
+PROBE_TIMEOUT_SECONDS: Final = 0.9
+
+
+class IdentityProbe:
+    """Sends health checks at a limited rate; a ``BackendReceiver``."""
+
+    def __init__(
+        self,
+        pool: BackendPool,
+        *,
+        address: Address,
+        field: bytes | None,
+        read_health_path: Callable[[], str],
+        targets: ServerTargets,
+    ) -> None:
+        """Create the probe without sending anything.
+
+        Args:
+            pool: connections to the server.
+            address: address of the server.
+            field: header field of a response that names the instance; None
+                if servers do not identify themselves.
+            read_health_path: callback that returns the path of the health
+                check; empty if there is none.
+            targets: receiver of the reported instance, or of the failure.
+        """
+        self._pool = pool
+        self._address = address
+        self._identity_field = field
+        self._read_health_path = read_health_path
+        self._targets = targets
+        self._next_probe_at = float(0)
+        self._connection: BackendConnection | None = None
+        self._message: Message | None = None
+        self._alarm: Alarm | None = None
+
+    def send_if_due(self) -> None:
+        """Send a probe, at most one every ``PROBE_INTERVAL_SECONDS``."""
+        path = self._read_health_path()
+        now = read_clock()
+        if (
+            self._identity_field is None
+            or not path
+            or now < self._next_probe_at
+        ):
+            return
+        self._next_probe_at = now + PROBE_INTERVAL_SECONDS
+        host = f'{self._address.host}:{self._address.port}'
+        request = BackendRequest(
+            request_id=b'',
+            method=b'GET',
+            target=path.encode(),
+            headers=((b'host', host.encode()),),
+            body=b'',
+            more=False,
+            length=UNKNOWN_LENGTH,
+            idempotent=True,
+        )
+        self._targets.feedback.note_probe()
+        self._connection = self._pool.send_request(request, self)
+        alarms = self._pool.loop.alarms
+        self._alarm = alarms.set(PROBE_TIMEOUT_SECONDS, self._on_timeout)
+
+    def on_head(self, message: Message) -> None:
+        """Read the reported instance; see ``BackendReceiver``.
+
+        The status does not matter: a server that is unhealthy or leaving
+        still reports its own instance.
+
+        Args:
+            message: response to the health check.
+        """
+        self._message = message
+        assert self._identity_field is not None
+        reported = (message.find(self._identity_field) or b'').decode('latin-1')
+        # The name becomes a header value in every request to the server.
+        if reported and reported.isascii() and reported.isprintable():
+            self._targets.note_identified(InstanceId(reported))
+        else:
+            failure = CallFailed(
+                Code.answer_mismatched,
+                detail=(
+                    f'health check response with status {message.status} '
+                    'names no valid instance'
+                ),
+            )
+            self._targets.note_unidentified(failure)
+
+    def on_body(self) -> None:
+        """Discard the body of the response; see ``BackendReceiver``."""
+        assert self._message is not None
+        self._message.take_body()
+        if self._message.is_complete:
+            self._finish()
+
+    def on_failed(self, failure: CallFailed) -> None:
+        """Give up until the next probe; see ``BackendReceiver``.
+
+        Args:
+            failure: cause of the missing response.
+        """
+        self._targets.note_unidentified(failure)
+        self._finish()
+
+    def on_writable(self) -> None:
+        """Do nothing: the request has no body; see ``BackendReceiver``."""
+
+    def _on_timeout(self) -> None:
+        if self._connection is not None:
+            self._connection.close()
+        self.on_failed(CallFailed(Code.timed_out))
+
+    def _finish(self) -> None:
+        self._connection = None
+        if self._alarm is not None:
+            self._alarm.cancel()
--- a/wagtaildale/calls/load_teller.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -1,4 +1,4 @@
-"""What an owner tells entries of its backend server's load and limits."""
+"""Notifies entries of the load and limits of a backend server."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 PERCENT: Final = 100
 
 
-class LoadTeller:
-    """Tells connected entries unasked when they are to send more, or less.
+class LoadNotifier:
+    """Notifies connected entries when they should send more or fewer calls.
 
     Attributes:
-        listeners: are told.
+        listeners: callbacks for each load message.
     """
 
     def __init__(
@@ -36,12 +36,13 @@
         instance: InstanceId,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with nobody to tell.
+        """Start without listeners.
 
         Args:
-            gate: in front of the backend server.
-            instance: of this node.
-            recorder: gets an event when the server turns slow, or well.
+            gate: admission control of the backend server.
+            instance: instance of this node.
+            recorder: recorder of events when the server becomes slow or
+                recovers.
         """
         self.listeners: list[Callable[[LoadReport], None]] = []
         self._is_up = True
@@ -50,50 +51,52 @@
         self._instance = instance
         self._recorder = recorder
 
-    def tell_changes(self) -> None:
-        """Tell what entries do not know yet, if it matters to them."""
+    def notify_changes(self) -> None:
+        """Notify entries of changes of the load that affect them."""
         now = read_clock()
-        percent = self._note_condition(now)
+        percent = self._update_condition(now)
         demand = self._gate.state.demand
         if demand.update_announcement(self._share_out(now), now=now) or percent:
-            self._tell(self._describe_load(percent))
+            self._notify_listeners(self._describe_load(percent))
 
-    def tell_leaving(self, leaving: Leaver) -> None:
-        """Tell that the backend server has said that it leaves.
+    def notify_leaving(self, leaving: Leaver) -> None:
+        """Notify entries that the backend server is leaving.
 
         Args:
-            leaving: the server.
+            leaving: the leaving server.
         """
         self._leaving = leaving
-        self._tell(self._describe_load(0))
+        self._notify_listeners(self._describe_load(0))
 
-    def tell_up(self, *, is_up: bool) -> None:
-        """Tell whether the backend server takes connections.
+    def notify_up(self, *, is_up: bool) -> None:
+        """Notify entries whether the backend server accepts connections.
 
         Args:
             is_up: whether it does.
         """
         if is_up and not self._is_up:
-            # What comes back has said nothing yet.
+            # The restarted server has not announced that it is leaving.
             self._leaving = None
         self._is_up = is_up
-        self._tell(self._describe_load(0))
+        self._notify_listeners(self._describe_load(0))
 
-    def describe_need(self) -> LoadReport | None:
-        """Describe the load to an entry that has just connected.
+    def describe_initial_load(self) -> LoadReport | None:
+        """Describe the load for an entry that has just connected.
 
         Returns:
-            What others were told unasked; nothing of a sound server.
+            The load that other entries were notified of; None if the server
+            has no restrictions.
         """
         load = self._describe_load(0)
         is_sound = load.is_up and load.share is None and load.leaving is None
         return None if is_sound else load
 
     def describe_rate(self) -> int:
-        """Describe the rate that the backend server takes.
+        """Encode the rate limit of the backend server.
 
         Returns:
-            Thousandths of a request a second, or a negative mark.
+            Limit in thousandths of a request per second; negative if there
+            is none or if it is not known yet.
         """
         rate = self._gate.state.rate
         if rate.is_observed or rate.is_limited:
@@ -101,15 +104,15 @@
         return UNKNOWN_RATE
 
     def describe_share(self) -> PassShare | None:
-        """Describe which requests entries may send.
+        """Describe which share of their requests entries may send.
 
         Returns:
-            The share of each rank; nothing if all may come.
+            The share for each rank; None if all requests may be sent.
         """
         share = self._share_out(read_clock())
         return None if share == ALL_PASS else share
 
-    def _note_condition(self, now: float) -> int:
+    def _update_condition(self, now: float) -> int:
         condition = self._gate.state.slowness
         if not condition.update_announcement(now=now):
             return 0
@@ -137,6 +140,6 @@
             leaving=self._leaving,
         )
 
-    def _tell(self, load: LoadReport) -> None:
-        for tell in self.listeners:
-            tell(load)
+    def _notify_listeners(self, load: LoadReport) -> None:
+        for notify in self.listeners:
+            notify(load)
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -1,4 +1,4 @@
-"""The owner: the only way to the backend server beside this node."""
+"""The owner: the only access to the backend server beside this node."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     CallFields,
     decode_rate,
 )
-from wagtaildale.calls.load_teller import LoadTeller
+from wagtaildale.calls.load_notifier import LoadNotifier
 from wagtaildale.calls.server_targets import ServerTargets
-from wagtaildale.calls.server_words import ServerWords
+from wagtaildale.calls.server_feedback import FeedbackTracker
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import (
@@ -44,28 +44,33 @@
 
 
 class Identity(Struct, frozen=True, kw_only=True):
-    """Which process of which instance this is."""
+    """Instance and incarnation of this process.
+
+    Attributes:
+        instance: id of the instance.
+        incarnation: number of its current start.
+    """
 
     instance: InstanceId
     incarnation: Incarnation
 
 
 class Owner:
-    """What all calls to one backend server share.
+    """State shared by all calls to one backend server.
 
     Attributes:
-        identity: of this process.
-        gate: in front of the backend server.
-        pool: connections to it.
-        ledger: non-idempotent requests that were let through.
-        replays: answers kept for repeated idempotency keys.
-        invariants: are checked on each call.
-        dialect: how the backend server is spoken to.
-        loop: carries the calls.
-        strays: responses that named another request.
-        teller: tells entries unasked what they are to know.
-        server: which instance the backend server is.
-        trials: which suspected requests may run there.
+        identity: instance and incarnation of this process.
+        gate: admission control of the backend server.
+        pool: connections to the backend server.
+        ledger: ids of the non-idempotent requests that were admitted.
+        replays: answers stored for repeated idempotency keys.
+        invariants: invariants checked on each call.
+        dialect: header fields that the backend server uses.
+        loop: event loop of the calls.
+        stray_count: number of responses that named another request.
+        load_notifier: sender of load updates to the connected entries.
+        server: resolver of the instance that the backend server is.
+        trials: admission of requests suspected of ending servers.
     """
 
     def __init__(
@@ -82,19 +87,19 @@
         find_record: Callable[[InstanceId], InstanceRecord | None],
         trials: SuspectTrials,
     ) -> None:
-        """Take charge of a backend server.
+        """Create the owner of a backend server.
 
         Args:
-            identity: of this process.
-            service: of the backend server.
-            loop: carries the calls.
-            gate: in front of the backend server.
-            backend: where it listens.
-            invariants: are checked on each call.
-            recorder: gets an event for each call that ends.
-            dialect: how it is spoken to.
-            find_record: gives what is listed of an instance.
-            trials: which suspected requests may run there.
+            identity: instance and incarnation of this process.
+            service: service of the backend server.
+            loop: event loop of the calls.
+            gate: admission control of the backend server.
+            backend: address on which the backend server listens.
+            invariants: invariants checked on each call.
+            recorder: recorder of an event for each call that ends.
+            dialect: header fields that the backend server uses.
+            find_record: lookup of an instance's record in the list.
+            trials: admission of requests suspected of ending servers.
         """
         self.identity = identity
         self.loop = loop
@@ -103,8 +108,8 @@
         self.dialect = dialect
         self.ledger = RunLedger()
         self.replays = ReplayCache()
-        self.strays = 0
-        self.teller = LoadTeller(
+        self.stray_count = 0
+        self.load_notifier = LoadNotifier(
             gate,
             instance=identity.instance,
             recorder=recorder,
@@ -113,50 +118,55 @@
             loop,
             address=backend,
             request_id_field=dialect.request_id,
-            note_stray=self._note_stray,
+            on_stray_response=self._count_stray_response,
             recorder=recorder,
         )
         self.server = ServerTargets(
             service,
             find_record=find_record,
             recorder=recorder,
-            words=ServerWords(gate, recorder=recorder),
+            feedback=FeedbackTracker(gate, recorder=recorder),
         )
-        self.server.leaving.listeners.append(self.teller.tell_leaving)
-        self.pool.watch.listeners.append(self._note_watch)
+        self.server.leaving.listeners.append(self.load_notifier.notify_leaving)
+        self.pool.watch.listeners.append(self._on_watch_changed)
         self.trials = trials
-        trials.ends.listeners.append(self.server.words.note_started)
+        trials.ends.listeners.append(self.server.feedback.note_started)
         trials.ends.listeners.append(self.pool.watch.note_down)
         self._find_record = find_record
         self._recorder = recorder
 
     def check_target(self, fields: CallFields) -> None:
-        """Check that a call is meant for this owner, and take its word.
+        """Check that a call is meant for this owner and apply its rate limit.
 
-        Failure guarded here: an address is reused by another instance, or
-        this process was replaced, and a call for the one that was there
-        comes here. Or an entry has not heard yet that the instance leaves,
-        and sends it new work; its owner has. Or the server has said that it
-        is another instance, and would turn the request away once more.
+        Rejects calls that would reach the wrong server: the address may be
+        reused by another instance, or this process may have replaced the one
+        that the call names. It also rejects new work when the owner already
+        knows that the instance is leaving but the entry does not, and when
+        the server has identified itself as another instance and would refuse
+        the request again.
 
         Args:
-            fields: what the entry told.
+            fields: fields of the call, as the entry sent them.
 
         Raises:
-            CallFailed: with outcome ``not_run``, when it is not.
+            CallFailed: with outcome ``not_run``, if the call is not meant
+                for this owner.
         """
-        known = fields.incarnation in {
+        is_known = fields.incarnation in {
             ANY_INCARNATION,
             self.identity.incarnation,
         }
-        if not known or not self._serves(fields.instance):
+        if not is_known or not self._serves(fields.instance):
             raise CallFailed(Code.wrong_instance)
         self.server.check(fields)
-        brought = decode_rate(fields.rate_milli)
-        if brought is not None:
-            self.server.words.note_brought(brought, instance=fields.instance)
+        relayed_limit = decode_rate(fields.rate_milli)
+        if relayed_limit is not None:
+            self.server.feedback.apply_relayed_limit(
+                relayed_limit,
+                instance=fields.instance,
+            )
 
-    def describe(
+    def build_answer_fields(
         self,
         fields: CallFields,
         *,
@@ -167,19 +177,20 @@
         retry_ms: int = 0,
         has_arrived: bool = False,
     ) -> AnswerFields:
-        """Describe this owner in an answer.
+        """Build the fields of an answer, with the state of this owner.
 
         Args:
-            fields: of the call that is answered.
+            fields: fields of the call that is answered.
             code: numbered result code.
             outcome: whether the request ran.
-            owner_seconds: spent here, waiting included.
-            backend_seconds: spent at the backend server.
-            retry_ms: after which asking again is worth it.
-            has_arrived: whether the backend server turned it away.
+            owner_seconds: time spent at the owner, including the queue.
+            backend_seconds: time spent at the backend server.
+            retry_ms: time after which a retry is useful, in milliseconds.
+            has_arrived: whether the request reached the backend server,
+                which refused it.
 
         Returns:
-            What goes along with the answer.
+            Fields that go with the answer.
         """
         state = self.gate.state
         usual = state.find_run_times(fields.work_class)
@@ -200,12 +211,14 @@
             class_us=_to_us(usual.recent),
             class_usual_us=_to_us(usual.reliable_mean),
             has_arrived=has_arrived,
-            rate_milli=self.teller.describe_rate(),
-            share=self.teller.describe_share(),
-            leaving=self.server.leaving.find_leaver(self.server.name(fields)),
+            rate_milli=self.load_notifier.describe_rate(),
+            share=self.load_notifier.describe_share(),
+            leaving=self.server.leaving.find_leaver(
+                self.server.resolve_target(fields),
+            ),
         )
 
-    def note_end(
+    def record_end(
         self,
         kind: EventKind,
         fields: CallFields,
@@ -214,14 +227,14 @@
         code: int = 0,
         detail: str = '',
     ) -> None:
-        """Record how a call ended here.
+        """Record an event for a call that ended at this owner.
 
         Args:
-            kind: whether it ran or was refused.
-            fields: what the entry told of it.
-            inputs: times and outcome.
-            code: numbered result code, if something is wrong.
-            detail: anything more, for a person.
+            kind: kind of the event: the call ran or was refused.
+            fields: fields of the call.
+            inputs: times and outcome of the call.
+            code: numbered result code; 0 if the call succeeded.
+            detail: further text for operators.
         """
         state = self.gate.state
         self._recorder.record(
@@ -243,20 +256,20 @@
     def _serves(self, instance: InstanceId) -> bool:
         if self.dialect.expected_instance is None:
             return instance == self.identity.instance
-        # The backend server itself refuses what is meant for another; this
-        # process learns who is beside it from the list alone, and late.
+        # The backend server itself refuses requests for another instance.
+        # This process knows its server only from the list, which lags.
         record = self._find_record(instance)
         return record is None or record.node_id == self.identity.instance
 
-    def _note_stray(self) -> None:
-        self.strays += 1
+    def _count_stray_response(self) -> None:
+        self.stray_count += 1
 
-    def _note_watch(self) -> None:
+    def _on_watch_changed(self) -> None:
         is_up = self.pool.watch.is_up
         if is_up:
             self.server.leaving.note_started()
-            self.server.words.note_started()
-        self.teller.tell_up(is_up=is_up)
+            self.server.feedback.note_started()
+        self.load_notifier.notify_up(is_up=is_up)
 
 
 def _to_us(seconds: float) -> int:
--- a/wagtaildale/calls/owned.py
+++ b/wagtaildale/calls/owner_call.py
@@ -1,7 +1,7 @@
-"""One call at its owner: admitted, run and ended.
+"""One call at its owner: admission, run and end.
 
-What runs it at the backend server is in ``backend_run``, what is answered in
-``replies``.
+Running the request at the backend server is in ``backend_run``, and writing
+the answers is in ``replies``.
 """
 
 from __future__ import annotations
@@ -30,14 +30,15 @@
     from wagtaildale.calls.replies import EntryChannel
     from wagtaildale.timers.alarms import Alarm
 
-# Long enough for a run message over a slow connection, short enough that a
-# slot whose entry died is soon free again.
+# Long enough for a run message over a slow connection, and short enough that
+# a slot is soon free again after its entry died.
 LEASE_SECONDS: Final = 0.5
-# After the deadline the entry gives up by itself; an owner that still holds
-# the call this much later has lost its entry.
-OVERTIME_SECONDS: Final = 0.05
+# At the deadline the entry gives up by itself. If the owner still has the call
+# this much later, the entry is gone.
+DEADLINE_GRACE_SECONDS: Final = 0.05
 SHED_STATUS: Final = 503
-# What speaks against the backend server, and not against one request.
+# Failures that indicate a fault of the backend server rather than of one
+# request.
 BACKEND_FAULTS: Final = frozenset(
     (
         Code.backend_cut,
@@ -51,7 +52,7 @@
 
 @final
 class CallState(Enum):
-    """Where a call stands at its owner."""
+    """State of a call at its owner."""
 
     waiting = 'waiting'
     reserved = 'reserved'
@@ -59,11 +60,11 @@
     over = 'over'
 
 
-class OwnedCall:
-    """One call; a ``RunReceiver``.
+class OwnerCall:
+    """One call at its owner; a ``RunReceiver``.
 
     Attributes:
-        state: where it stands.
+        state: current state of the call.
     """
 
     def __init__(
@@ -73,12 +74,12 @@
         *,
         channel: EntryChannel,
     ) -> None:
-        """Begin with nothing known of it.
+        """Create the call before its first message is handled.
 
         Args:
-            owner: of the backend server.
-            number: of the call, on the entry's connection.
-            channel: the way back.
+            owner: owner of the backend server.
+            number: number of the call on the entry's connection.
+            channel: connection back to the entry.
         """
         self.state = CallState.waiting
         self._owner = owner
@@ -99,59 +100,59 @@
 
     @property
     def fields(self) -> CallFields:
-        """What the entry told of the call."""
+        """Fields of the call, as the entry sent them."""
         assert self._fields is not None
         return self._fields
 
-    def take_reserve(self, frame: Reserve, *, delay: float) -> None:
-        """Ask for a slot that is held for a run message.
+    def handle_reserve(self, frame: Reserve, *, delay: float) -> None:
+        """Request a slot that is leased until the run message arrives.
 
         Args:
-            frame: what the entry tells of the call.
-            delay: for which the line held the message up, seconds.
+            frame: message with the fields of the call.
+            delay: time that the message was delayed in transit, in seconds.
         """
-        self._times.delay = delay
-        self._enter(subtract_delay(frame.fields, delay=delay))
+        self._times.transit_seconds = delay
+        self._request_slot(subtract_delay(frame.fields, delay=delay))
 
-    def take_run(self, frame: Run, *, delay: float) -> None:
-        """Run the request, once there is a slot or on the one held.
+    def handle_run(self, frame: Run, *, delay: float) -> None:
+        """Run the request on the leased slot, or once a slot is free.
 
         Args:
-            frame: the request.
-            delay: for which the line held the message up, seconds.
+            frame: message with the request.
+            delay: time that the message was delayed in transit, in seconds.
         """
-        self._times.delay = delay
+        self._times.transit_seconds = delay
         self._request = frame
         fields = subtract_delay(frame.fields, delay=delay)
         if fields.lease:
-            self._redeem(fields)
+            self._redeem_lease(fields)
         else:
-            self._enter(fields)
+            self._request_slot(fields)
 
-    def take_piece(self, frame: BodyPiece) -> None:
-        """Pass more of the request's body on.
+    def handle_piece(self, frame: BodyPiece) -> None:
+        """Send another piece of the request's body to the server.
 
         Args:
-            frame: the piece.
+            frame: message with the piece.
         """
         if self._run is not None:
-            self._run.add(frame)
+            self._run.send_piece(frame)
 
-    def take_taken(self, frame: WindowUpdate) -> None:
-        """Send more of the response.
+    def handle_taken(self, frame: WindowUpdate) -> None:
+        """Continue the response after the entry has forwarded some of it.
 
         Args:
-            frame: how much the entry has passed on.
+            frame: message with the number of bytes forwarded.
         """
         if self._run is not None:
             self._run.note_taken(frame.count)
 
     def cancel(self) -> None:
-        """Stop whatever is done for the call: nobody waits for it."""
+        """Stop the call because nobody waits for its answer."""
         state = self.state
         if state is CallState.over:
             return
-        self._owner.note_end(
+        self._owner.record_end(
             EventKind.run_ended,
             self.fields,
             inputs=self._times.describe_wait(
@@ -162,17 +163,17 @@
         )
         self._close()
         if state is CallState.waiting:
-            self._give_up()
+            self._withdraw()
         else:
-            self._settle(Ending.abandoned)
+            self._release_slot(Ending.abandoned)
 
     def on_run_finished(self, status: int) -> None:
-        """End the call: it is answered; see ``RunReceiver``.
+        """End a call that was answered; see ``RunReceiver``.
 
         Args:
             status: HTTP status.
         """
-        self._owner.note_end(
+        self._owner.record_end(
             EventKind.run_ended,
             self.fields,
             inputs={
@@ -182,13 +183,13 @@
             },
         )
         self._close()
-        shed = status == SHED_STATUS
-        self._settle(Ending.failed if shed else Ending.good)
+        is_shed = status == SHED_STATUS
+        self._release_slot(Ending.failed if is_shed else Ending.good)
 
     def on_run_repeated(self) -> None:
-        """End the call: it is answered as before; see ``RunReceiver``."""
+        """End a call answered from a stored answer; see ``RunReceiver``."""
         self._close()
-        self._settle(Ending.abandoned)
+        self._release_slot(Ending.abandoned)
 
     def on_run_failed(
         self,
@@ -199,18 +200,18 @@
         """End the call without an answer; see ``RunReceiver``.
 
         Args:
-            failure: why, and whether it has run.
-            repeated: whether it came a second time.
+            failure: cause of the failure, and whether the request ran.
+            repeated: whether the request is a duplicate.
         """
         self._fail(failure, repeated=repeated)
 
     # Admission
 
-    def _enter(self, fields: CallFields) -> None:
+    def _request_slot(self, fields: CallFields) -> None:
         self._fields = fields
         owner = self._owner
         times = self._times
-        times.count_down(fields, since=times.since)
+        times.update_deadline(fields, received_at=times.arrived_at)
         try:
             owner.check_target(fields)
         except CallFailed as failure:
@@ -218,7 +219,7 @@
             return
         was_draining = owner.gate.state.draining
         self._alarm = owner.loop.alarms.set_at(
-            times.deadline + OVERTIME_SECONDS,
+            times.deadline + DEADLINE_GRACE_SECONDS,
             self._time_out,
         )
         ticket = owner.gate.request_slot(
@@ -231,7 +232,7 @@
                 pass_rank=fields.pass_rank,
                 stands_for=fields.represented_requests,
             ),
-            self._judge,
+            self._handle_verdict,
         )
         if self.state is CallState.waiting:
             self._ticket = ticket
@@ -241,7 +242,7 @@
             detail=fields.request_id,
         )
 
-    def _judge(self, verdict: Verdict) -> None:
+    def _handle_verdict(self, verdict: Verdict) -> None:
         if isinstance(verdict, Refused):
             self._fail(
                 CallFailed(verdict.code, retry_after=verdict.retry_after),
@@ -250,16 +251,16 @@
         self._ticket = verdict.ticket
         self.state = CallState.reserved
         if self._request is not None:
-            self._start_if_meant(self._request)
+            self._start_if_target_valid(self._request)
             return
         self._owner.gate.lease(verdict.ticket, seconds=LEASE_SECONDS)
         self._replies.send_grant(self.fields, lease=verdict.ticket)
 
-    def _redeem(self, fields: CallFields) -> None:
-        # The fields of the run message count: they name the incarnation
-        # that gave the lease.
+    def _redeem_lease(self, fields: CallFields) -> None:
+        # The fields of the run message apply: they name the incarnation
+        # that granted the lease.
         self._fields = fields
-        self._times.count_down(fields, since=read_clock())
+        self._times.update_deadline(fields, received_at=read_clock())
         try:
             self._owner.check_target(fields)
         except CallFailed as failure:
@@ -275,10 +276,10 @@
         assert self._request is not None
         self._start(self._request)
 
-    def _start_if_meant(self, request: Run) -> None:
+    def _start_if_target_valid(self, request: Run) -> None:
         try:
-            # Failure: a call waits for a slot while its server is listed as
-            # leaving, and reaches it long after everybody knows.
+            # The server may be listed as leaving while the call waits for a
+            # slot; without a second check the call would still reach it.
             self._owner.check_target(self.fields)
         except CallFailed as failure:
             self._fail(failure)
@@ -302,11 +303,11 @@
     # Ends
 
     def _time_out(self) -> None:
-        ran = self.state is CallState.running
+        has_run = self.state is CallState.running
         self._fail(
             CallFailed(
                 Code.timed_out,
-                outcome=Outcome.unknown if ran else Outcome.not_run,
+                outcome=Outcome.unknown if has_run else Outcome.not_run,
             ),
         )
 
@@ -318,38 +319,40 @@
             self._replies.abort()
         else:
             self._replies.send_failure(self.fields, failure)
-        self._note_failure(failure)
+        self._record_failure(failure)
         self._close()
         if state is CallState.waiting:
-            self._give_up()
+            self._withdraw()
             return
-        faulty = failure.code in BACKEND_FAULTS
-        self._settle(Ending.failed if faulty else Ending.abandoned)
+        is_backend_fault = failure.code in BACKEND_FAULTS
+        self._release_slot(
+            Ending.failed if is_backend_fault else Ending.abandoned,
+        )
         if state is CallState.running and not repeated:
             assert self._run is not None
-            self._run.settle_claims(failure)
+            self._run.settle_run_once(failure)
 
-    def _note_failure(self, failure: CallFailed) -> None:
-        ran = self.state is CallState.running
-        self._owner.note_end(
-            EventKind.run_ended if ran else EventKind.run_refused,
+    def _record_failure(self, failure: CallFailed) -> None:
+        has_run = self.state is CallState.running
+        self._owner.record_end(
+            EventKind.run_ended if has_run else EventKind.run_refused,
             self.fields,
             inputs={
                 'outcome': failure.outcome.value,
                 **failure.describe_ends(),
-                **self._times.describe_wait(has_run=ran),
-                **self._times.describe_run(has_run=ran),
+                **self._times.describe_wait(has_run=has_run),
+                **self._times.describe_run(has_run=has_run),
             },
             code=failure.code,
             detail=failure.detail,
         )
 
-    def _give_up(self) -> None:
+    def _withdraw(self) -> None:
         if self._ticket is not None:
             self._owner.gate.cancel(self._ticket)
-        self._owner.teller.tell_changes()
+        self._owner.load_notifier.notify_changes()
 
-    def _settle(self, ending: Ending) -> None:
+    def _release_slot(self, ending: Ending) -> None:
         if self._ticket is None:
             return
         self._owner.gate.release_slot(
@@ -358,7 +361,7 @@
             ending=ending,
             work_class=self.fields.work_class,
         )
-        self._owner.teller.tell_changes()
+        self._owner.load_notifier.notify_changes()
 
     def _close(self) -> None:
         self.state = CallState.over
--- a/wagtaildale/calls/server_words.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself along with its responses."""
+"""Reads and applies what a backend server reports in its responses."""
 
 from __future__ import annotations
 
@@ -26,57 +26,58 @@
     from wagtaildale.telemetry.events import EventRecorder
 
 DECIMAL: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
-LEAVING: Final = b'1'
-# Of a field that cannot be read, what goes into the log.
-SHOWN_BYTES: Final = 40
+LEAVING_VALUE: Final = b'1'
+# Part of a malformed header value that is logged.
+LOGGED_BYTES: Final = 40
 
 
-class ServerWord(Struct, frozen=True, kw_only=True):
-    """What a backend server says with one response.
+class ServerFeedback(Struct, frozen=True, kw_only=True):
+    """Feedback of a backend server in one response.
 
     Attributes:
-        per_second: requests that it takes from all nodes together; nothing
-            if it names no limit.
-        is_leaving: whether it will end.
-        unreadable: what stands in place of either, if it cannot be read.
+        per_second: requests per second that the server accepts from all
+            nodes together; None if it sets no limit.
+        is_leaving: whether the server announces that it is leaving.
+        malformed: value of a header that could not be parsed; empty if all
+            could.
     """
 
     per_second: float | None = None
     is_leaving: bool = False
-    unreadable: bytes = b''
+    malformed: bytes = b''
 
 
-def read_word(message: Message, dialect: Dialect) -> ServerWord:
-    """Read what a response says of its server.
+def parse_feedback(message: Message, dialect: Dialect) -> ServerFeedback:
+    """Parse the feedback headers of a response.
 
     Args:
         message: the response.
-        dialect: names the fields.
+        dialect: names of the header fields.
 
     Returns:
-        The server's word.
+        The feedback of the server.
     """
-    limit = _find(message, dialect.rate_limit)
-    leaving = _find(message, dialect.leaving)
+    limit = _find_header(message, dialect.rate_limit)
+    leaving = _find_header(message, dialect.leaving)
     if limit is not None and DECIMAL.fullmatch(limit) is None:
-        return ServerWord(unreadable=limit)
-    if leaving is not None and leaving != LEAVING:
-        return ServerWord(unreadable=leaving)
-    return ServerWord(
+        return ServerFeedback(malformed=limit)
+    if leaving is not None and leaving != LEAVING_VALUE:
+        return ServerFeedback(malformed=leaving)
+    return ServerFeedback(
         per_second=None if limit is None else float(limit),
         is_leaving=leaving is not None,
     )
 
 
-class ServerWords:
-    """Takes what the backend server beside a node says of itself."""
+class FeedbackTracker:
+    """Applies the feedback of the backend server beside a node."""
 
     def __init__(self, gate: Gate, *, recorder: EventRecorder) -> None:
-        """Begin with nothing heard.
+        """Start without feedback.
 
         Args:
-            gate: in front of the server; goes by what it says.
-            recorder: gets an event with each change.
+            gate: admission control of the server, which applies its limits.
+            recorder: recorder of an event for each change.
         """
         self._gate = gate
         self._recorder = recorder
@@ -84,79 +85,88 @@
 
     @property
     def per_second(self) -> float | None:
-        """Requests that the server takes; nothing while it names no limit."""
+        """Rate limit in requests per second; None while there is none."""
         return self._gate.state.rate.per_second
 
-    def take(
+    def apply(
         self,
-        word: ServerWord,
+        feedback: ServerFeedback,
         *,
         instance: InstanceId,
         begun_at: float,
     ) -> None:
-        """Take the word of a response.
+        """Apply the feedback of a response.
 
         Args:
-            word: of the server.
-            instance: that answered.
-            begun_at: when the request was sent to it, seconds.
+            feedback: feedback read from the response.
+            instance: instance that answered.
+            begun_at: time at which the request was sent, in seconds.
         """
-        if word.unreadable:
-            # What cannot be read names no limit, and ends none.
-            self._refuse(word, instance)
+        if feedback.malformed:
+            # A malformed header neither sets nor removes a limit.
+            self._record_malformed(feedback, instance)
             return
         if instance != self._instance:
             self._instance = instance
             self.note_started()
-        known = self.per_second
+        previous = self.per_second
         self._gate.handle_server_message(
-            RateReported(per_second=word.per_second, begun_at=begun_at),
+            RateReported(per_second=feedback.per_second, begun_at=begun_at),
         )
-        if self.per_second != known:
+        if self.per_second != previous:
             self._record_limit(instance)
 
-    def note_brought(self, per_second: float, *, instance: InstanceId) -> None:
-        """Take what an entry has heard of the server's limit.
+    def apply_relayed_limit(
+        self,
+        per_second: float,
+        *,
+        instance: InstanceId,
+    ) -> None:
+        """Apply a rate limit that an entry knows from an earlier owner.
 
         Args:
-            per_second: requests that it takes.
-            instance: that was asked.
+            per_second: limit in requests per second.
+            instance: instance that the request names.
         """
         if self._gate.state.rate.is_observed:
             return
-        known = self.per_second
+        previous = self.per_second
         self._gate.handle_server_message(RateForwarded(per_second=per_second))
-        if self.per_second != known:
+        if self.per_second != previous:
             self._record_limit(instance, origin='entry')
 
     def note_started(self) -> None:
-        """Learn that the server has ended; the next one has said nothing."""
+        """Clear the limit, because a new server process started."""
         if self.per_second is not None:
             self._recorder.record(
                 EventKind.server_unlimited,
                 subject=self._instance,
-                detail='started anew',
+                detail='the server restarted',
             )
         self._gate.handle_server_message(ServerRestarted())
 
     def note_leaving(self, _leaver: Leaver) -> None:
-        """Learn that the server leaves: whoever waits for it is refused.
+        """Refuse the requests that wait for a leaving server.
 
         Args:
-            _leaver: the server.
+            _leaver: the leaving server.
         """
         self._gate.handle_server_message(LeavingReported())
 
     def note_probe(self) -> None:
-        """Count a request of the node's own to the server."""
+        """Count a probe that the node sends to the server."""
         self._gate.handle_server_message(ProbeSent())
 
-    def _refuse(self, word: ServerWord, instance: InstanceId) -> None:
+    def _record_malformed(
+        self,
+        feedback: ServerFeedback,
+        instance: InstanceId,
+    ) -> None:
         self._recorder.record(
             EventKind.server_word_refused,
             code=Code.server_word_malformed,
             subject=instance,
-            detail=repr(word.unreadable[:SHOWN_BYTES]),
+            detail=repr(feedback.malformed[:LOGGED_BYTES]),
         )
 
     def _record_limit(
@@ -176,5 +186,5 @@
         )
 
 
-def _find(message: Message, name: bytes | None) -> bytes | None:
+def _find_header(message: Message, name: bytes | None) -> bytes | None:
     return None if name is None else message.find(name)
--- a/wagtaildale/calls/server_watch.py
+++ b/wagtaildale/calls/server_watch.py
@@ -1,15 +1,15 @@
-"""Whether the backend server beside a node is up.
+"""Monitors whether the backend server beside a node is up.
 
-Failure guarded here: a server ends, and every entry finds that out by itself,
-again and again, by requests that its port refuses. The owner knows within
-milliseconds; it looks by itself when the server is back.
+The owner detects the end of its server within milliseconds and then probes
+the port until the server is back. Without this, every entry would find out by
+itself, again and again, through requests that the port refuses.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.knock import Knock, Knocked
+from wagtaildale.calls.port_probe import PortProbe, ProbeResult
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
 
@@ -20,20 +20,22 @@
     from wagtaildale.reactor.loop import Loop
     from wagtaildale.telemetry.events import EventRecorder
 
-# A server takes seconds to start; each try costs it a connection.
-KNOCK_SECONDS: Final = 0.25
-# A server that is not back by then takes seconds.
-QUICK_SECONDS: Final = 0.5
+# A server takes seconds to start, and each probe costs it a connection.
+PROBE_INTERVAL_SECONDS: Final = 0.25
+# A server that is not back by then takes seconds to start, so the waiting
+# runs go on without it.
+QUICK_RESTART_SECONDS: Final = 0.5
 MILLISECONDS: Final = 1000
 
 
 class ServerWatch:
-    """Knows whether the server takes connections.
+    """Tracks whether the server accepts connections.
 
     Attributes:
-        is_up: whether it does, as far as is known.
-        changed_at: since when, seconds on the clock.
-        listeners: are told, when it changes and with each try in between.
+        is_up: last known state.
+        changed_at: time of the last change, in seconds on the clock.
+        listeners: callbacks for each change, and for each failed probe while
+            the server is down.
     """
 
     def __init__(
@@ -43,12 +45,13 @@
         *,
         recorder: EventRecorder,
     ) -> None:
-        """Begin with a server that is taken to be up.
+        """Start with the assumption that the server is up.
 
         Args:
-            loop: carries connections to it.
-            address: of the server.
-            recorder: gets an event when it goes down, and is up again.
+            loop: event loop of the probes.
+            address: address of the server.
+            recorder: recorder of events when the server goes down or is up
+                again.
         """
         self.is_up = True
         self.changed_at = read_clock()
@@ -60,69 +63,73 @@
 
     @property
     def up_seconds(self) -> float:
-        """For how long the server has been up; 0 while it is down."""
+        """Seconds that the server has been up; 0 while it is down."""
         return read_clock() - self.changed_at if self.is_up else 0
 
-    def wait_up(self, on_over: Callable[[], None]) -> None:
-        """Wait for a server that may be back in a moment.
+    def wait_until_up(self, on_done: Callable[[], None]) -> None:
+        """Wait for a server that may restart quickly.
 
         Args:
-            on_over: is told when it is up, or is not back soon; perhaps
-                before this returns.
+            on_done: callback for when the server is up, or not back within
+                ``QUICK_RESTART_SECONDS``; may be called before this returns.
         """
-        if self.is_up or read_clock() - self.changed_at >= QUICK_SECONDS:
-            on_over()
+        if (
+            self.is_up
+            or read_clock() - self.changed_at >= QUICK_RESTART_SECONDS
+        ):
+            on_done()
         else:
-            self._waiting.append(on_over)
+            self._waiting.append(on_done)
 
     def note_down(self) -> None:
-        """Learn that the server takes no connection."""
+        """Record that the server is down or refused a connection."""
         if self.is_up:
             self._change(is_up=False)
             self._recorder.record(EventKind.server_down)
-            self._wait()
+            self._schedule_probe()
 
     def note_up(self) -> None:
-        """Learn that the server has taken a connection."""
+        """Record that the server accepted a connection."""
         if not self.is_up:
             since = self.changed_at
             self._change(is_up=True)
-            down = read_clock() - since
+            down_seconds = read_clock() - since
             self._recorder.record(
                 EventKind.server_up,
-                inputs={'down_ms': round(down * MILLISECONDS)},
+                inputs={'down_ms': round(down_seconds * MILLISECONDS)},
             )
 
     def _change(self, *, is_up: bool) -> None:
         self.is_up = is_up
         self.changed_at = read_clock()
-        self._tell()
+        self._notify_listeners()
         if is_up:
-            self._end_waiting()
+            self._release_waiting()
 
-    def _end_waiting(self) -> None:
+    def _release_waiting(self) -> None:
         waiting = self._waiting
         self._waiting = []
-        for tell in waiting:
-            tell()
+        for notify in waiting:
+            notify()
 
-    def _tell(self) -> None:
-        for tell in self.listeners:
-            tell()
+    def _notify_listeners(self) -> None:
+        for notify in self.listeners:
+            notify()
 
-    def _wait(self) -> None:
-        self._loop.alarms.set(KNOCK_SECONDS, self._knock)
+    def _schedule_probe(self) -> None:
+        self._loop.alarms.set(PROBE_INTERVAL_SECONDS, self._probe)
 
-    def _knock(self) -> None:
+    def _probe(self) -> None:
         if not self.is_up:
-            Knock(self._loop, self._address, on_word=self._take_knock)
+            PortProbe(self._loop, self._address, on_result=self._handle_probe)
 
-    def _take_knock(self, word: Knocked) -> None:
-        if word is Knocked.opened:
+    def _handle_probe(self, outcome: ProbeResult) -> None:
+        if outcome is ProbeResult.opened:
             self.note_up()
         elif not self.is_up:
-            # Word of it may have been lost, or an entry is new.
-            self._tell()
-            self._wait()
-            if read_clock() - self.changed_at >= QUICK_SECONDS:
-                self._end_waiting()
+            # Repeats the notification, because an earlier one may have been
+            # lost or an entry may have connected since.
+            self._notify_listeners()
+            self._schedule_probe()
+            if read_clock() - self.changed_at >= QUICK_RESTART_SECONDS:
+                self._release_waiting()
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -20,7 +20,7 @@
     Run,
     WindowUpdate,
 )
-from wagtaildale.calls.owned import OwnedCall
+from wagtaildale.calls.owner_call import OwnerCall
 from wagtaildale.calls.transit import TransitDelayEstimator
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.acceptor import Acceptor
@@ -67,7 +67,7 @@
         self.recorder = recorder
         self._sessions: set[PeerSession] = set()
         self.acceptor = Acceptor(owner.loop, on_accept=self._accept)
-        owner.teller.listeners.append(self._send_load)
+        owner.load_notifier.listeners.append(self._send_load)
 
     @property
     def open_connections(self) -> int:
@@ -154,7 +154,7 @@
         self.owner = owner
         self.reply = reply
         self._accepts_drain_notice = False
-        self._calls: dict[CallNumber, OwnedCall] = {}
+        self._calls: dict[CallNumber, OwnerCall] = {}
         self._transit_delay = TransitDelayEstimator(opened_at=read_clock())
 
     @property
@@ -184,7 +184,7 @@
         """
         self._accepts_drain_notice = True
         self.announce_drain()
-        load = self.owner.teller.describe_need()
+        load = self.owner.load_notifier.describe_initial_load()
         if load is not None:
             self.reply(load)
 
@@ -224,7 +224,7 @@
             fields.sent_ms, now=read_clock()
         )
 
-    def find(self, number: CallNumber) -> OwnedCall | None:
+    def find(self, number: CallNumber) -> OwnerCall | None:
         """Find a call.
 
         Args:
@@ -235,7 +235,7 @@
         """
         return self._calls.get(number)
 
-    def find_or_create(self, number: CallNumber) -> OwnedCall | None:
+    def find_or_create(self, number: CallNumber) -> OwnerCall | None:
         """Find a call, or create it if the number is new.
 
         Args:
@@ -246,7 +246,7 @@
         """
         call = self._calls.get(number)
         if call is None and len(self._calls) < MAX_CALLS_PER_ENTRY:
-            call = OwnedCall(self.owner, number, channel=self)
+            call = OwnerCall(self.owner, number, channel=self)
             self._calls[number] = call
         return call
 
@@ -270,7 +270,7 @@
     delay = calls.measure_delay(frame.fields)
     call = calls.find_or_create(frame.call)
     if call is not None:
-        call.take_reserve(frame, delay=delay)
+        call.handle_reserve(frame, delay=delay)
 
 
 @dispatch_frame.register
@@ -278,21 +278,21 @@
     delay = calls.measure_delay(frame.fields)
     call = calls.find_or_create(frame.call)
     if call is not None:
-        call.take_run(frame, delay=delay)
+        call.handle_run(frame, delay=delay)
 
 
 @dispatch_frame.register
 def _handle_body_piece(frame: BodyPiece, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
-        call.take_piece(frame)
+        call.handle_piece(frame)
 
 
 @dispatch_frame.register
 def _handle_window_update(frame: WindowUpdate, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
-        call.take_taken(frame)
+        call.handle_taken(frame)
 
 
 @dispatch_frame.register
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.server_ends import ServerEnds
+from wagtaildale.calls.server_end_detector import ServerEndDetector
 from wagtaildale.calls.serial_runs import SerialRuns
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.trials import list_places
@@ -78,7 +78,7 @@
         self._node = node
         self._dialect = dialect
         self.answered = RecentAnswers()
-        self.ends = ServerEnds(
+        self.ends = ServerEndDetector(
             board,
             node=node,
             answered=self.answered,
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -16,7 +16,7 @@
 from wagtaildale.calls.callers import CallerLimits, CallerPort
 from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
-from wagtaildale.calls.identity_question import IdentityQuestion
+from wagtaildale.calls.identity_probe import IdentityProbe
 from wagtaildale.calls.owner import Identity, Owner
 from wagtaildale.calls.owner_listener import OwnerListener
 from wagtaildale.calls.peer_pool import PeerPool
@@ -167,7 +167,7 @@
             ),
         )
         self.owner.server.denial_listeners.append(
-            self._make_identity_question().ask
+            self._make_identity_question().send_if_due
         )
         dependencies.suspects.listeners.append(self._review_suspected_runs)
         self.local = LocalPeer(self.owner)
@@ -178,7 +178,7 @@
             read_limits=self.read_limits,
         )
         self.peer_port = PeerPort(self.owner, recorder=dependencies.recorder)
-        self.owner.teller.listeners.append(
+        self.owner.load_notifier.listeners.append(
             partial(
                 self.entry.parts.listener.note_load, settings.owner_address
             ),
@@ -310,12 +310,12 @@
         self.owner.gate.drain()
         self.peer_port.announce_drain()
 
-    def _make_identity_question(self) -> IdentityQuestion:
-        return IdentityQuestion(
+    def _make_identity_question(self) -> IdentityProbe:
+        return IdentityProbe(
             self.owner.pool,
             address=self._settings.backend_address,
             field=self._settings.dialect.instance,
-            read_path=self._read_health_path,
+            read_health_path=self._read_health_path,
             targets=self.owner.server,
         )
 
--- a/wagtaildale/calls/tests/hand_moved.py
+++ b/wagtaildale/calls/tests/manual_loop.py
@@ -1,6 +1,6 @@
-"""A loop that a test moves by hand.
+"""A loop that a test steps by hand.
 
-What the other side does has then always come before the loop looks.
+The actions of the other side then always take effect before the loop polls.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 STEP_SECONDS: Final = 0.01
 
 
-class HandMoved:
-    """Has a loop and moves it until something holds."""
+class ManualLoop:
+    """Owns a loop and steps it until a condition holds."""
 
     def __init__(self) -> None:
         self.defects: list[BaseException] = []
@@ -28,10 +28,10 @@
             on_late=lambda _seconds: None,
         )
 
-    def move_until(self, condition: Callable[[], bool]) -> None:
-        wait_until(lambda: self._move(condition))
+    def step_until(self, condition: Callable[[], bool]) -> None:
+        wait_until(lambda: self._step(condition))
 
-    def _move(self, condition: Callable[[], bool]) -> bool:
+    def _step(self, condition: Callable[[], bool]) -> bool:
         if condition():
             return True
         self.loop.step(STEP_SECONDS)
--- a/wagtaildale/calls/tests/test_backends.py
+++ b/wagtaildale/calls/tests/test_backend_connection.py
@@ -1,7 +1,7 @@
-"""Tests of connections to a backend server that closes them in between.
+"""Tests of connections to a backend server that closes them unexpectedly.
 
-The loop and the server are moved by hand, so that what the server does has
-always come before the loop looks.
+The tests step the loop and the server by hand, so that the actions of the
+server always take effect before the loop polls.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.backend_pool import BackendPool
-from wagtaildale.calls.backends import BackendRequest
-from wagtaildale.calls.tests.hand_moved import HandMoved, is_readable
+from wagtaildale.calls.backend_connection import BackendRequest
+from wagtaildale.calls.tests.manual_loop import ManualLoop, is_readable
 from wagtaildale.testing.builders import build_recorder
 from wagtaildale.testing.mesh import BACKEND_PORT
 from wagtaildale.types import Outcome
@@ -31,14 +31,14 @@
 LAST_ANSWER: Final = ANSWER.replace(
     b'\r\n\r\n', b'\r\nconnection: close\r\n\r\n'
 )
-# Closing sends a reset.
+# Linger option that makes closing the socket send a reset.
 RESET: Final = struct.pack('ii', 1, 0)
-# More than the buffers of a connection take.
+# Larger than the buffers of a connection.
 LONG_BODY: Final = bytes(16_000_000)
 
 
-class Asker:
-    """Keeps what becomes of a request."""
+class RecordingReceiver:
+    """Records the outcome of a request."""
 
     def __init__(self) -> None:
         self.statuses: list[int] = []
@@ -48,19 +48,19 @@
         self.statuses.append(message.status)
 
     def on_body(self) -> None:
-        """Do nothing: the head tells enough."""
+        """Do nothing, since the tests only check the head."""
 
     def on_failed(self, failure: CallFailed) -> None:
         self.failures.append(failure)
 
-    def on_room(self) -> None:
+    def on_writable(self) -> None:
         """Do nothing."""
 
-    def is_told(self) -> bool:
+    def has_outcome(self) -> bool:
         return bool(self.statuses or self.failures)
 
 
-class Bench(HandMoved):
+class Bench(ManualLoop):
     """A pool, its loop and the listening socket of the server."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
             self.loop,
             address=Address(HOST, BACKEND_PORT),
             request_id_field=b'x-request-id',
-            note_stray=lambda: None,
+            on_stray_response=lambda: None,
             recorder=build_recorder(),
         )
         self.listener = socket.create_server((HOST, BACKEND_PORT))
@@ -79,8 +79,8 @@
         self.listener.close()
         self.loop.close()
 
-    def ask(self, *, body: bytes = b'x') -> Asker:
-        asker = Asker()
+    def send_request(self, *, body: bytes = b'x') -> RecordingReceiver:
+        receiver = RecordingReceiver()
         request = BackendRequest(
             request_id=b'',
             method=b'POST',
@@ -91,18 +91,23 @@
             length=len(body),
             idempotent=False,
         )
-        self.pool.ask(request, asker)
-        return asker
+        self.pool.send_request(request, receiver)
+        return receiver
 
     def accept(self) -> socket.socket:
-        self.move_until(lambda: is_readable(self.listener))
+        self.step_until(lambda: is_readable(self.listener))
         return self.listener.accept()[0]
 
-    def answer(self, sock: socket.socket, asker: Asker, reply: bytes) -> None:
-        self.move_until(lambda: is_readable(sock))
+    def answer(
+        self,
+        sock: socket.socket,
+        receiver: RecordingReceiver,
+        reply: bytes,
+    ) -> None:
+        self.step_until(lambda: is_readable(sock))
         sock.recv(65536)
         sock.sendall(reply)
-        self.move_until(asker.is_told)
+        self.step_until(receiver.has_outcome)
 
 
 @pytest.fixture
@@ -114,59 +119,59 @@
 
 
 @pytest.mark.parametrize('reset', [False, True])
-def test_booking_is_not_sent_on_a_connection_that_is_closed(
+def test_booking_is_not_sent_on_a_closed_connection(
     bench: Bench,
     reset: bool,
 ) -> None:
-    """A caller hears 502 of a booking that no server has ever read.
+    """A caller gets 502 for a booking that no server has read.
 
-    The server closes a connection that was used a moment ago. Its close has
-    come, but this node handles other sockets first, and one of them brings a
-    booking, which goes out on that connection. Nobody can say then whether
-    it was read, so it is given up. Now the connection is looked at before
-    it is used again.
+    The server closes an idle connection, and its close has arrived. The node
+    handles another socket first and sends a booking on that connection, so
+    whether the booking was read is unknown. Checking the connection before
+    it is reused prevents this.
     """
-    first = bench.ask()
+    first = bench.send_request()
     kept = bench.accept()
     bench.answer(kept, first, ANSWER)
     if reset:
         kept.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     kept.close()
-    second = bench.ask()
-    bench.move_until(lambda: second.is_told() or is_readable(bench.listener))
+    second = bench.send_request()
+    bench.step_until(
+        lambda: second.has_outcome() or is_readable(bench.listener)
+    )
     assert not second.failures
     with bench.accept() as sock:
         bench.answer(sock, second, ANSWER)
     assert second.statuses == [200]
 
 
-def test_booking_at_a_server_that_closes_unasked_has_not_run(
+def test_booking_has_not_run_if_the_server_closes_at_once(
     bench: Bench,
 ) -> None:
-    """A caller hears 502 of a booking that has not left this node.
+    """A caller gets 502 for a booking that has not left this node.
 
-    A leaving server takes the new connection and closes it at once. The
-    booking was sent after that close and counted as one that may have run,
-    though another server could have had it.
+    A leaving server accepts a new connection and closes it at once. A booking
+    sent after that close would count as one that may have run, although
+    another server could still run it.
     """
-    asker = bench.ask()
+    receiver = bench.send_request()
     bench.accept().close()
-    bench.move_until(asker.is_told)
-    assert [each.outcome for each in asker.failures] == [Outcome.not_run]
+    bench.step_until(receiver.has_outcome)
+    assert [each.outcome for each in receiver.failures] == [Outcome.not_run]
 
 
-def test_answer_before_the_end_of_a_long_body_is_passed_on(
+def test_answer_before_the_end_of_a_long_body_is_forwarded(
     bench: Bench,
 ) -> None:
-    """A caller hears 502 though the server's answer is there.
+    """A caller gets 502 although the server has answered.
 
-    A leaving server answers before it has read a long body and closes. The
-    rest of the body cannot be sent any more, and that must not throw away
-    the answer that has come.
+    A leaving server answers before it has read a long body, and closes. The
+    rest of the body cannot be sent, but the answer must not be discarded.
     """
-    asker = bench.ask(body=LONG_BODY)
+    receiver = bench.send_request(body=LONG_BODY)
     with bench.accept() as sock:
-        bench.move_until(lambda: is_readable(sock))
+        bench.step_until(lambda: is_readable(sock))
         sock.sendall(LAST_ANSWER)
-    bench.move_until(asker.is_told)
-    assert asker.statuses == [200]
+    bench.step_until(receiver.has_outcome)
+    assert receiver.statuses == [200]
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -19,7 +19,7 @@
     CallerPort,
 )
 from wagtaildale.calls.responses import ResponseHead
-from wagtaildale.calls.tests.hand_moved import HandMoved, is_readable
+from wagtaildale.calls.tests.manual_loop import ManualLoop, is_readable
 from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS
 from wagtaildale.reactor.stream import LINGER_SECONDS
 from wagtaildale.timers.service import read_clock
@@ -41,7 +41,7 @@
 LONGEST_ALARM_SECONDS: Final = max(LINGER_SECONDS, TIMEOUT_CHECK_SECONDS)
 
 
-class PortHarness(HandMoved):
+class PortHarness(ManualLoop):
     """A port that answers all requests at once with the same body."""
 
     def __init__(self, *, idle_seconds: float) -> None:
@@ -80,7 +80,7 @@
         """Send a request and let the port answer it."""
         expected = self.answered_requests + 1
         sock.sendall(request)
-        self.move_until(lambda: self.answered_requests == expected)
+        self.step_until(lambda: self.answered_requests == expected)
 
     def read_answer(self, sock: socket.socket, *, size: int) -> bytes:
         """Read up to ``size`` bytes, or to the end of the connection."""
@@ -95,7 +95,7 @@
 
     def wait_readable(self, sock: socket.socket) -> None:
         """Run the loop until the caller has something to read."""
-        self.move_until(lambda: is_readable(sock))
+        self.step_until(lambda: is_readable(sock))
 
     def fire_all_alarms(self) -> None:
         """Fire every alarm that is set, before sockets are checked."""
@@ -150,8 +150,8 @@
         assert harness.port.active_calls == 1
         assert harness.port.open_connections == 1
         harness.read_answer(sock, size=len(LONG_BODY))
-        harness.move_until(lambda: not harness.port.active_calls)
-    harness.move_until(lambda: not harness.port.open_connections)
+        harness.step_until(lambda: not harness.port.active_calls)
+    harness.step_until(lambda: not harness.port.open_connections)
 
 
 def test_slow_reader_that_disconnects_is_removed(harness: PortHarness) -> None:
@@ -159,7 +159,7 @@
     harness.body = LONG_BODY
     with harness.connect() as sock:
         harness.send_request(sock, LAST_REQUEST)
-    harness.move_until(lambda: not harness.port.open_connections)
+    harness.step_until(lambda: not harness.port.open_connections)
     assert not harness.port.active_calls
 
 
@@ -177,7 +177,7 @@
         sock.sendall(REQUEST)
         harness.port.drain()
         harness.port.close_idle()
-        harness.move_until(lambda: harness.answered_requests == 2)
+        harness.step_until(lambda: harness.answered_requests == 2)
         assert b'connection: close' in harness.read_answer(
             sock, size=READ_BYTES
         )
@@ -198,7 +198,7 @@
         harness.read_answer(sock, size=1)
         sock.sendall(REQUEST)
         harness.fire_all_alarms()
-        harness.move_until(lambda: harness.answered_requests == 2)
+        harness.step_until(lambda: harness.answered_requests == 2)
 
 
 def test_pipelined_request_after_the_last_answer_is_not_started(
--- a/wagtaildale/calls/tests/test_contained.py
+++ b/wagtaildale/calls/tests/test_contained.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from wagtaildale.calls.tests.mortal import DEADLY, HARMLESS, MortalFleet
+from wagtaildale.calls.tests.crashing_servers import (
+    FATAL,
+    HARMLESS,
+    CrashingFleet,
+)
 from wagtaildale.calls.tests.pairs import wait_until
 
 if TYPE_CHECKING:
@@ -19,7 +23,7 @@
 ANSWERED: Final = b'HTTP/1.1 200'
 
 
-def ask_entries(fleet: MortalFleet, path: str) -> list[bytes]:
+def ask_entries(fleet: CrashingFleet, path: str) -> list[bytes]:
     return [
         fleet.ask(path, entry=number % ENTRIES) for number in range(REQUESTS)
     ]
@@ -28,8 +32,8 @@
 @pytest.mark.parametrize('upstreams', [2, 3, 6])
 def test_request_crashes_one_server_at_a_time(upstreams: int) -> None:
     """A request must not crash a second server while the first is down."""
-    with MortalFleet(upstreams, entries=ENTRIES) as fleet:
-        ask_entries(fleet, DEADLY)
+    with CrashingFleet(upstreams, entries=ENTRIES) as fleet:
+        ask_entries(fleet, FATAL)
         assert fleet.ends == 1
         answers = ask_entries(fleet, HARMLESS)
         assert all(answer.startswith(ANSWERED) for answer in answers)
@@ -37,8 +41,8 @@
 
 def test_each_of_several_requests_crashes_one_server_at_a_time() -> None:
     """Two requests must not crash every server of a service together."""
-    paths = (DEADLY, '/files/deadly-2')
-    with MortalFleet(6, entries=ENTRIES, deadly=paths) as fleet:
+    paths = (FATAL, '/files/deadly-2')
+    with CrashingFleet(6, entries=ENTRIES, fatal_paths=paths) as fleet:
         for path in (*paths, *paths):
             ask_entries(fleet, path)
         assert fleet.ends == len(paths)
@@ -46,29 +50,29 @@
 
 def test_request_is_retried_where_a_server_crashed() -> None:
     """A request must not be held back for good once its server is up."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
-        fleet.ask(DEADLY)
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
+        fleet.ask(FATAL)
         first = [each.has_ended for each in fleet.backends]
-        fleet.revive()
-        wait_until(lambda: bool(ask_entries(fleet, DEADLY)) and fleet.ends == 2)
+        fleet.restart_ended()
+        wait_until(lambda: bool(ask_entries(fleet, FATAL)) and fleet.ends == 2)
         assert [each.has_ended for each in fleet.backends] == first
 
 
 def test_concurrent_requests_reach_a_restarted_server_one_by_one() -> None:
     """Five callers waiting for a server must not all reach it at once."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
-        fleet.ask(DEADLY)
-        fleet.revive()
-        before = fleet.count_arrivals(DEADLY)
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
+        fleet.ask(FATAL)
+        fleet.restart_ended()
+        before = fleet.count_arrivals(FATAL)
         with ThreadPoolExecutor(5) as callers:
             for number in range(5):
-                callers.submit(fleet.ask, DEADLY, entry=number % ENTRIES)
-        assert fleet.count_arrivals(DEADLY) <= before + 1
+                callers.submit(fleet.ask, FATAL, entry=number % ENTRIES)
+        assert fleet.count_arrivals(FATAL) <= before + 1
 
 
 def test_run_elsewhere_is_abandoned_when_a_server_crashes() -> None:
     """A request running at two servers must not crash both in turn."""
-    with MortalFleet(2, entries=1) as fleet, ThreadPoolExecutor(2) as callers:
+    with CrashingFleet(2, entries=1) as fleet, ThreadPoolExecutor(2) as callers:
         for backend in fleet.backends:
             backend.released.clear()
         wait_until(lambda: all(is_connected(each, 1) for each in fleet.owners))
@@ -85,7 +89,7 @@
 
 def test_popular_lookup_beside_a_crash_is_not_delayed() -> None:
     """A lookup that all callers send ran at the server that crashed."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
         ask_entries(fleet, POPULAR)
         fleet.end_one(POPULAR)
         answers = ask_entries(fleet, POPULAR)
@@ -94,25 +98,25 @@
 
 def test_crashed_server_gets_no_requests_until_it_is_up() -> None:
     """Entries must not rediscover every half second that a server is down."""
-    with MortalFleet(3, entries=ENTRIES) as fleet:
+    with CrashingFleet(3, entries=ENTRIES) as fleet:
         wait_until(lambda: all(is_connected(each) for each in fleet.owners))
-        fleet.ask(DEADLY)
+        fleet.ask(FATAL)
         down = next(
             owner
             for owner, each in zip(fleet.owners, fleet.backends, strict=True)
             if each.has_ended
         )
         wait_until(lambda: all(knows_of_down(each) for each in fleet.entries))
-        before = down.owner.pool.opened
+        before = down.owner.pool.opened_count
         for _time in range(5):
             answers = ask_entries(fleet, HARMLESS)
             assert all(answer.startswith(ANSWERED) for answer in answers)
-        assert down.owner.pool.opened == before
-        fleet.revive()
+        assert down.owner.pool.opened_count == before
+        fleet.restart_ended()
         wait_until(
             lambda: (
                 bool(ask_entries(fleet, HARMLESS))
-                and down.owner.pool.opened > before
+                and down.owner.pool.opened_count > before
             ),
         )
 
--- /dev/null
+++ b/wagtaildale/calls/tests/test_server_feedback.py
@@ -0,0 +1,91 @@
+"""Tests of the feedback that backend servers send with responses."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final
+
+import pytest
+
+from wagtaildale.calls.parsing import MessageParser
+from wagtaildale.calls.server_feedback import (
+    ServerFeedback,
+    FeedbackTracker,
+    parse_feedback,
+)
+from wagtaildale.errors.codes import Code
+from wagtaildale.platform.dialect import PLATFORM_DIALECT
+from wagtaildale.telemetry.events import EventKind
+from wagtaildale.testing.builders import build_gate, build_recorder
+from wagtaildale.types import InstanceId
+
+if TYPE_CHECKING:
+    from wagtaildale.calls.parsing import Message
+
+SERVER: Final = InstanceId('i-1')
+
+
+def build_response(extra: bytes) -> Message:
+    parser = MessageParser(of_requests=False, head_bytes=4096)
+    parser.feed(b'HTTP/1.1 200 OK\r\n%bcontent-length: 0\r\n\r\n' % extra)
+    message = parser.peek()
+    assert message is not None
+    return message
+
+
+def parse(extra: bytes) -> ServerFeedback:
+    return parse_feedback(build_response(extra), PLATFORM_DIALECT)
+
+
+@pytest.mark.parametrize(
+    ('extra', 'expected'),
+    [
+        (b'', ServerFeedback()),
+        (b'Server-Limit: 19.1\r\n', ServerFeedback(per_second=19.1)),
+        (b'Server-Limit: 5\r\n', ServerFeedback(per_second=5)),
+        (b'Server-Limit: 0\r\n', ServerFeedback(per_second=0)),
+        (b'Server-Leaving: 1\r\n', ServerFeedback(is_leaving=True)),
+        (
+            b'Server-Limit: 2.3\r\nServer-Leaving: 1\r\n',
+            ServerFeedback(per_second=2.3, is_leaving=True),
+        ),
+    ],
+)
+def test_feedback_headers_are_parsed(
+    extra: bytes, expected: ServerFeedback
+) -> None:
+    assert parse(extra) == expected
+
+
+@pytest.mark.parametrize(
+    'text',
+    [b'-1', b'nan', b'inf', b'1e9', b'1,5', b'', b'9' * 400, b'0x10', b'1 2'],
+)
+def test_limit_that_is_not_a_number_is_rejected(text: bytes) -> None:
+    """An invalid limit makes the owner send nothing, or everything."""
+    assert parse(b'Server-Limit: %b\r\n' % text) == ServerFeedback(
+        malformed=text,
+    )
+
+
+def test_changes_of_the_limit_are_logged() -> None:
+    """Operators cannot see that a server reports a limit."""
+    recorder = build_recorder()
+    tracker = FeedbackTracker(build_gate(), recorder=recorder)
+    received = (
+        ServerFeedback(per_second=2.5),
+        ServerFeedback(per_second=2.5),
+        ServerFeedback(malformed=b'x'),
+        ServerFeedback(per_second=3),
+        ServerFeedback(),
+    )
+    for begun_at, feedback in enumerate(received):
+        tracker.apply(feedback, instance=SERVER, begun_at=begun_at)
+    events = recorder.read_since(0)
+    assert [event.kind for event in events] == [
+        EventKind.server_limited,
+        EventKind.server_word_refused,
+        EventKind.server_limited,
+        EventKind.server_unlimited,
+    ]
+    assert events[0].inputs == {'per_second': '2.5', 'origin': 'server'}
+    assert events[1].code == Code.server_word_malformed
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -14,7 +14,7 @@
 
 from standins.hosted import HostedBackend
 from wagtaildale.calls.peers import REFUSED_REASON
-from wagtaildale.calls.tests.owners import BODY, SilentOwner
+from wagtaildale.calls.tests.scripted_owners import BODY, SilentOwner
 from wagtaildale.calls.tests.pairs import (
     TIMEOUT_SECONDS,
     Pair,
