--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -137,7 +137,7 @@
 
 @decide.register
 def _decide_wake(
-    message: messages.Wake,
+    message: messages.DeadlineReached,
     state: DistributionState,
     *,
     now: float,
@@ -174,7 +174,7 @@
             *take_offer(state, kind=kind, offer=offer, now=now),
         ]
     shared: list[messages.Effect] = []
-    if any(isinstance(each, messages.Moved) for each in effects):
+    if any(isinstance(each, messages.DocumentUpdated) for each in effects):
         plan_share(state, now=now)
         if kind is Kind.instances and tells_others(state):
             shared = push_across(state, kind=kind, now=now)
--- a/wagtaildale/distribution/around.py
+++ b/wagtaildale/distribution/dependencies.py
@@ -33,7 +33,7 @@
     unsent: int = 0
 
 
-class Surroundings(Struct, kw_only=True):
+class TaskDependencies(Struct, kw_only=True):
     """The other parts of the node that this task talks to.
 
     Attributes:
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.distribution.messages import (
     Effect,
-    Moved,
+    DocumentUpdated,
     ReadBlobs,
     Refused,
     Send,
@@ -91,7 +91,7 @@
     if document.kind is Kind.instances:
         # Before the list itself: calls never see it without those kept.
         kept = take_list(state, document=document, now=now)
-    moved = Moved(
+    moved = DocumentUpdated(
         before=outcome.before,
         document=document,
         origin=outcome.origin,
@@ -136,7 +136,7 @@
     read = ReadBlobs(
         kind=outcome.kind,
         digests=outcome.digests,
-        foremost=state.appointed and state.find_own_rank(readers) == 0,
+        is_first_reader=state.appointed and state.find_own_rank(readers) == 0,
     )
     return [read] if state.appointed or waited else []
 
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -7,7 +7,7 @@
 from typing import Final, Protocol
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.around import Surroundings
+from wagtaildale.distribution.dependencies import TaskDependencies
 from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.distribution.state import (
     MILLISECONDS,
@@ -38,7 +38,7 @@
     """The task whose effects are carried out."""
 
     state: DistributionState
-    around: Surroundings
+    dependencies: TaskDependencies
 
     def send(self, instance: InstanceId, body: Body) -> None:
         """Send a message to an instance.
@@ -83,11 +83,11 @@
 
 @carry_out.register
 def _watch(effect: messages.Watch, sender: Sender) -> None:
-    sender.around.watches[effect.kind].put(effect)
+    sender.dependencies.watches[effect.kind].put(effect)
     kind = EventKind.reader_stepped_down
     if effect.appointed:
         kind = EventKind.reader_appointed
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         kind,
         subject=effect.kind.name,
         detail=f'rank {effect.rank}',
@@ -96,28 +96,28 @@
 
 @carry_out.register
 def _read_source(effect: messages.ReadSource, sender: Sender) -> None:
-    sender.around.fetches.put(effect)
+    sender.dependencies.fetches.put(effect)
 
 
 @carry_out.register
 def _read_blobs(effect: messages.ReadBlobs, sender: Sender) -> None:
-    sender.around.fetches.put(effect)
+    sender.dependencies.fetches.put(effect)
 
 
 @carry_out.register
-def _move(effect: messages.Moved, sender: Sender) -> None:
+def _move(effect: messages.DocumentUpdated, sender: Sender) -> None:
     document = effect.document
-    around = sender.around
-    if not _may_move(effect, around):
+    dependencies = sender.dependencies
+    if not _may_move(effect, dependencies):
         return
     if document.kind is Kind.configuration:
-        around.view.take_configuration(document)
+        dependencies.view.take_configuration(document)
         kind = EventKind.version_applied
     else:
-        around.view.take_instances(document)
-        around.view.take_away(sender.state.members.list_away())
+        dependencies.view.take_instances(document)
+        dependencies.view.take_away(sender.state.members.list_away())
         kind = EventKind.instances_applied
-    around.recorder.record(
+    dependencies.recorder.record(
         kind,
         version=document.version,
         subject=document.digest.hex(),
@@ -126,7 +126,7 @@
 
 
 def _describe_way(
-    effect: messages.Moved,
+    effect: messages.DocumentUpdated,
     state: DistributionState,
 ) -> Inputs:
     """Describe by whom and how late a version came here.
@@ -145,12 +145,12 @@
 
 @carry_out.register
 def _change_lapsed(effect: messages.LapsedChanged, sender: Sender) -> None:
-    around = sender.around
-    around.view.take_lapsed(effect.kept, held=effect.held)
-    around.view.take_away(sender.state.members.list_away())
-    around.recorder.record(
+    dependencies = sender.dependencies
+    dependencies.view.take_lapsed(effect.kept, held=effect.held)
+    dependencies.view.take_away(sender.state.members.list_away())
+    dependencies.recorder.record(
         EventKind.lapsed_changed,
-        version=around.view.current.list_index,
+        version=dependencies.view.current.list_index,
         detail=' '.join(record.instance for record in effect.kept),
         inputs={'held': ' '.join(record.instance for record in effect.held)},
     )
@@ -158,27 +158,29 @@
 
 @carry_out.register
 def _note_return(effect: messages.PlatformReturned, sender: Sender) -> None:
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         EventKind.platform_returned,
         version=effect.revision,
         inputs={'era': effect.era},
     )
 
 
-def _may_move(effect: messages.Moved, around: Surroundings) -> bool:
+def _may_move(
+    effect: messages.DocumentUpdated, dependencies: TaskDependencies
+) -> bool:
     document = effect.document
     moves = f'{effect.before.version} to {document.version}'
-    rises = around.invariants.hold(
+    rises = dependencies.invariants.hold(
         Invariant.version_rises,
         holds=document.version > effect.before.version,
         detail=moves,
     )
-    whole = around.invariants.hold(
+    whole = dependencies.invariants.hold(
         Invariant.version_whole,
         holds=document.entries.keys() == document.blobs.keys(),
         detail=moves,
     )
-    resources = around.invariants.hold(
+    resources = dependencies.invariants.hold(
         Invariant.route_has_resource,
         holds=CHECKS[document.kind](document).is_ok(),
         detail=moves,
@@ -191,13 +193,15 @@
     effect: messages.FleetChanged,
     sender: Sender,
 ) -> None:
-    sender.around.view.take_away(sender.state.members.list_away())
+    sender.dependencies.view.take_away(sender.state.members.list_away())
     for taken in effect.taken:
         kind = PEER_EVENTS.get(taken.news.state)
         if kind is None and taken.before in AWAY:
             kind = EventKind.peer_refuted
         if kind is not None:
-            sender.around.recorder.record(kind, subject=taken.news.instance)
+            sender.dependencies.recorder.record(
+                kind, subject=taken.news.instance
+            )
 
 
 @carry_out.register
@@ -205,14 +209,14 @@
     effect: messages.StateChanged,
     sender: Sender,
 ) -> None:
-    sender.around.states.append(effect.state)
+    sender.dependencies.states.append(effect.state)
     kind = EventKind.node_leaving
     if effect.state is NodeState.ready:
         kind = EventKind.node_ready
     away = sender.state.members.list_away()
-    sender.around.view.take_away(away)
+    sender.dependencies.view.take_away(away)
     held = sender.state.stores[Kind.configuration].held
-    sender.around.recorder.record(kind, version=held.version)
+    sender.dependencies.recorder.record(kind, version=held.version)
 
 
 @carry_out.register
@@ -221,7 +225,7 @@
     kind = EventKind.version_ignored
     if rejected.fresh:
         kind = EventKind.version_refused
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         kind,
         code=rejected.fault.code,
         version=rejected.version,
@@ -235,7 +239,7 @@
     kind = EventKind.source_failed
     if effect.code is Code.ok:
         kind = EventKind.source_recovered
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         kind,
         code=effect.code,
         subject=effect.kind.name,
@@ -245,14 +249,14 @@
 
 @carry_out.register
 def _change_suspects(effect: messages.SuspectsChanged, sender: Sender) -> None:
-    sender.around.suspects.publish(effect.suspects)
+    sender.dependencies.suspects.publish(effect.suspects)
     for suspicion in effect.learned:
         kind = EventKind.request_suspected
         if suspicion.ends == 0:
             kind = EventKind.request_cleared
         elif suspicion.ends < TRIAL_ENDS:
             continue
-        sender.around.recorder.record(
+        sender.dependencies.recorder.record(
             kind,
             subject=suspicion.fingerprint.hex(),
             inputs={'ends': suspicion.ends, 'origin': effect.origin or OWN},
@@ -261,7 +265,7 @@
 
 @carry_out.register
 def _note_behind(effect: messages.PeerBehind, sender: Sender) -> None:
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         EventKind.push_unseen,
         version=effect.version,
         subject=effect.peer,
@@ -270,7 +274,7 @@
 
 @carry_out.register
 def _refuse_entry(effect: messages.EntryRefused, sender: Sender) -> None:
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         EventKind.entry_refused,
         code=effect.code,
         subject=effect.kind.name,
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -83,7 +83,7 @@
     """This node begins its planned stop."""
 
 
-class Wake(Struct, frozen=True, kw_only=True):
+class DeadlineReached(Struct, frozen=True, kw_only=True):
     """Time has passed: resend what is due."""
 
 
@@ -121,16 +121,16 @@
     Attributes:
         kind: of which document.
         digests: which blobs.
-        foremost: whether this node is its data centre's first reader, who
+        is_first_reader: whether this node is its data centre's first reader, who
             reads faster than the others.
     """
 
     kind: Kind
     digests: tuple[Digest, ...]
-    foremost: bool
+    is_first_reader: bool
 
 
-class Moved(Struct, frozen=True, kw_only=True):
+class DocumentUpdated(Struct, frozen=True, kw_only=True):
     """A document moved to a later version here.
 
     Attributes:
@@ -229,7 +229,7 @@
     | Watch
     | ReadSource
     | ReadBlobs
-    | Moved
+    | DocumentUpdated
     | LapsedChanged
     | PlatformReturned
     | FleetChanged
--- a/wagtaildale/distribution/task.py
+++ b/wagtaildale/distribution/task.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.around import Counts, Surroundings
+from wagtaildale.distribution.dependencies import Counts, TaskDependencies
 from wagtaildale.distribution.decisions import decide
 from wagtaildale.distribution.effects import carry_out
 from wagtaildale.distribution.state import MILLISECONDS
@@ -61,7 +61,7 @@
         *,
         sockets: NodeSockets,
         inbox: Inbox[Any],
-        around: Surroundings,
+        dependencies: TaskDependencies,
     ) -> None:
         """Prepare; ``run`` does the work.
 
@@ -69,10 +69,10 @@
             state: of a new node.
             sockets: bound already.
             inbox: of this task.
-            around: the parts that it talks to.
+            dependencies: the parts that it talks to.
         """
         self.state = state
-        self.around = around
+        self.dependencies = dependencies
         self.counts = Counts()
         self.sockets = sockets
         self._inbox = inbox
@@ -131,7 +131,7 @@
         for message in self._inbox.take_all():
             self._take(message)
         if find_wait(self.state, now=read_clock()) == 0:
-            self._take(messages.Wake())
+            self._take(messages.DeadlineReached())
 
     def _receive(self, arrival: Arrival) -> None:
         decoded = decode_envelope(arrival.frame)
@@ -150,13 +150,15 @@
             return
         self.counts.messages_in += 1
         self.sockets.note_route(envelope.sender, arrival.route)
-        self.around.recorder.clock.observe(envelope.stamp)
+        self.dependencies.recorder.clock.observe(envelope.stamp)
         self._take(messages.Received(envelope=envelope))
 
     def _take(self, message: object) -> None:
         if isinstance(message, WokeLate):
             detail = f'{message.late_by:.1f} s'
-            self.around.recorder.record(EventKind.woke_late, detail=detail)
+            self.dependencies.recorder.record(
+                EventKind.woke_late, detail=detail
+            )
         for effect in decide(message, self.state, now=read_clock()):
             carry_out(effect, self)
 
@@ -164,14 +166,14 @@
         envelope = Envelope(
             to=to,
             news=pick_news(self.state.members, to=to),
-            stamp=self.around.recorder.clock.tick(),
+            stamp=self.dependencies.recorder.clock.tick(),
             body=body,
             sent_ms=round(read_clock() * MILLISECONDS),
         )
         return encode_envelope(envelope)
 
     def _record_refusal(self, code: Code, detail: str) -> None:
-        self.around.recorder.record(
+        self.dependencies.recorder.record(
             EventKind.message_refused,
             code=code,
             detail=detail,
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -92,7 +92,7 @@
     for _wait in range(6):
         network.now += 0.3
         for name in network.nodes:
-            network.tell(name, messages.Wake())
+            network.tell(name, messages.DeadlineReached())
         network.flush()
     held = {
         name: read_version(node)
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -123,7 +123,7 @@
     network.restart(B)
     state = network.nodes[B].state
     assert find_wait(state, now=network.now) == 0
-    network.tell(B, messages.Wake())
+    network.tell(B, messages.DeadlineReached())
     assert find_wait(state, now=network.now) <= 0.05
 
 
--- a/wagtaildale/distribution/tests/test_lapses.py
+++ b/wagtaildale/distribution/tests/test_lapses.py
@@ -158,9 +158,9 @@
     kinds = [
         type(effect)
         for effect in effects
-        if isinstance(effect, messages.LapsedChanged | messages.Moved)
+        if isinstance(effect, messages.LapsedChanged | messages.DocumentUpdated)
     ]
-    assert kinds[:2] == [messages.LapsedChanged, messages.Moved]
+    assert kinds[:2] == [messages.LapsedChanged, messages.DocumentUpdated]
     assert node.running
 
 
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final, cast
 
-from wagtaildale.distribution.around import Surroundings
+from wagtaildale.distribution.dependencies import TaskDependencies
 from wagtaildale.distribution.sockets import Arrival, NodeSockets
 from wagtaildale.distribution.swaps import REPLY_SECONDS
 from wagtaildale.distribution.task import DistributionTask
@@ -60,7 +60,7 @@
     inbox: Inbox[Any],
 ) -> DistributionTask:
     recorder = build_recorder()
-    around = Surroundings(
+    dependencies = TaskDependencies(
         recorder=recorder,
         invariants=Invariants(recorder),
         view=ViewHolder(),
@@ -70,7 +70,9 @@
         states=[],
     )
     faked = cast('NodeSockets', sockets)
-    task = DistributionTask(state, sockets=faked, inbox=inbox, around=around)
+    task = DistributionTask(
+        state, sockets=faked, inbox=inbox, dependencies=dependencies
+    )
     sockets.task = task
     return task
 
--- a/wagtaildale/distribution/tests/test_ways.py
+++ b/wagtaildale/distribution/tests/test_ways.py
@@ -19,7 +19,7 @@
         name: effect.origin
         for name, node in network.nodes.items()
         for effect in node.effects
-        if isinstance(effect, messages.Moved)
+        if isinstance(effect, messages.DocumentUpdated)
     }
 
 
--- a/wagtaildale/distribution/tests/watched.py
+++ b/wagtaildale/distribution/tests/watched.py
@@ -151,7 +151,7 @@
             if (self._steps + number) % every == 0:
                 tick = Tick(name=timer, now=self.network.now)
                 self.network.tell(name, tick)
-        self.network.tell(name, messages.Wake())
+        self.network.tell(name, messages.DeadlineReached())
 
     def _watch(self, name: InstanceId) -> None:
         node = self.network.nodes[name]
--- a/wagtaildale/node.py
+++ b/wagtaildale/node.py
@@ -15,7 +15,7 @@
     make_parts,
     make_watches,
 )
-from wagtaildale.distribution.around import Surroundings
+from wagtaildale.distribution.dependencies import TaskDependencies
 from wagtaildale.distribution.sockets import NodeSockets
 from wagtaildale.distribution.state import make_state
 from wagtaildale.distribution.task import DistributionTask
@@ -180,7 +180,7 @@
             own=Place(settings.instance, settings.data_centre),
             incarnation=parts.identity.incarnation,
         )
-        around = Surroundings(
+        dependencies = TaskDependencies(
             recorder=parts.recorder,
             invariants=parts.invariants,
             view=parts.view,
@@ -202,7 +202,7 @@
             ),
             sockets=self._sockets,
             inbox=parts.inbox,
-            around=around,
+            dependencies=dependencies,
         )
 
     def _subscribe(self) -> None:
--- a/wagtaildale/source/tasks.py
+++ b/wagtaildale/source/tasks.py
@@ -211,7 +211,7 @@
             detail = 'this node stops'
             return Err(ReadFailure(code=Code.draining, detail=detail))
         self._stopping.wait(
-            self._buckets[order.foremost].take(now=read_clock())
+            self._buckets[order.is_first_reader].take(now=read_clock())
         )
         if self._platform is None:
             return Ok(None)
--- a/wagtaildale/source/tests/test_tasks.py
+++ b/wagtaildale/source/tests/test_tasks.py
@@ -136,7 +136,7 @@
     order = ReadBlobs(
         kind=Kind.configuration,
         digests=(hash_part(blob), Digest(bytes(16))),
-        foremost=True,
+        is_first_reader=True,
     )
     watching.fetch.inbox.put(order)
     found = watching.expect(SourceBlobs)
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -214,7 +214,7 @@
         """
         for name in (TimerName.rank, TimerName.digest):
             self.tell(instance, Tick(name=name, now=self.now))
-        self.tell(instance, messages.Wake())
+        self.tell(instance, messages.DeadlineReached())
 
     def wake(self, instance: InstanceId, *, late_by: float) -> None:
         """Let a paused node go on.
@@ -340,7 +340,7 @@
             self._send(instance, self._find_seed(instance), effect)
         elif isinstance(effect, messages.Watch):
             node.appoint(effect)
-        elif isinstance(effect, messages.Moved):
+        elif isinstance(effect, messages.DocumentUpdated):
             document = effect.document
             node.seen[document.kind].append(document.version)
         else:
