--- a/wagtaildale/distribution/appointments.py
+++ b/wagtaildale/distribution/appointments.py
@@ -16,7 +16,10 @@
 from typing import TYPE_CHECKING
 
 from wagtaildale.distribution.messages import Watch
-from wagtaildale.distribution.staleness import is_stale, relieves
+from wagtaildale.distribution.staleness import (
+    needs_spare_reader,
+    relieves_slow_reader,
+)
 from wagtaildale.distribution.state import DistributionState
 from wagtaildale.membership.state import find_topology
 from wagtaildale.types import NO_VERSION, Kind, NodeState
@@ -33,15 +36,15 @@
     """Decide whether this node watches the platform.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
         Watches to begin or end.
     """
     rank = find_rank(state)
     _note_listed(state, now)
-    wanted = _is_wanted(state, rank, now)
+    wanted = _should_watch(state, rank, now)
     if wanted == state.appointed:
         return []
     state.appointed = wanted
@@ -53,7 +56,7 @@
     """Find this node's rank among those that may watch the platform.
 
     Args:
-        state: the node.
+        state: state of the node.
 
     Returns:
         Its rank in its data centre from 0; those on slow lines come behind
@@ -64,11 +67,11 @@
     return rank + len(readers) if state.tuning.reads_last else rank
 
 
-def is_first(state: DistributionState) -> bool:
+def is_primary_reader(state: DistributionState) -> bool:
     """Tell whether this node is to watch whatever others do.
 
     Args:
-        state: the node.
+        state: state of the node.
 
     Returns:
         Whether it is among the first readers of its data centre.
@@ -76,11 +79,11 @@
     return find_rank(state) < state.tuning.readers
 
 
-def tells_others(state: DistributionState) -> bool:
+def pushes_to_others(state: DistributionState) -> bool:
     """Tell whether this node passes lists on to other data centres.
 
     Args:
-        state: the node.
+        state: state of the node.
 
     Returns:
         Whether it is a reader; where several read in a data centre, the
@@ -91,18 +94,20 @@
     )
 
 
-def _is_wanted(state: DistributionState, rank: int, now: float) -> bool:
+def _should_watch(state: DistributionState, rank: int, now: float) -> bool:
     tuning = state.tuning
     if state.members.state is NodeState.leaving:
         return False
     if state.stores[Kind.instances].held.version == NO_VERSION:
         return False
-    if is_first(state):
+    if is_primary_reader(state):
         return True
     spare = rank < tuning.readers + tuning.spare_readers
     if not spare:
         return False
-    return is_stale(state, rank, now=now) or relieves(state, rank, now=now)
+    return needs_spare_reader(state, rank, now=now) or relieves_slow_reader(
+        state, rank, now=now
+    )
 
 
 def _note_listed(state: DistributionState, now: float) -> None:
--- a/wagtaildale/distribution/guard.py
+++ b/wagtaildale/distribution/authentication.py
@@ -39,7 +39,7 @@
     credential: bytes = b''
 
 
-class Guard:
+class ZapAuthenticator:
     """Answers the library's questions about peers that connect."""
 
     def __init__(
@@ -64,13 +64,13 @@
         while self.socket.poll(0):
             frames = self.socket.recv_multipart()
             request = ZapRequest(*frames[:ZAP_FRAMES])
-            self.socket.send_multipart(self._judge(request))
+            self.socket.send_multipart(self._authenticate(request))
 
     def close(self) -> None:
         """End answering."""
         self.socket.close()
 
-    def _judge(self, request: ZapRequest) -> tuple[bytes, ...]:
+    def _authenticate(self, request: ZapRequest) -> tuple[bytes, ...]:
         good = request.mechanism == CURVE
         verdict = ACCEPTED
         if not good or request.credential not in self._accepted:
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -7,15 +7,18 @@
 
 from msgspec import Struct
 
-from wagtaildale.distribution.documents import ask_for_delta, take_offer
+from wagtaildale.distribution.documents import request_delta, handle_offer
 from wagtaildale.distribution.messages import Effect, Send
-from wagtaildale.distribution.lapses import note_return
+from wagtaildale.distribution.lapses import note_platform_return
 from wagtaildale.distribution.readers import (
     find_confirmed_at,
     note_freshness,
 )
 from wagtaildale.distribution.state import DistributionState
-from wagtaildale.distribution.suspicions import compare_sums, take_told
+from wagtaildale.distribution.suspicions import (
+    compare_checksums,
+    merge_suspicions,
+)
 from wagtaildale.distribution.wire import (
     BlobPull,
     BlobsSent,
@@ -24,7 +27,7 @@
     Pull,
     Push,
     PushSeen,
-    SuspectsTold,
+    SuspicionsSent,
     Swap,
 )
 from wagtaildale.document.messages import (
@@ -35,16 +38,16 @@
 from wagtaildale.document.model import make_delta, make_outline
 from wagtaildale.types import InstanceId, Kind, NodeState, Version
 
-BLOBS_BYTES: Final = 1_000_000
+MAX_BATCH_BYTES: Final = 1_000_000
 
 
 class Context(Struct, frozen=True, kw_only=True):
     """Around a body: whose state it moves, who sent it, when it came.
 
     Attributes:
-        state: the node; moved forward in place.
+        state: state of the node; updated in place.
         sender: of the message.
-        now: seconds.
+        now: current time, seconds.
         delay: seconds that it was under way beyond the usual.
     """
 
@@ -68,7 +71,7 @@
         context: who said it and when.
 
     Returns:
-        What to do.
+        Effects to execute.
 
     Raises:
         TypeError: for a body that no node knows.
@@ -85,12 +88,12 @@
         _note_freshness(context, holding)
         _clear_push(context, holding.kind, holding.version)
         if holding.version > state.stores[holding.kind].held.version:
-            ask = ask_for_delta(state, kind=holding.kind, peer=context.sender)
+            ask = request_delta(state, kind=holding.kind, peer=context.sender)
             effects.append(ask)
-    state.awaiting.pop(context.sender, None)
+    state.pending_replies.pop(context.sender, None)
     if body.suspects is not None:
         effects.extend(
-            compare_sums(
+            compare_checksums(
                 state,
                 body.suspects,
                 sender=context.sender,
@@ -108,19 +111,19 @@
 @decide_body.register
 def _decide_push(body: Push, context: Context) -> list[Effect]:
     kind = body.delta.kind
-    note_return(
+    note_platform_return(
         context.state,
         kind=kind,
         confirmed_at=find_confirmed_at(body.holding, sent_at=context.sent_at),
         now=context.now,
     )
-    effects = take_offer(
+    effects = handle_offer(
         context.state,
         kind=kind,
         offer=DeltaOffered(delta=body.delta, origin=context.sender),
         now=context.now,
         # The root of the tree may not have it yet, as after a partition.
-        from_tree=not body.is_past_tree,
+        from_tree=not body.bypasses_tree,
     )
     _note_freshness(context, body.holding)
     seen = PushSeen(kind, body.delta.version)
@@ -146,13 +149,13 @@
         return [Send(to=context.sender, body=outline)]
     holding = state.describe_holding(body.kind, context.now)
     delta = make_delta(base, target=store.held)
-    push = Push(delta, holding, is_past_tree=True)
+    push = Push(delta, holding, bypasses_tree=True)
     return [Send(to=context.sender, body=push)]
 
 
 @decide_body.register
 def _decide_outline(body: OutlineSent, context: Context) -> list[Effect]:
-    return take_offer(
+    return handle_offer(
         context.state,
         kind=body.outline.kind,
         offer=OutlineOffered(outline=body.outline, origin=context.sender),
@@ -172,7 +175,7 @@
 
 @decide_body.register
 def _decide_blobs(body: BlobsSent, context: Context) -> list[Effect]:
-    return take_offer(
+    return handle_offer(
         context.state,
         kind=body.kind,
         offer=BlobsOffered(
@@ -185,8 +188,8 @@
 
 
 @decide_body.register
-def _decide_suspects(body: SuspectsTold, context: Context) -> list[Effect]:
-    return take_told(
+def _decide_suspects(body: SuspicionsSent, context: Context) -> list[Effect]:
+    return merge_suspicions(
         context.state,
         body.suspicions,
         sender=context.sender,
@@ -214,14 +217,14 @@
 def _note_joining(context: Context) -> None:
     state = context.state
     if state.members.state is NodeState.joining:
-        state.joining.peers.add(context.sender)
+        state.joining.replied_peers.add(context.sender)
 
 
 def _batch(blobs: list[bytes]) -> list[tuple[bytes, ...]]:
     batches: list[list[bytes]] = [[]]
     size = 0
     for blob in blobs:
-        if size + len(blob) > BLOBS_BYTES and batches[-1]:
+        if size + len(blob) > MAX_BATCH_BYTES and batches[-1]:
             batches.append([])
             size = 0
         batches[-1].append(blob)
--- a/wagtaildale/distribution/shares.py
+++ b/wagtaildale/distribution/confirmations.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.distribution.appointments import is_first
+from wagtaildale.distribution.appointments import is_primary_reader
 from wagtaildale.distribution.messages import Send
-from wagtaildale.distribution.readers import name_self
+from wagtaildale.distribution.readers import set_own_reader
 from wagtaildale.membership.state import find_topology
 
 if TYPE_CHECKING:
@@ -14,10 +14,10 @@
     from wagtaildale.distribution.state import DistributionState
 
 # A change has come down the push tree by then, also over slow lines.
-SHARE_SECONDS: Final = 0.2
+CONFIRMATION_DELAY_SECONDS: Final = 0.2
 
 
-def hand_over(state: DistributionState) -> None:
+def claim_confirmations(state: DistributionState) -> None:
     """Prepare the word of a reader that stops: it was the last one.
 
     Failure guarded here: several read for a moment, those that go on stop
@@ -29,10 +29,10 @@
     if not state.appointed:
         return
     for fresh in state.freshness.values():
-        name_self(state, fresh)
+        set_own_reader(state, fresh)
 
 
-def plan_share(state: DistributionState, *, now: float) -> None:
+def schedule_confirmation(state: DistributionState, *, now: float) -> None:
     """Tell the spare readers of a change once it has had its time to spread.
 
     Failure guarded here: a change goes down the push tree, and in the same
@@ -41,29 +41,31 @@
     wait behind the copies.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
     """
-    if state.share_due is None:
-        state.share_due = now + SHARE_SECONDS
+    if state.confirmation_due_at is None:
+        state.confirmation_due_at = now + CONFIRMATION_DELAY_SECONDS
 
 
-def share_if_due(state: DistributionState, *, now: float) -> list[Effect]:
+def send_due_confirmation(
+    state: DistributionState, *, now: float
+) -> list[Effect]:
     """Tell the spare readers of a change, if it is time.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
         Messages, or none.
     """
-    if state.share_due is None or now < state.share_due:
+    if state.confirmation_due_at is None or now < state.confirmation_due_at:
         return []
-    return share_confirmation(state, now=now)
+    return send_confirmation(state, now=now)
 
 
-def share_confirmation(
+def send_confirmation(
     state: DistributionState,
     *,
     now: float,
@@ -76,19 +78,19 @@
     watches.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
         Messages, if this node is an appointed reader.
     """
-    state.share_due = None
+    state.confirmation_due_at = None
     if not state.appointed or not state.tuning.passes_on:
         return []
     own = state.members.own.instance
     readers = find_topology(state.members).readers
     # In place of nodes on slow lines spares read; those are told then too.
-    first = state.tuning.readers if is_first(state) else 0
+    first = state.tuning.readers if is_primary_reader(state) else 0
     spares = readers[first : first + state.tuning.spare_readers]
     # Failure: a node that works is suspected for an answer that was late,
     # nobody sends it anything, and it neither refutes that nor learns that
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -1,7 +1,7 @@
-"""Decides on every message to the distribution task.
+"""Decides which effects follow from each message to the distribution task.
 
-Deterministic but for random picks of peers: no clock and no socket is
-touched here. ``task`` carries the effects out.
+The decisions use no clock and no socket, and are deterministic except for
+random choices of peers. ``task`` executes the effects.
 """
 
 from __future__ import annotations
@@ -11,22 +11,26 @@
 from wagtaildale.distribution import messages
 from wagtaildale.distribution.appointments import (
     review_appointment,
-    tells_others,
+    pushes_to_others,
 )
 from wagtaildale.distribution.bodies import Context, decide_body
-from wagtaildale.distribution.documents import take_offer
-from wagtaildale.distribution.joining import announce, review_ready
-from wagtaildale.distribution.lapses import end_lapses
-from wagtaildale.distribution.pushes import push_across, resend_pushes
+from wagtaildale.distribution.documents import handle_offer
+from wagtaildale.distribution.joining import announce_state, review_ready
+from wagtaildale.distribution.lapses import expire_retained
+from wagtaildale.distribution.pushes import push_to_data_centres, resend_pushes
 from wagtaildale.distribution.readers import note_confirmed, read_while_joining
-from wagtaildale.distribution.shares import (
-    hand_over,
-    plan_share,
-    share_confirmation,
-    share_if_due,
+from wagtaildale.distribution.confirmations import (
+    claim_confirmations,
+    schedule_confirmation,
+    send_confirmation,
+    send_due_confirmation,
 )
 from wagtaildale.distribution.state import MILLISECONDS, DistributionState
-from wagtaildale.distribution.swaps import ask_seeds, swap_digests, tell_fleet
+from wagtaildale.distribution.swaps import (
+    ask_seeds,
+    swap_digests,
+    make_fleet_change,
+)
 from wagtaildale.distribution.suspicions import (
     clear_request,
     forget_suspects,
@@ -60,17 +64,17 @@
     """Decide on one message.
 
     Args:
-        message: what has come.
-        state: the node; moved forward in place.
-        now: seconds.
+        message: message to the task.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        What to do.
+        Effects to execute.
 
     Raises:
-        TypeError: for a message that this task does not know.
+        TypeError: for a message of an unknown type.
     """
-    raise TypeError(f'got {message!r}, expected a message of this task')
+    raise TypeError(f'got {message!r}, expected a message to the distribution task')
 
 
 @decide.register
@@ -82,7 +86,7 @@
 ) -> list[messages.Effect]:
     envelope = message.envelope
     note_heard(state.members, peer=envelope.sender)
-    taken = merge_news(state.members, heard=envelope.news, now=now)
+    changes = merge_news(state.members, heard=envelope.news, now=now)
     context = Context(
         state=state,
         sender=envelope.sender,
@@ -90,11 +94,11 @@
         delay=_measure_delay(state, envelope, now),
     )
     effects = decide_body(envelope.body, context)
-    # Failure: a data centre waits for the word of a reader that has said
-    # that it stops, and hears of no list until that is long overdue.
-    reviewed = review_appointment(state, now=now) if taken else []
+    # Without this review, a data centre whose reader announced its stop would
+    # receive no lists until that reader's next confirmation is long overdue.
+    reviewed = review_appointment(state, now=now) if changes else []
     return [
-        *tell_fleet(taken),
+        *make_fleet_change(changes),
         *effects,
         *reviewed,
         *review_ready(state, now=now),
@@ -110,10 +114,10 @@
 ) -> list[messages.Effect]:
     if message.name is TimerName.digest:
         return swap_digests(state, now=now)
-    taken = expire_suspects(state.members, now=now)
+    changes = expire_suspects(state.members, now=now)
     return [
-        *tell_fleet(taken),
-        *end_lapses(state, now=now),
+        *make_fleet_change(changes),
+        *expire_retained(state, now=now),
         *forget_suspects(state, now=now),
         *review_appointment(state, now=now),
         *review_ready(state, now=now),
@@ -127,11 +131,11 @@
     *,
     now: float,
 ) -> list[messages.Effect]:
-    # Failure: a paused process wakes and acts on what it knew before. What
-    # it was about to send is dropped and nobody is blamed for replies that
-    # this node slept through; the next swap brings its view up to date.
+    # A process that was paused must not act on outdated state: pending
+    # messages are dropped, and peers are not suspected for replies that came
+    # during the pause. The next swap updates this node's view.
     state.pushes.clear()
-    state.awaiting.clear()
+    state.pending_replies.clear()
     return swap_digests(state, now=now)
 
 
@@ -144,8 +148,8 @@
 ) -> list[messages.Effect]:
     return [
         *resend_pushes(state, now=now),
-        *share_if_due(state, now=now),
-        *_look_while_joining(state, now=now),
+        *send_due_confirmation(state, now=now),
+        *_check_while_joining(state, now=now),
     ]
 
 
@@ -158,10 +162,10 @@
 ) -> list[messages.Effect]:
     outline = message.outline
     kind = outline.kind
-    recovered = _note_answer(state, kind)
+    recovered = _clear_failure(state, kind)
     if outline.version >= state.stores[kind].held.version:
         note_confirmed(state, kind=kind, now=now)
-    effects = take_offer(
+    effects = handle_offer(
         state,
         kind=kind,
         offer=OutlineOffered(outline=outline),
@@ -170,18 +174,18 @@
     if message.blobs:
         offer = BlobsOffered(kind=kind, blobs=message.blobs)
         effects = [
-            *(each for each in effects if not _is_read(each)),
-            *take_offer(state, kind=kind, offer=offer, now=now),
+            *(each for each in effects if not _reads_blobs(each)),
+            *handle_offer(state, kind=kind, offer=offer, now=now),
         ]
     shared: list[messages.Effect] = []
     if any(isinstance(each, messages.DocumentUpdated) for each in effects):
-        plan_share(state, now=now)
-        if kind is Kind.instances and tells_others(state):
-            shared = push_across(state, kind=kind, now=now)
+        schedule_confirmation(state, now=now)
+        if kind is Kind.instances and pushes_to_others(state):
+            shared = push_to_data_centres(state, kind=kind, now=now)
     elif kind is Kind.configuration:
-        shared = _share_unless_planned(state, now=now)
+        shared = _send_unless_scheduled(state, now=now)
     if state.members.state is NodeState.joining:
-        # The first list tells this node whether it is a reader.
+        # The first list determines whether this node is a reader.
         shared.extend(review_appointment(state, now=now))
     return [*recovered, *effects, *shared, *review_ready(state, now=now)]
 
@@ -195,9 +199,9 @@
 ) -> list[messages.Effect]:
     if message.version >= state.stores[message.kind].held.version:
         note_confirmed(state, kind=message.kind, now=now)
-    shared = _note_answer(state, message.kind)
+    shared = _clear_failure(state, message.kind)
     if message.kind is Kind.configuration:
-        shared.extend(_share_unless_planned(state, now=now))
+        shared.extend(_send_unless_scheduled(state, now=now))
     return [*shared, *review_ready(state, now=now)]
 
 
@@ -209,7 +213,7 @@
     now: float,
 ) -> list[messages.Effect]:
     offer = BlobsOffered(kind=message.kind, blobs=message.blobs)
-    effects = take_offer(state, kind=message.kind, offer=offer, now=now)
+    effects = handle_offer(state, kind=message.kind, offer=offer, now=now)
     if message.missing:
         names = ' '.join(digest.hex() for digest in message.missing)
         missing = messages.SourceChanged(
@@ -228,8 +232,7 @@
     *,
     now: float,
 ) -> list[messages.Effect]:
-    # A platform that is down for hours is said to be so once, not with
-    # every read.
+    # An outage of hours is logged once, not with every failed read.
     if message.kind in state.failing:
         return []
     state.failing.add(message.kind)
@@ -291,43 +294,47 @@
 ) -> list[messages.Effect]:
     if state.members.state is NodeState.leaving:
         return []
-    hand_over(state)
+    claim_confirmations(state)
     state.members.leave()
     return [
         messages.StateChanged(state=NodeState.leaving),
-        # Its own news goes along: the next reader takes over at once.
-        *share_confirmation(state, now=now),
+        # The message includes the new state of this node, so that the next
+        # reader takes over immediately.
+        *send_confirmation(state, now=now),
         *review_appointment(state, now=now),
-        *announce(state, now=now),
+        *announce_state(state, now=now),
     ]
 
 
-def _share_unless_planned(
+def _send_unless_scheduled(
     state: DistributionState,
     *,
     now: float,
 ) -> list[messages.Effect]:
-    if state.share_due is not None:
+    if state.confirmation_due_at is not None:
         return []
-    return share_confirmation(state, now=now)
+    return send_confirmation(state, now=now)
 
 
-def _look_while_joining(
+def _check_while_joining(
     state: DistributionState,
     *,
     now: float,
 ) -> list[messages.Effect]:
-    """Ask seeds and platform at the pace of a node that refuses callers.
+    """Ask seeds and the platform at the short interval of a joining node.
 
-    Failure guarded here: a whole fleet loses power, and its nodes are up
-    for 0.6 s before the first of them reads the platform, at the pace at
-    which readers are looked after. Every caller is refused meanwhile. Nodes
-    of the first read are ready 0.1 to 0.2 s after their start.
+    A joining node refuses every caller. At the interval of the regular reader
+    review, the nodes of a fleet that restarts after a power loss ran for
+    0.6 s before the first one read the platform. With the short interval, the
+    nodes that read first are ready 0.1 to 0.2 s after their start.
     """
     joining = state.joining
-    if state.members.state is not NodeState.joining or now < joining.next_look:
+    if (
+        state.members.state is not NodeState.joining
+        or now < joining.next_check_at
+    ):
         return []
-    joining.next_look = now + state.tuning.join_look_seconds
+    joining.next_check_at = now + state.tuning.join_look_seconds
     return [
         *ask_seeds(state, now=now),
         *review_appointment(state, now=now),
@@ -350,7 +357,7 @@
     )
 
 
-def _note_answer(
+def _clear_failure(
     state: DistributionState,
     kind: Kind,
 ) -> list[messages.Effect]:
@@ -360,5 +367,5 @@
     return [messages.SourceChanged(kind=kind, code=Code.ok, detail='')]
 
 
-def _is_read(effect: messages.Effect) -> bool:
+def _reads_blobs(effect: messages.Effect) -> bool:
     return isinstance(effect, messages.ReadBlobs)
--- a/wagtaildale/distribution/delays.py
+++ b/wagtaildale/distribution/delays.py
@@ -17,9 +17,9 @@
 # Under this a message waited on a slow line behind others. Were that counted,
 # nodes on slow lines would read the platform, and what they read would make
 # the lines slower. What a cut holds up is seconds late.
-HELD_UP_SECONDS: Final = 0.5
+MIN_DELAY_SECONDS: Final = 0.5
 
-Sender = tuple[InstanceId, Incarnation]
+SenderProcess = tuple[InstanceId, Incarnation]
 
 
 class Delays(Struct, kw_only=True):
@@ -29,9 +29,11 @@
         senders: by process, what was seen of it.
     """
 
-    senders: dict[Sender, MinimumOffset] = field(default_factory=dict)
+    senders: dict[SenderProcess, MinimumOffset] = field(default_factory=dict)
 
-    def measure(self, sender: Sender, *, sent: float, now: float) -> float:
+    def measure(
+        self, sender: SenderProcess, *, sent: float, now: float
+    ) -> float:
         """Measure how long a message was under way beyond the usual.
 
         Failure guarded here: a line is cut for some seconds, and what was
@@ -54,9 +56,9 @@
             seen = MinimumOffset(window=WINDOW_SECONDS, since=now)
             self.senders[sender] = seen
         delay = seen.measure_excess(now - sent, now=now)
-        return delay if delay > HELD_UP_SECONDS else 0
+        return delay if delay > MIN_DELAY_SECONDS else 0
 
-    def _forget_restarted(self, sender: Sender) -> None:
+    def _forget_restarted(self, sender: SenderProcess) -> None:
         instance = sender[0]
         earlier = [known for known in self.senders if known[0] == instance]
         for known in earlier:
--- a/wagtaildale/distribution/departures.py
+++ b/wagtaildale/distribution/departures.py
@@ -1,8 +1,8 @@
-"""Who has left, where an older copy of the platform names it as live.
+"""Tracks departed instances that an older platform copy lists as live.
 
-An instance that has said that it leaves, or was taken off the list, does not
-come back as the same one. A copy from before that names it as ready, and it
-still answers for a while.
+An instance that announced that it leaves, or was removed from the list, does
+not return under the same start time. If the platform comes back from an older
+copy, that copy lists the instance as ready, and it still answers for a while.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.types import InstanceId
 
-# Copies are some seconds old.
-REMEMBERED_SECONDS: Final = 60.0
+# Far longer than the age of a copy, which is some seconds.
+DEPARTURE_RETENTION_SECONDS: Final = 60.0
 
 
 def note_departures(
@@ -31,71 +31,74 @@
     *,
     now: float,
 ) -> None:
-    """Note who is listed as leaving, or is in use no more.
+    """Record instances that are listed as leaving or are no longer in use.
 
     Args:
-        lapses: what this node knows; moved forward in place.
-        before: who was known until now.
-        after: who is known from now on.
-        now: seconds.
+        lapses: exceptions to the instance list; updated in place.
+        before: records in use until now.
+        after: records in use from now on.
+        now: current time, seconds.
     """
     if lapses.era is None:
         return
     for name, record in before.items():
-        said = record.state is ListedState.leaving
-        if said or name not in after:
+        was_leaving = record.state is ListedState.leaving
+        if was_leaving or name not in after:
             lapses.departures[name] = Departure(
                 born=record.born,
                 era=lapses.era,
-                said=said,
+                was_leaving=was_leaving,
                 noted_at=now,
             )
     _forget_old(lapses, now=now)
 
 
-def hold_departed(
+def find_departed(
     lapses: Lapses,
     *,
     seconds: float,
     now: float,
 ) -> dict[InstanceId, InstanceRecord]:
-    """Hold from new work whom a copy names that had left before.
+    """Find departed instances that an older copy lists as live.
 
-    Failure guarded here: a server says that it leaves, the platform comes
-    back from a copy that calls it ready, and callers are sent there until it
-    is gone. One that was only taken off the list may live, and have been cut
-    off from the platform: it is taken at its word once its entry has
-    outlived the time after which entries lapse.
+    Without this, a server that announced that it leaves would receive calls
+    until it ends, since the platform came back from a copy that lists it as
+    ready. An instance that was only removed from the list may be live and may
+    have been cut off from the platform. It is used again if its entry is still
+    there after the time in which entries lapse, since then the instance itself
+    has renewed it.
 
     Args:
-        lapses: what this node knows; moved forward in place.
-        seconds: after the platform's return, after which an entry that is
-            still there is its instance's own.
-        now: seconds.
+        lapses: exceptions to the instance list; updated in place.
+        seconds: time after the platform's return during which a removed
+            instance counts as departed.
+        now: current time, seconds.
 
     Returns:
-        Those held, as leaving.
+        Their records, marked as leaving.
     """
-    held: dict[InstanceId, InstanceRecord] = {}
+    departed: dict[InstanceId, InstanceRecord] = {}
     for name, departure in lapses.departures.items():
         record = lapses.listed.get(name)
-        if record is None or not _is_of_copy(lapses, record, departure):
+        if record is None or not _comes_from_older_copy(
+            lapses, record, departure
+        ):
             continue
-        if departure.said or now < lapses.returned_at + seconds:
-            held[name] = structs.replace(record, state=ListedState.leaving)
+        if departure.was_leaving or now < lapses.returned_at + seconds:
+            departed[name] = structs.replace(record, state=ListedState.leaving)
             lapses.departures[name] = structs.replace(departure, noted_at=now)
-    return held
+    return departed
 
 
 def _forget_old(lapses: Lapses, *, now: float) -> None:
     lapses.departures = {
         name: departure
         for name, departure in lapses.departures.items()
-        if now - departure.noted_at <= REMEMBERED_SECONDS
+        if now - departure.noted_at <= DEPARTURE_RETENTION_SECONDS
     }
 
 
-def _is_of_copy(
+def _comes_from_older_copy(
     lapses: Lapses,
     record: InstanceRecord,
     departure: Departure,
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -13,8 +13,8 @@
     Refused,
     Send,
 )
-from wagtaildale.distribution.lapses import take_list
-from wagtaildale.distribution.pushes import push_on
+from wagtaildale.distribution.lapses import update_list
+from wagtaildale.distribution.pushes import push_version
 from wagtaildale.distribution.state import DistributionState
 from wagtaildale.distribution.wire import BlobPull, Pull
 from wagtaildale.document.decisions import decide_offer
@@ -37,10 +37,10 @@
 
     Offer = DeltaOffered | OutlineOffered | BlobsOffered
 
-PATIENCE_SECONDS: Final = 5.0
+PEER_WAIT_SECONDS: Final = 5.0
 
 
-def take_offer(
+def handle_offer(
     state: DistributionState,
     *,
     kind: Kind,
@@ -51,28 +51,28 @@
     """Offer a version to its store and carry on from what comes of it.
 
     Args:
-        state: the node; moved forward in place.
-        kind: which document.
+        state: state of the node; updated in place.
+        kind: kind of the document.
         offer: the version.
-        now: seconds.
+        now: current time, seconds.
         from_tree: whether the push tree brought it, so that the tree's
             root need not be told.
 
     Returns:
-        What to do.
+        Effects to execute.
     """
     effects: list[Effect] = []
     for outcome in decide_offer(offer, state.stores[kind]):
-        effects.extend(_follow(outcome, state, now))
+        effects.extend(_handle_outcome(outcome, state, now))
         if isinstance(outcome, Applied):
             effects.extend(
-                push_on(state, kind=kind, now=now, from_tree=from_tree),
+                push_version(state, kind=kind, now=now, from_tree=from_tree),
             )
     return effects
 
 
 @singledispatch
-def _follow(
+def _handle_outcome(
     outcome: object,
     state: DistributionState,
     now: float,
@@ -80,27 +80,27 @@
     raise TypeError(f'got {outcome!r}, expected an effect of a store')
 
 
-@_follow.register
-def _follow_applied(
+@_handle_outcome.register
+def _handle_applied(
     outcome: Applied,
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
     document = outcome.document
-    kept: list[Effect] = []
+    changes: list[Effect] = []
     if document.kind is Kind.instances:
         # Before the list itself: calls never see it without those kept.
-        kept = take_list(state, document=document, now=now)
-    moved = DocumentUpdated(
+        changes = update_list(state, document=document, now=now)
+    updated = DocumentUpdated(
         before=outcome.before,
         document=document,
         origin=outcome.origin,
     )
-    return [*kept, moved]
+    return [*changes, updated]
 
 
-@_follow.register
-def _follow_rejected(
+@_handle_outcome.register
+def _handle_rejected(
     outcome: Rejected,
     state: DistributionState,
     now: float,
@@ -108,19 +108,19 @@
     return [Refused(rejected=outcome)]
 
 
-@_follow.register
-def _follow_outline_wanted(
+@_handle_outcome.register
+def _handle_outline_wanted(
     outcome: OutlineWanted,
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
     if outcome.origin is None:
         return []
-    return [ask_for_delta(state, kind=outcome.kind, peer=outcome.origin)]
+    return [request_delta(state, kind=outcome.kind, peer=outcome.origin)]
 
 
-@_follow.register
-def _follow_blobs_wanted(
+@_handle_outcome.register
+def _handle_blobs_wanted(
     outcome: BlobsWanted,
     state: DistributionState,
     now: float,
@@ -131,7 +131,7 @@
     # Failure: a herd of new nodes reads every part from the platform. Only
     # appointed readers do so at once; the others get the parts from them,
     # and turn to the platform when nobody has brought them for a while.
-    waited = now - state.joining.started_at > PATIENCE_SECONDS
+    waited = now - state.joining.started_at > PEER_WAIT_SECONDS
     readers = find_topology(state.members).readers
     read = ReadBlobs(
         kind=outcome.kind,
@@ -141,7 +141,7 @@
     return [read] if state.appointed or waited else []
 
 
-def ask_for_delta(
+def request_delta(
     state: DistributionState,
     *,
     kind: Kind,
@@ -150,8 +150,8 @@
     """Ask a peer for what leads from the held version to its own.
 
     Args:
-        state: the node.
-        kind: which document.
+        state: state of the node.
+        kind: kind of the document.
         peer: who is asked.
 
     Returns:
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -23,8 +23,8 @@
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import InstanceId, Kind, NodeState
 
-PLATFORM: Final = 'platform'
-OWN: Final = 'own'
+PLATFORM_ORIGIN: Final = 'platform'
+OWN_ORIGIN: Final = 'own'
 PEER_EVENTS: Final = MappingProxyType(
     {
         NodeState.suspect: EventKind.peer_suspected,
@@ -58,7 +58,7 @@
 
 
 @singledispatch
-def carry_out(effect: object, sender: Sender) -> None:
+def execute(effect: object, sender: Sender) -> None:
     """Carry out one effect of a decision.
 
     Args:
@@ -71,17 +71,17 @@
     raise TypeError(f'got {effect!r}, expected an effect')
 
 
-@carry_out.register
+@execute.register
 def _send(effect: messages.Send, sender: Sender) -> None:
     sender.send(effect.to, effect.body)
 
 
-@carry_out.register
+@execute.register
 def _send_seed(effect: messages.SendSeed, sender: Sender) -> None:
     sender.send_seed(effect.address, effect.body)
 
 
-@carry_out.register
+@execute.register
 def _watch(effect: messages.Watch, sender: Sender) -> None:
     sender.dependencies.watches[effect.kind].put(effect)
     kind = EventKind.reader_stepped_down
@@ -94,17 +94,17 @@
     )
 
 
-@carry_out.register
+@execute.register
 def _read_source(effect: messages.ReadSource, sender: Sender) -> None:
     sender.dependencies.fetches.put(effect)
 
 
-@carry_out.register
+@execute.register
 def _read_blobs(effect: messages.ReadBlobs, sender: Sender) -> None:
     sender.dependencies.fetches.put(effect)
 
 
-@carry_out.register
+@execute.register
 def _move(effect: messages.DocumentUpdated, sender: Sender) -> None:
     document = effect.document
     dependencies = sender.dependencies
@@ -121,11 +121,11 @@
         kind,
         version=document.version,
         subject=document.digest.hex(),
-        inputs=_describe_way(effect, sender.state),
+        inputs=_describe_origin(effect, sender.state),
     )
 
 
-def _describe_way(
+def _describe_origin(
     effect: messages.DocumentUpdated,
     state: DistributionState,
 ) -> Inputs:
@@ -135,7 +135,7 @@
     late at the platform, and from one that stayed on its way.
     """
     fresh = state.freshness[effect.document.kind]
-    inputs: Inputs = {'origin': effect.origin or PLATFORM}
+    inputs: Inputs = {'origin': effect.origin or PLATFORM_ORIGIN}
     if fresh.confirmed_at != NEVER:
         age = read_clock() - fresh.confirmed_at
         inputs['reader'] = fresh.reader
@@ -143,20 +143,22 @@
     return inputs
 
 
-@carry_out.register
+@execute.register
 def _change_lapsed(effect: messages.LapsedChanged, sender: Sender) -> None:
     dependencies = sender.dependencies
-    dependencies.view.take_lapsed(effect.kept, held=effect.held)
+    dependencies.view.take_lapsed(effect.retained, held=effect.departed)
     dependencies.view.take_away(sender.state.members.list_away())
     dependencies.recorder.record(
         EventKind.lapsed_changed,
         version=dependencies.view.current.list_index,
-        detail=' '.join(record.instance for record in effect.kept),
-        inputs={'held': ' '.join(record.instance for record in effect.held)},
+        detail=' '.join(record.instance for record in effect.retained),
+        inputs={
+            'held': ' '.join(record.instance for record in effect.departed)
+        },
     )
 
 
-@carry_out.register
+@execute.register
 def _note_return(effect: messages.PlatformReturned, sender: Sender) -> None:
     sender.dependencies.recorder.record(
         EventKind.platform_returned,
@@ -188,23 +190,23 @@
     return rises and whole and resources
 
 
-@carry_out.register
+@execute.register
 def _change_fleet(
     effect: messages.FleetChanged,
     sender: Sender,
 ) -> None:
     sender.dependencies.view.take_away(sender.state.members.list_away())
-    for taken in effect.taken:
-        kind = PEER_EVENTS.get(taken.news.state)
-        if kind is None and taken.before in AWAY:
+    for changes in effect.changes:
+        kind = PEER_EVENTS.get(changes.news.state)
+        if kind is None and changes.before in AWAY:
             kind = EventKind.peer_refuted
         if kind is not None:
             sender.dependencies.recorder.record(
-                kind, subject=taken.news.instance
+                kind, subject=changes.news.instance
             )
 
 
-@carry_out.register
+@execute.register
 def _change_state(
     effect: messages.StateChanged,
     sender: Sender,
@@ -219,7 +221,7 @@
     sender.dependencies.recorder.record(kind, version=held.version)
 
 
-@carry_out.register
+@execute.register
 def _refuse(effect: messages.Refused, sender: Sender) -> None:
     rejected = effect.rejected
     kind = EventKind.version_ignored
@@ -234,7 +236,7 @@
     )
 
 
-@carry_out.register
+@execute.register
 def _change_source(effect: messages.SourceChanged, sender: Sender) -> None:
     kind = EventKind.source_failed
     if effect.code is Code.ok:
@@ -247,7 +249,7 @@
     )
 
 
-@carry_out.register
+@execute.register
 def _change_suspects(effect: messages.SuspectsChanged, sender: Sender) -> None:
     sender.dependencies.suspects.publish(effect.suspects)
     for suspicion in effect.learned:
@@ -259,11 +261,14 @@
         sender.dependencies.recorder.record(
             kind,
             subject=suspicion.fingerprint.hex(),
-            inputs={'ends': suspicion.ends, 'origin': effect.origin or OWN},
+            inputs={
+                'ends': suspicion.ends,
+                'origin': effect.origin or OWN_ORIGIN,
+            },
         )
 
 
-@carry_out.register
+@execute.register
 def _note_behind(effect: messages.PeerBehind, sender: Sender) -> None:
     sender.dependencies.recorder.record(
         EventKind.push_unseen,
@@ -272,7 +277,7 @@
     )
 
 
-@carry_out.register
+@execute.register
 def _refuse_entry(effect: messages.EntryRefused, sender: Sender) -> None:
     sender.dependencies.recorder.record(
         EventKind.entry_refused,
--- a/wagtaildale/distribution/joining.py
+++ b/wagtaildale/distribution/joining.py
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from wagtaildale.distribution.state import DistributionState
 
-PEERS_TO_HEAR: Final = 2
-TOLD_AT_ONCE: Final = 8
+MIN_PEER_REPLIES: Final = 2
+MAX_ANNOUNCED_PEERS: Final = 8
 
 
 def review_ready(state: DistributionState, *, now: float) -> list[Effect]:
     """Decide whether a joining node has become ready.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
         The change of state, if there is one.
@@ -30,15 +30,18 @@
     ):
         return []
     state.members.state = NodeState.ready
-    return [StateChanged(state=NodeState.ready), *announce(state, now=now)]
+    return [
+        StateChanged(state=NodeState.ready),
+        *announce_state(state, now=now),
+    ]
 
 
-def announce(state: DistributionState, *, now: float) -> list[Effect]:
+def announce_state(state: DistributionState, *, now: float) -> list[Effect]:
     """Tell some others at once what this node's state is.
 
     Args:
-        state: the node.
-        now: seconds.
+        state: state of the node.
+        now: current time, seconds.
 
     Returns:
         Messages to neighbours and to some of the data centre, who pass it
@@ -48,7 +51,9 @@
     topology = find_topology(state.members)
     told = dict.fromkeys((*topology.neighbours, *topology.tree))
     told.pop(state.members.own.instance, None)
-    return [Send(to=peer, body=swap) for peer in tuple(told)[:TOLD_AT_ONCE]]
+    return [
+        Send(to=peer, body=swap) for peer in tuple(told)[:MAX_ANNOUNCED_PEERS]
+    ]
 
 
 def _is_ready(state: DistributionState, now: float) -> bool:
@@ -61,11 +66,13 @@
     if any(store.pending is not None for store in stores):
         return False
     joining = state.joining
-    if len(joining.peers) >= min(PEERS_TO_HEAR, max(1, len(state.seeds))):
+    if len(joining.replied_peers) >= min(
+        MIN_PEER_REPLIES, max(1, len(state.seeds))
+    ):
         return True
-    asked = len(joining.source) == len(state.stores)
+    asked = len(joining.confirmed_kinds) == len(state.stores)
     # A node without seeds can ask nobody: the peers that the list names get
     # its first digest, and whoever knows better answers that.
     patience = state.tuning.alone_seconds if state.seeds else 0
     alone = now - joining.started_at > patience
-    return alone and (asked or bool(joining.peers))
+    return alone and (asked or bool(joining.replied_peers))
--- a/wagtaildale/distribution/lapses.py
+++ b/wagtaildale/distribution/lapses.py
@@ -1,9 +1,9 @@
-"""Keeps instances that the platform forgot while it was away.
+"""Retains instances whose list entries lapsed during a platform outage.
 
-The platform's list has an entry for as long as its instance writes there.
-While the platform cannot be written to, entries of live instances lapse.
-They are back about two seconds after the platform is; until then the first
-lists that it gives lack them.
+The platform's list has an entry for as long as its instance renews it. While
+the platform cannot be written to, entries of live instances lapse. They are
+listed again about two seconds after the platform is back; the first lists
+before that lack them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.distribution.departures import (
-    hold_departed,
+    find_departed,
     note_departures,
 )
 from wagtaildale.distribution.messages import LapsedChanged, PlatformReturned
@@ -25,89 +25,89 @@
     from wagtaildale.distribution.messages import Effect
     from wagtaildale.document.model import Document
 
-# How long a live instance takes to be listed again: the platform's operators
-# say about two seconds. After the platform has been reached again its word
-# counts in full within three, so this stays under that.
-RETURN_SECONDS: Final = 2.2
+# How long a live instance may take to be listed again: about two seconds
+# according to the platform's operators. It stays under three seconds, after
+# which the list of a platform that is back has to be in force without
+# exceptions.
+RELIST_SECONDS: Final = 2.2
 
 
-def take_list(
+def update_list(
     state: DistributionState,
     *,
     document: Document,
     now: float,
 ) -> list[Effect]:
-    """Take a later instance list, and keep who has only lapsed.
+    """Apply a later instance list, retaining instances that only lapsed.
 
-    Failure guarded here: the platform comes back after some seconds with
-    a list that lacks live instances, and for two seconds every request to
-    their service is refused. So whoever vanishes from the list just after
-    the platform was away stays in use until it is due back. An instance
-    that was leaving does not.
+    After an outage of some seconds, the platform's first list lacks live
+    instances, and every request to their service would be refused for two
+    seconds. So an instance that vanishes from the list just after an outage
+    stays in use until it has to be listed again, unless it was leaving.
 
     Args:
-        state: the node; moved forward in place.
-        document: the later list.
-        now: seconds.
+        state: state of the node; updated in place.
+        document: new list.
+        now: current time, seconds.
 
     Returns:
-        Whom to keep in use or from it, if that has changed.
+        The changed exceptions to the list, if any.
     """
     lapses = state.lapses
-    known = {**lapses.kept, **lapses.listed}
-    listed = _decode(document)
+    known = {**lapses.retained, **lapses.listed}
+    listed = _decode_records(document)
     returned = _note_era(state, document.version, now)
-    kept = _pick_lapsed(known, listed) if now < lapses.until else {}
-    note_departures(lapses, known, {**kept, **listed}, now=now)
+    retained = _pick_lapsed(known, listed) if now < lapses.retain_until else {}
+    note_departures(lapses, known, {**retained, **listed}, now=now)
     lapses.listed = listed
     lapses.era = find_era(document.version)
-    return [*returned, *_keep(state, kept, now=now)]
+    return [*returned, *_apply_exceptions(state, retained, now=now)]
 
 
-def note_return(
+def note_platform_return(
     state: DistributionState,
     *,
     kind: Kind,
     confirmed_at: float,
     now: float,
 ) -> None:
-    """Note that the platform has confirmed a document after a silence.
+    """Detect that the platform confirms a document again after an outage.
 
-    Only what this process has lived through counts as a silence: a node that
-    has just started may hear first from a peer that was long cut off.
+    Only an outage since the start of this process counts: the first message
+    to a node that has just started may come from a peer that was long cut off.
 
     Args:
-        state: the node, before it takes the confirmation; moved forward in
-            place.
-        kind: which document.
-        confirmed_at: when the platform did, seconds on this node's clock.
-        now: seconds.
+        state: state of the node before the confirmation is recorded; updated
+            in place.
+        kind: kind of the document.
+        confirmed_at: time of the confirmation, seconds on this node's clock.
+        now: current time, seconds.
     """
     last = state.freshness[kind].confirmed_at
     if kind is not Kind.instances or last == NEVER:
         return
     silent = confirmed_at - max(last, state.joining.started_at)
     if silent > state.tuning.lapse_seconds:
-        state.lapses.until = now + RETURN_SECONDS
+        state.lapses.retain_until = now + RELIST_SECONDS
 
 
-def end_lapses(state: DistributionState, *, now: float) -> list[Effect]:
-    """Let go of whoever has not come back in time.
+def expire_retained(state: DistributionState, *, now: float) -> list[Effect]:
+    """Release retained instances that were not listed again in time.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Whom to keep in use or from it, if that has changed.
+        The changed exceptions to the list, if any.
     """
     lapses = state.lapses
-    kept = lapses.kept if now < lapses.until else {}
-    if lapses.kept and not kept:
-        note_departures(lapses, lapses.kept, lapses.listed, now=now)
-    if len(kept) == len(lapses.kept) and not lapses.held:
+    retained = lapses.retained if now < lapses.retain_until else {}
+    if lapses.retained and not retained:
+        note_departures(lapses, lapses.retained, lapses.listed, now=now)
+    if len(retained) == len(lapses.retained) and not lapses.departed:
         return []
-    return _keep(state, kept, now=now)
+    return _apply_exceptions(state, retained, now=now)
 
 
 def _pick_lapsed(
@@ -118,7 +118,7 @@
     return {
         name: record
         for name, record in known.items()
-        # Whose place is taken was replaced, and does not come back.
+        # An instance whose node has another instance now was replaced.
         if record.node_id not in places and record.state is ListedState.live
     }
 
@@ -132,40 +132,44 @@
     era = find_era(version)
     if before is None or era <= before:
         return []
-    # What was written since the copy is written again.
-    state.lapses.until = now + RETURN_SECONDS
+    # Entries that were written after the copy was made are written again.
+    state.lapses.retain_until = now + RELIST_SECONDS
     state.lapses.returned_at = now
     return [PlatformReturned(era=era, revision=find_revision(version))]
 
 
-def _keep(
+def _apply_exceptions(
     state: DistributionState,
-    kept: dict[InstanceId, InstanceRecord],
+    retained: dict[InstanceId, InstanceRecord],
     *,
     now: float,
 ) -> list[Effect]:
     lapses = state.lapses
-    held = hold_departed(lapses, seconds=_find_hold(state), now=now)
-    changed = kept.keys() != lapses.kept.keys() or held != lapses.held
-    lapses.kept = kept
-    lapses.held = held
-    known = {**kept, **lapses.listed, **held}
+    departed = find_departed(
+        lapses, seconds=_find_departed_seconds(state), now=now
+    )
+    changed = (
+        retained.keys() != lapses.retained.keys() or departed != lapses.departed
+    )
+    lapses.retained = retained
+    lapses.departed = departed
+    known = {**retained, **lapses.listed, **departed}
     records = {record.node_id: record for record in known.values()}
     take_records(state.members, records=records)
     if not changed:
         return []
     return [
         LapsedChanged(
-            kept=tuple(kept.values()),
-            held=tuple(held.values()),
+            retained=tuple(retained.values()),
+            departed=tuple(departed.values()),
         ),
     ]
 
 
-def _find_hold(state: DistributionState) -> float:
-    return state.tuning.lapse_seconds + RETURN_SECONDS
+def _find_departed_seconds(state: DistributionState) -> float:
+    return state.tuning.lapse_seconds + RELIST_SECONDS
 
 
-def _decode(document: Document) -> dict[InstanceId, InstanceRecord]:
+def _decode_records(document: Document) -> dict[InstanceId, InstanceRecord]:
     records = map(decode_record, document.blobs.values())
     return {record.instance: record for record in records}
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -1,4 +1,4 @@
-"""What the distribution task is told, and what it does."""
+"""Messages to the distribution task, and effects of its decisions."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class Received(Struct, frozen=True, kw_only=True):
-    """A message from another node."""
+    """A message from another node was received."""
 
     envelope: Envelope
 
 
 class SourceRead(Struct, frozen=True, kw_only=True):
-    """The platform gave a version.
+    """A version was read from the platform.
 
     Attributes:
-        outline: the entries it names.
-        blobs: those that came along.
+        outline: names and content hashes of its entries.
+        blobs: contents that the platform sent with it.
     """
 
     outline: Outline
@@ -35,11 +35,11 @@
 
 
 class SourceConfirmed(Struct, frozen=True, kw_only=True):
-    """The platform's watch ended with nothing new.
+    """A watch of the platform ended without a new version.
 
     Attributes:
-        kind: which document.
-        version: that the platform gave last.
+        kind: kind of the document.
+        version: latest version at the platform.
     """
 
     kind: Kind
@@ -47,12 +47,12 @@
 
 
 class SourceBlobs(Struct, frozen=True, kw_only=True):
-    """The platform gave blobs that were asked for.
+    """Requested blobs were read from the platform.
 
     Attributes:
-        kind: of which document.
-        blobs: what it had.
-        missing: what it did not have.
+        kind: kind of the document.
+        blobs: contents that the platform has.
+        missing: content hashes of blobs that the platform lacks.
     """
 
     kind: Kind
@@ -61,7 +61,7 @@
 
 
 class SourceFailed(Struct, frozen=True, kw_only=True):
-    """The platform did not answer, or refused."""
+    """A read from the platform failed: no answer, or a refusal."""
 
     kind: Kind
     code: Code
@@ -69,9 +69,9 @@
 
 
 class EntryRefused(Struct, frozen=True, kw_only=True):
-    """The platform gave something that cannot be read; the rest stands.
+    """An entry at the platform cannot be decoded; the others are used.
 
-    Both what a reader tells and what is done about it: it is noted.
+    This is both a message to the task and the effect that logs it.
     """
 
     kind: Kind
@@ -80,11 +80,11 @@
 
 
 class Leave(Struct, frozen=True, kw_only=True):
-    """This node begins its planned stop."""
+    """This node begins its planned stop and leaves the fleet."""
 
 
 class DeadlineReached(Struct, frozen=True, kw_only=True):
-    """Time has passed: resend what is due."""
+    """A deadline has passed, for example that of an unacknowledged push."""
 
 
 class Send(Struct, frozen=True, kw_only=True):
@@ -110,7 +110,7 @@
 
 
 class ReadSource(Struct, frozen=True, kw_only=True):
-    """Read one document from the platform once."""
+    """Read a document from the platform once."""
 
     kind: Kind
 
@@ -119,10 +119,10 @@
     """Read blobs from the platform.
 
     Attributes:
-        kind: of which document.
-        digests: which blobs.
-        is_first_reader: whether this node is its data centre's first reader, who
-            reads faster than the others.
+        kind: kind of the document.
+        digests: content hashes of the blobs.
+        is_first_reader: whether this node is the first reader of its data
+            centre, which has a higher rate limit than the others.
     """
 
     kind: Kind
@@ -131,13 +131,12 @@
 
 
 class DocumentUpdated(Struct, frozen=True, kw_only=True):
-    """A document moved to a later version here.
+    """This node switched to a later version of a document.
 
     Attributes:
-        before: the version held until now.
-        document: the version held from now on.
-        origin: who gave what was last missing of it; nobody where it was
-            the platform.
+        before: previous version.
+        document: new version.
+        origin: peer that sent the last missing part; None for the platform.
     """
 
     before: Document
@@ -146,23 +145,25 @@
 
 
 class LapsedChanged(Struct, frozen=True, kw_only=True):
-    """This node goes by the list with other exceptions than before.
+    """The exceptions to the platform's instance list changed.
 
     Attributes:
-        kept: those that are in use though the list lacks them.
-        held: those that take no new work though the list says so.
+        retained: records of instances that stay in use although the list
+            lacks them.
+        departed: records of instances that receive no new work although they
+            are listed as live.
     """
 
-    kept: tuple[InstanceRecord, ...]
-    held: tuple[InstanceRecord, ...] = ()
+    retained: tuple[InstanceRecord, ...]
+    departed: tuple[InstanceRecord, ...] = ()
 
 
 class PlatformReturned(Struct, frozen=True, kw_only=True):
-    """The platform has come back from an older copy.
+    """The platform came back from an older copy.
 
     Attributes:
-        era: that began with it.
-        revision: of its first list.
+        era: era that began with the return.
+        revision: revision of the first list of the era.
     """
 
     era: Era
@@ -170,30 +171,34 @@
 
 
 class FleetChanged(Struct, frozen=True, kw_only=True):
-    """News changed who is away."""
+    """Members of the fleet became unavailable or available again.
 
-    taken: tuple[NewsTaken, ...]
+    Attributes:
+        changes: membership news that made the difference.
+    """
+
+    changes: tuple[NewsTaken, ...]
 
 
 class StateChanged(Struct, frozen=True, kw_only=True):
-    """This node joined, became ready or leaves."""
+    """The state of this node changed to ready or leaving."""
 
     state: NodeState
 
 
 class Refused(Struct, frozen=True, kw_only=True):
-    """An offered version was not taken."""
+    """An offered version was rejected."""
 
     rejected: Rejected
 
 
 class SourceChanged(Struct, frozen=True, kw_only=True):
-    """The platform began to fail, answers again, or lacks a part.
+    """Reads from the platform began to fail, recovered, or lack a part.
 
     Attributes:
-        kind: of the document that was read.
-        code: ``ok`` when it answers again.
-        detail: for a person.
+        kind: kind of the document that was read.
+        code: reason of the failure; ``ok`` after a recovery.
+        detail: text for the log.
     """
 
     kind: Kind
@@ -202,19 +207,19 @@
 
 
 class PeerBehind(Struct, frozen=True, kw_only=True):
-    """A push was not seen: its receiver's children are served instead."""
+    """A push was not acknowledged; the peer's children receive it instead."""
 
     peer: InstanceId
     version: Version
 
 
 class SuspectsChanged(Struct, frozen=True, kw_only=True):
-    """Requests are suspected, or cleared, that were not before.
+    """The set of suspected requests changed.
 
     Attributes:
-        suspects: all of them now.
-        learned: what is new.
-        origin: who told; nobody where it was learned here.
+        suspects: snapshot of all suspected requests.
+        learned: new suspicions and clearings.
+        origin: peer that sent them; None if they arose at this node.
     """
 
     suspects: Suspects
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -8,8 +8,8 @@
 from msgspec import structs
 
 from wagtaildale.distribution.messages import PeerBehind, Send
-from wagtaildale.distribution.state import DistributionState, PushOut
-from wagtaildale.distribution.swaps import tell_fleet
+from wagtaildale.distribution.state import DistributionState, PendingPush
+from wagtaildale.distribution.swaps import make_fleet_change
 from wagtaildale.distribution.wire import Push, Swap
 from wagtaildale.document.model import make_delta
 from wagtaildale.membership.decisions import note_missed
@@ -23,11 +23,11 @@
     from wagtaildale.document.model import Delta
     from wagtaildale.types import InstanceId, Kind
 
-INLINE_BYTES: Final = 65_536
-PUSH_TRIES: Final = 2
+MAX_INLINE_BYTES: Final = 65_536
+MAX_PUSH_ATTEMPTS: Final = 2
 
 
-def push_on(
+def push_version(
     state: DistributionState,
     *,
     kind: Kind,
@@ -38,13 +38,13 @@
 
     Args:
         state: the node; notes what was sent.
-        kind: which document.
-        now: seconds.
+        kind: kind of the document.
+        now: current time, seconds.
         from_tree: whether the push tree brought it; otherwise the root of
             the data centre's tree is told too.
 
     Returns:
-        What to send.
+        Messages to send.
     """
     if not state.tuning.passes_on:
         return []
@@ -59,7 +59,7 @@
     ]
 
 
-def push_across(
+def push_to_data_centres(
     state: DistributionState,
     *,
     kind: Kind,
@@ -74,16 +74,16 @@
 
     Args:
         state: the node; notes what was sent.
-        kind: which document.
-        now: seconds.
+        kind: kind of the document.
+        now: current time, seconds.
 
     Returns:
-        What to send.
+        Messages to send.
     """
     if not state.tuning.passes_on:
         return []
     return [
-        _mark_past_tree(_push_to(state, root, kind, now))
+        _mark_bypassing(_push_to(state, root, kind, now))
         for root in find_topology(state.members).roots
     ]
 
@@ -98,21 +98,21 @@
     answered, and since taking one twice does no harm.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        What to send.
+        Messages to send.
     """
     effects: list[Effect] = []
     due = [key for key, push in state.pushes.items() if push.due <= now]
     for peer, kind in due:
         push = state.pushes.pop((peer, kind))
-        if push.tries < PUSH_TRIES:
-            effects.append(_push_to(state, peer, kind, now, push.tries + 1))
+        if push.attempts < MAX_PUSH_ATTEMPTS:
+            effects.append(_push_to(state, peer, kind, now, push.attempts + 1))
             continue
-        taken = note_missed(state.members, peer=peer, now=now)
-        effects.extend(tell_fleet(taken))
+        changes = note_missed(state.members, peer=peer, now=now)
+        effects.extend(make_fleet_change(changes))
         effects.append(PeerBehind(peer=peer, version=push.version))
         effects.extend(
             _push_to(state, child, kind, now)
@@ -141,26 +141,26 @@
     peer: InstanceId,
     kind: Kind,
     now: float,
-    tries: int = 1,
+    attempts: int = 1,
 ) -> Send:
     store = state.stores[kind]
-    state.pushes[(peer, kind)] = PushOut(
+    state.pushes[(peer, kind)] = PendingPush(
         version=store.held.version,
         due=now + state.tuning.resend_seconds,
-        tries=tries,
+        attempts=attempts,
     )
     holding = state.describe_holding(kind, now)
     base = store.history[0]
     delta = make_delta(base, target=store.held)
-    if _measure(delta) > INLINE_BYTES:
+    if _measure(delta) > MAX_INLINE_BYTES:
         return Send(to=peer, body=Swap((holding,), is_reply=False))
     return Send(to=peer, body=Push(delta, holding))
 
 
-def _mark_past_tree(send: Send) -> Send:
+def _mark_bypassing(send: Send) -> Send:
     if not isinstance(send.body, Push):
         return send
-    return Send(to=send.to, body=structs.replace(send.body, is_past_tree=True))
+    return Send(to=send.to, body=structs.replace(send.body, bypasses_tree=True))
 
 
 def _measure(delta: Delta) -> int:
--- a/wagtaildale/distribution/readers.py
+++ b/wagtaildale/distribution/readers.py
@@ -1,4 +1,4 @@
-"""What readers know of the platform, and what others tell them of it."""
+"""Tracks when the platform last confirmed each document, and by whom."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.distribution.appointments import find_rank
-from wagtaildale.distribution.lapses import note_return
+from wagtaildale.distribution.lapses import note_platform_return
 from wagtaildale.distribution.messages import ReadSource
 from wagtaildale.distribution.state import (
     MILLISECONDS,
@@ -22,10 +22,10 @@
     from wagtaildale.distribution.wire import Holding
     from wagtaildale.types import InstanceId
 
-# Of the time over which reads that are repeated are spread: 0.8 s where the
-# first is spread over 0.1 s. Callers wait for the platform's return no longer
-# than that on top of it.
-DOUBLINGS_MOST: Final = 3
+# Doublings of the interval over which repeated reads are spread: 0.8 s if the
+# first reads are spread over 0.1 s. This bounds how much longer callers wait
+# after the platform has recovered.
+MAX_DOUBLINGS: Final = 3
 
 
 def note_confirmed(
@@ -34,44 +34,45 @@
     kind: Kind,
     now: float,
 ) -> None:
-    """Note that the platform answered this node.
+    """Record that the platform confirmed a document to this node.
 
     Args:
-        state: the node; moved forward in place.
-        kind: which document.
-        now: seconds.
+        state: state of the node; updated in place.
+        kind: kind of the document.
+        now: current time, seconds.
     """
-    note_return(state, kind=kind, confirmed_at=now, now=now)
+    note_platform_return(state, kind=kind, confirmed_at=now, now=now)
     fresh = state.freshness[kind]
     fresh.confirmed_at = now
-    name_self(state, fresh)
-    fresh.near_at = now
-    fresh.near_rank = fresh.rank
-    fresh.near_reader = fresh.reader
-    state.joining.source.add(kind)
+    set_own_reader(state, fresh)
+    fresh.local_confirmed_at = now
+    fresh.local_rank = fresh.rank
+    fresh.local_reader = fresh.reader
+    state.joining.confirmed_kinds.add(kind)
 
 
 def find_confirmed_at(holding: Holding, *, sent_at: float) -> float:
-    """Find when the platform confirmed what a peer holds.
+    """Find when the platform confirmed the version that a peer holds.
 
     Args:
-        holding: the peer's.
-        sent_at: when the peer said so, seconds on this node's clock.
+        holding: version that the peer holds, and its freshness.
+        sent_at: when the peer sent it, seconds on this node's clock.
 
     Returns:
-        Seconds on this node's clock; ``NEVER`` if the peer knows of none.
+        Seconds on this node's clock; ``NEVER`` if the peer knows of no
+        confirmation.
     """
     if holding.age_ms == UNKNOWN_AGE:
         return NEVER
     return sent_at - holding.age_ms / MILLISECONDS
 
 
-def name_self(state: DistributionState, fresh: Freshness) -> None:
-    """Name this node as the reader that confirmed a document last.
+def set_own_reader(state: DistributionState, fresh: Freshness) -> None:
+    """Set this node as the reader that last confirmed a document.
 
     Args:
-        state: the node.
-        fresh: what it knows of the document; moved forward in place.
+        state: state of the node.
+        fresh: last confirmations of the document; updated in place.
     """
     fresh.rank = find_rank(state)
     fresh.reader = state.members.own.instance
@@ -86,17 +87,17 @@
     sent_at: float,
     now: float,
 ) -> None:
-    """Note how lately a peer knows the platform confirmed.
+    """Record the last confirmation that a peer knows of.
 
-    An older version says nothing of freshness: a stale platform confirms
-    it for ever.
+    The confirmation of an older version is ignored: a stale platform goes on
+    confirming it.
 
     Args:
-        state: the node; moved forward in place.
-        holding: the peer's.
-        sender: the peer.
-        sent_at: when the peer said so, seconds on this node's clock.
-        now: seconds.
+        state: state of the node; updated in place.
+        holding: version that the peer holds, and its freshness.
+        sender: instance of the peer.
+        sent_at: when the peer sent it, seconds on this node's clock.
+        now: current time, seconds.
     """
     behind = holding.version < state.stores[holding.kind].held.version
     if behind:
@@ -104,7 +105,7 @@
     fresh = state.freshness[holding.kind]
     confirmed_at = find_confirmed_at(holding, sent_at=sent_at)
     if confirmed_at > fresh.confirmed_at:
-        note_return(
+        note_platform_return(
             state,
             kind=holding.kind,
             confirmed_at=confirmed_at,
@@ -114,17 +115,18 @@
         fresh.rank = holding.rank
         fresh.reader = holding.reader
         fresh.data_centre = holding.data_centre
-    if _is_near(state, holding):
+    if _is_local(state, holding):
         stops = (
             sender == holding.reader and sender in state.members.list_leaving()
         )
-        _note_near(state, holding, confirmed_at, stops=stops)
+        _note_local(state, holding, confirmed_at, stops=stops)
 
 
-def _is_near(state: DistributionState, holding: Holding) -> bool:
-    # Failure: a data centre's reader stops or dies, readers of others confirm
-    # in time ever since, and nobody takes its place: lists come by digests
-    # alone, seconds late. Ranks of two data centres do not compare either.
+def _is_local(state: DistributionState, holding: Holding) -> bool:
+    # Only readers of the same data centre count. Otherwise, after the local
+    # reader stops or dies, the timely confirmations of other data centres
+    # would prevent its replacement, and lists would arrive by digests alone,
+    # seconds late. Ranks of different data centres are not comparable either.
     own = state.members.own.data_centre
     if holding.data_centre:
         return holding.data_centre == own
@@ -132,7 +134,7 @@
     return record is not None and record.data_centre == own
 
 
-def _note_near(
+def _note_local(
     state: DistributionState,
     holding: Holding,
     confirmed_at: float,
@@ -140,18 +142,19 @@
     stops: bool,
 ) -> None:
     fresh = state.freshness[holding.kind]
-    if confirmed_at > fresh.near_at or stops:
-        fresh.near_at = max(confirmed_at, fresh.near_at)
-        fresh.near_rank = holding.rank
-        fresh.near_reader = holding.reader
+    if confirmed_at > fresh.local_confirmed_at or stops:
+        fresh.local_confirmed_at = max(confirmed_at, fresh.local_confirmed_at)
+        fresh.local_rank = holding.rank
+        fresh.local_reader = holding.reader
     if _is_better(state, holding):
-        fresh.better_at = max(fresh.better_at, confirmed_at)
+        fresh.better_confirmed_at = max(fresh.better_confirmed_at, confirmed_at)
 
 
 def _is_better(state: DistributionState, holding: Holding) -> bool:
-    # Failure: a server is called seconds after it said that it leaves. A
-    # better-ranked node has joined, and the only reader steps down for what
-    # it confirmed itself, under the better rank that it had before.
+    # This node's own confirmations are excluded. When a better-ranked node
+    # joins, peers still report what the only reader confirmed under its
+    # previous, better rank. It would step down for that, and a server would be
+    # called seconds after it announced that it leaves.
     is_own = holding.reader == state.members.own.instance
     return not is_own and holding.rank < find_rank(state)
 
@@ -161,35 +164,35 @@
     *,
     now: float,
 ) -> list[Effect]:
-    """Ask the platform when no peer has brought a version.
+    """Read from the platform if no peer has sent a version.
 
-    Failure guarded here: the whole fleet starts at once and every node
-    reads. Peers are asked first, and the reads of nodes that know nothing
-    are spread at random over some seconds.
+    If the whole fleet starts at the same time, not every node may read at
+    once. So peers are asked first, and the reads of nodes that still have no
+    version are spread at random over an interval.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Reads, if they are due.
+        Reads that are due, if any.
     """
     joining = state.joining
     if state.members.state is not NodeState.joining or state.appointed:
         return []
-    # With no seeds in the settings there is nobody to ask first.
+    # Without seeds in the settings there is no peer to ask first.
     patience = state.tuning.read_seconds
     if state.seeds:
         patience += state.tuning.ask_peers_seconds
     if now - joining.started_at < patience:
         return []
-    if now < joining.next_read:
+    if now < joining.next_read_at:
         return []
-    first = joining.next_read < joining.started_at
-    joining.next_read = now + random.uniform(0, _find_spread(state))
+    first = joining.next_read_at < joining.started_at
+    joining.next_read_at = now + random.uniform(0, _find_spread(state))
     if first and state.seeds:
         return []
-    joining.reads += 1
+    joining.read_count += 1
     return [
         ReadSource(kind=kind)
         for kind, store in state.stores.items()
@@ -198,7 +201,7 @@
 
 
 def _find_spread(state: DistributionState) -> float:
-    # Failure: a whole fleet starts while the platform is down, and every
-    # node asks it ten times a second until it is back.
-    doublings = min(state.joining.reads, DOUBLINGS_MOST)
+    # The interval doubles so that a fleet which starts while the platform is
+    # down does not read ten times a second from every node until it recovers.
+    doublings = min(state.joining.read_count, MAX_DOUBLINGS)
     return state.tuning.first_read_seconds * (1 << doublings)
--- a/wagtaildale/distribution/sockets.py
+++ b/wagtaildale/distribution/sockets.py
@@ -8,7 +8,7 @@
 import zmq
 from result import Err, Ok, Result
 
-from wagtaildale.distribution.guard import Guard
+from wagtaildale.distribution.authentication import ZapAuthenticator
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 from wagtaildale.types import InstanceId
@@ -17,21 +17,21 @@
     from wagtaildale.keys.pairs import KeyPair
     from wagtaildale.timers.inbox import Inbox
 
-MOST_PEERS: Final = 64
-QUEUED_MESSAGES: Final = 64
-SILENT_MESSAGES: Final = 2
+MAX_PEERS: Final = 64
+MAX_QUEUED_MESSAGES: Final = 64
+MAX_UNANSWERED_MESSAGES: Final = 2
 RECONNECT_MS: Final = 200
 # A peer that was cut off is back this soon after the cut is mended.
-RECONNECT_MOST_MS: Final = 1000
-CONNECT_MS: Final = 1000
+MAX_RECONNECT_MS: Final = 1000
+CONNECT_TIMEOUT_MS: Final = 1000
 # As long as a version may take to be in force everywhere (two seconds on the
 # users' platform); a line that carries a large answer is quiet for less.
 HEARTBEAT_MS: Final = 1000
-SILENT_MS: Final = 2000
+HEARTBEAT_TIMEOUT_MS: Final = 2000
 MILLISECONDS: Final = 1000
 
 
-class Arrival:
+class ReceivedFrame:
     """One frame that has come, and by which way an answer goes back."""
 
     __slots__ = ('frame', 'route')
@@ -99,19 +99,21 @@
         Returns:
             Whether several messages in a row had no answer.
         """
-        return keys > 1 and self._unanswered > SILENT_MESSAGES
+        return keys > 1 and self._unanswered > MAX_UNANSWERED_MESSAGES
 
-    def drain(self) -> list[Arrival]:
+    def drain(self) -> list[ReceivedFrame]:
         """Take every message that has come.
 
         Returns:
             Oldest first.
         """
-        arrivals: list[Arrival] = []
+        received_frames: list[ReceivedFrame] = []
         while self.socket.poll(0):
             self._unanswered = 0
-            arrivals.append(Arrival(self.socket.recv(), self._address))
-        return arrivals
+            received_frames.append(
+                ReceivedFrame(self.socket.recv(), self._address)
+            )
+        return received_frames
 
 
 class NodeSockets:
@@ -135,7 +137,7 @@
         self._context = zmq.Context(io_threads=1)
         self._listener: zmq.Socket[bytes] | None = None
         self._poller = zmq.Poller()
-        self._guard: Guard | None = None
+        self._authenticator: ZapAuthenticator | None = None
         self._peers: OrderedDict[str, Peer] = OrderedDict()
         self._routes: OrderedDict[InstanceId, bytes | str] = OrderedDict()
 
@@ -174,7 +176,7 @@
         """
         self._poller.register(inbox.fileno(), zmq.POLLIN)
 
-    def wait(self, seconds: float) -> list[Arrival]:
+    def wait(self, seconds: float) -> list[ReceivedFrame]:
         """Wait for messages.
 
         Args:
@@ -184,16 +186,16 @@
             What has come; none if the time is up or an inbox woke it.
         """
         ready = dict(self._poller.poll(round(seconds * MILLISECONDS)))
-        arrivals: list[Arrival] = []
-        if self._guard is not None:
-            self._guard.answer()
+        received_frames: list[ReceivedFrame] = []
+        if self._authenticator is not None:
+            self._authenticator.answer()
         if self._listener is not None and self._listener in ready:
-            arrivals.extend(self._drain_listener(self._listener))
+            received_frames.extend(self._drain_listener(self._listener))
         for peer in tuple(self._peers.values()):
             if peer.socket in ready:
-                arrivals.extend(peer.drain())
-        self.received_bytes += sum(len(each.frame) for each in arrivals)
-        return arrivals
+                received_frames.extend(peer.drain())
+        self.received_bytes += sum(len(each.frame) for each in received_frames)
+        return received_frames
 
     def note_route(self, instance: InstanceId, route: bytes | str) -> None:
         """Remember by which connection an instance can be answered.
@@ -205,11 +207,11 @@
 
         Args:
             instance: who sent a message.
-            route: by which way, as its ``Arrival`` says.
+            route: by which way, as its ``ReceivedFrame`` says.
         """
         self._routes[instance] = route
         self._routes.move_to_end(instance)
-        if len(self._routes) > MOST_PEERS * 4:
+        if len(self._routes) > MAX_PEERS * 4:
             self._routes.popitem(last=False)
 
     def answer(self, instance: InstanceId, frame: bytes) -> bool:
@@ -261,8 +263,8 @@
         """Close everything; what is still queued gets a moment to leave."""
         for peer in self._peers.values():
             peer.socket.close()
-        if self._guard is not None:
-            self._guard.close()
+        if self._authenticator is not None:
+            self._authenticator.close()
         if self._listener is not None:
             self._listener.close()
         self._context.term()
@@ -270,10 +272,10 @@
     @property
     def refused_peers(self) -> int:
         """How many connections were refused for want of a key."""
-        return self._guard.refused if self._guard else 0
+        return self._authenticator.refused if self._authenticator else 0
 
     def _open(self, address: str, key: int) -> Peer:
-        if len(self._peers) >= MOST_PEERS:
+        if len(self._peers) >= MAX_PEERS:
             self._close(next(iter(self._peers)))
         socket = self._context.socket(zmq.DEALER)
         _set_options(socket)
@@ -296,8 +298,10 @@
         listener = self._context.socket(zmq.ROUTER)
         _set_options(listener)
         if self._keys:
-            self._guard = Guard(self._context, accepted=self._keys)
-            self._poller.register(self._guard.socket, zmq.POLLIN)
+            self._authenticator = ZapAuthenticator(
+                self._context, accepted=self._keys
+            )
+            self._poller.register(self._authenticator.socket, zmq.POLLIN)
             listener.curve_server = True
             listener.curve_secretkey = self._keys[0].secret
             listener.curve_publickey = self._keys[0].public
@@ -308,25 +312,25 @@
     def _drain_listener(
         self,
         listener: zmq.Socket[bytes],
-    ) -> list[Arrival]:
-        arrivals: list[Arrival] = []
+    ) -> list[ReceivedFrame]:
+        received_frames: list[ReceivedFrame] = []
         while listener.poll(0):
             frames = listener.recv_multipart()
-            arrivals.append(Arrival(frames[-1], frames[0]))
-        return arrivals
+            received_frames.append(ReceivedFrame(frames[-1], frames[0]))
+        return received_frames
 
 
 def _set_options(socket: zmq.Socket[bytes]) -> None:
     # Failure: a peer that was away comes back and gets minutes of old
     # messages. The queue to it is short, and versions in a message
     # that are older than what it holds are ignored there.
-    socket.setsockopt(zmq.SNDHWM, QUEUED_MESSAGES)
+    socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
     socket.setsockopt(zmq.LINGER, RECONNECT_MS)
     socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-    socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MOST_MS)
-    socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_MS)
+    socket.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
+    socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
     # Failure: a line goes silent without a reset, and what is sent on it
     # waits for the kernel, that asks again after ever longer times: seconds
     # after a cut is mended nothing passes yet.
     socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
-    socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, SILENT_MS)
+    socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
--- a/wagtaildale/distribution/staleness.py
+++ b/wagtaildale/distribution/staleness.py
@@ -1,8 +1,8 @@
-"""When a spare reader takes the place of one that is silent or gone.
+"""Decides when a spare reader replaces one that is silent or gone.
 
-Load pattern answered: readers stop or die one after the other, as in a
-release, while servers leave. Until one of its own readers reads, a data
-centre hears of the list by digests from elsewhere alone, seconds late.
+During a release, readers stop or die one after the other while servers leave.
+Until one of its own nodes reads, a data centre receives lists only by digests
+from other data centres, seconds late.
 """
 
 from __future__ import annotations
@@ -17,106 +17,117 @@
 from wagtaildale.membership.news import AWAY
 from wagtaildale.membership.state import find_topology
 
-# Of the step between two ranks, where the last reader is known to be gone.
-# Looks of nodes are spread, and the first to read tells all others at once.
-HANDOVER_SHARE: Final = 0.5
+# Delay for each rank as a share of the usual step, if the last reader is known
+# to be gone. It can be shorter since the reviews of nodes are spread in time
+# and the first new reader informs all others immediately.
+HANDOVER_STEP_SHARE: Final = 0.5
 
 
-def relieves(state: DistributionState, rank: int, *, now: float) -> bool:
-    """Tell whether a node is to take over from one on a slow line.
+def relieves_slow_reader(
+    state: DistributionState, rank: int, *, now: float
+) -> bool:
+    """Tell whether a node takes over from a reader on a slow line.
 
     Args:
-        state: the node.
-        rank: its own.
-        now: seconds.
+        state: state of the node.
+        rank: rank of this node.
+        now: current time, seconds.
 
     Returns:
-        Whether its line is better and no better rank reads.
+        Whether this node's line is faster and no better-ranked node reads.
     """
-    # Failure: a node on a slow line has read in place of others that were
-    # away, confirms in time ever since, and nobody takes it over again.
+    # A node on a slow line may have become the reader while the others were
+    # away. It confirms in time, so that no staleness would ever end its turn.
     slowest = len(find_topology(state.members).readers)
     is_slow = any(
-        slowest <= fresh.near_rank < NO_RANK
+        slowest <= fresh.local_rank < NO_RANK
         for fresh in state.freshness.values()
     )
     if not is_slow or rank >= slowest:
         return False
-    return now - _find_better(state) > _find_patience(state, rank)
+    return now - _find_better_confirmed_at(state) > _find_timeout(state, rank)
 
 
-def is_stale(state: DistributionState, rank: int, *, now: float) -> bool:
-    """Tell whether a spare reader is to watch the platform.
+def needs_spare_reader(
+    state: DistributionState, rank: int, *, now: float
+) -> bool:
+    """Tell whether this node watches the platform as a spare reader.
 
     Args:
-        state: the node.
-        rank: its own.
-        now: seconds.
+        state: state of the node.
+        rank: rank of this node.
+        now: current time, seconds.
 
     Returns:
-        Whether no reader before it has confirmed the platform in time; for
-        one that watches, whether none has since it does.
+        Whether no better-ranked reader has confirmed a document in time; for
+        a node that already watches, also if none has done so since it began.
     """
     if state.appointed:
-        # Failure: the next reader takes over from one that stops, and gives
-        # way again to what that one had confirmed before.
-        better_at = _find_better(state)
-        is_late = now - better_at > state.tuning.stale_seconds
-        return is_late or better_at <= state.appointed_at
-    last = _find_last(state)
-    gone_at = _find_gone(state, last)
+        # Confirmations from before the takeover do not count. Otherwise a
+        # node that replaces a stopping reader would step down again for what
+        # that reader confirmed before.
+        better_confirmed_at = _find_better_confirmed_at(state)
+        is_late = now - better_confirmed_at > state.tuning.stale_seconds
+        return is_late or better_confirmed_at <= state.appointed_at
+    last = _find_last_confirmed(state)
+    gone_at = _find_reader_gone_at(state, last)
     if gone_at is not None and not state.tuning.reads_last:
-        # The ranks behind it have moved up by one; those before it come
-        # after them.
+        # Nodes ranked behind the last reader have moved up by one rank. Those
+        # ranked before it come after them.
         ranks = max(1, len(find_topology(state.members).readers))
-        behind = (rank - last.near_rank) % ranks
-        step = HANDOVER_SHARE * state.tuning.step_seconds
+        behind = (rank - last.local_rank) % ranks
+        step = HANDOVER_STEP_SHARE * state.tuning.step_seconds
         return now - gone_at >= behind * step
-    return now - _find_confirmed(state) > _find_patience(state, rank)
+    return now - _find_confirmed_at(state) > _find_timeout(state, rank)
 
 
-def _find_confirmed(state: DistributionState) -> float:
+def _find_confirmed_at(state: DistributionState) -> float:
     confirmed = [fresh.confirmed_at for fresh in state.freshness.values()]
     if state.tuning.reads_last:
-        # Failure: a data centre's fast lines are gone for a moment, and on
-        # all slow ones calls wait behind a read of everything. Any word of
-        # the platform shows that somebody reads, and tells others of it.
+        # For a node on a slow line a confirmation by any reader counts: it
+        # shows that some node reads and passes versions on. Otherwise, when
+        # the nodes on fast lines are briefly gone, all nodes on slow lines
+        # would read, and calls there would wait behind a full read.
         return max(*confirmed, state.joining.started_at)
     if state.listed_at is None:
-        # Failure: a whole fleet starts, its instances are not listed yet, and
-        # every node takes itself for the next reader of an empty data centre.
+        # When a whole fleet starts, instances are not listed yet, and every
+        # node would become the reader of a seemingly empty data centre.
         return max(min(confirmed), state.joining.started_at)
-    return max(_find_last(state).near_at, state.listed_at)
+    return max(_find_last_confirmed(state).local_confirmed_at, state.listed_at)
 
 
-def _find_gone(state: DistributionState, last: Freshness) -> float | None:
-    """Find when this node heard that the last reader stops or is dead."""
-    entry = state.members.entries.get(last.near_reader)
+def _find_reader_gone_at(
+    state: DistributionState, last: Freshness
+) -> float | None:
+    """Find when this node learned that the last reader stops or is dead."""
+    entry = state.members.entries.get(last.local_reader)
     if entry is None or entry.news.state not in AWAY:
         return None
     return entry.since
 
 
-def _find_patience(state: DistributionState, rank: int) -> float:
+def _find_timeout(state: DistributionState, rank: int) -> float:
     tuning = state.tuning
     first = tuning.readers - 1
-    # The nodes ranked before the last reader have left it to that one: their
-    # lines are slow.
-    near_rank = _find_last(state).near_rank
-    if near_rank < rank and not tuning.reads_last:
-        first = max(first, near_rank)
+    # Nodes ranked before the last reader did not read since their lines are
+    # slow, so the delay counts from the rank of the last reader.
+    local_rank = _find_last_confirmed(state).local_rank
+    if local_rank < rank and not tuning.reads_last:
+        first = max(first, local_rank)
     behind = rank - first - 1
     return tuning.stale_seconds + behind * tuning.step_seconds
 
 
-def _find_last(state: DistributionState) -> Freshness:
-    return min(state.freshness.values(), key=_read_near_at)
+def _find_last_confirmed(state: DistributionState) -> Freshness:
+    return min(state.freshness.values(), key=_read_local_confirmed_at)
 
 
-def _read_near_at(fresh: Freshness) -> float:
-    return fresh.near_at
+def _read_local_confirmed_at(fresh: Freshness) -> float:
+    return fresh.local_confirmed_at
 
 
-def _find_better(state: DistributionState) -> float:
-    oldest = min(fresh.better_at for fresh in state.freshness.values())
+def _find_better_confirmed_at(state: DistributionState) -> float:
+    oldest = min(
+        fresh.better_confirmed_at for fresh in state.freshness.values()
+    )
     return max(oldest, state.joining.started_at)
--- a/wagtaildale/distribution/state.py
+++ b/wagtaildale/distribution/state.py
@@ -1,4 +1,4 @@
-"""What the distribution task of a node holds."""
+"""State of the distribution task of a node."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.distribution.delays import Delays
-from wagtaildale.distribution.wire import NOBODY, NOWHERE, Holding, Swap
+from wagtaildale.distribution.wire import (
+    NO_INSTANCE,
+    NO_DATA_CENTRE,
+    Holding,
+    Swap,
+)
 from wagtaildale.document.eras import Era
 from wagtaildale.document.state import StoreState, make_store
 from wagtaildale.membership.records import InstanceRecord
@@ -26,126 +31,135 @@
 
 
 class Freshness(Struct, kw_only=True):
-    """How lately somebody confirmed a document at the platform.
+    """Time and reader of the last confirmations of a document.
+
+    A reader confirms a document when the platform answers that its version is
+    the latest.
 
     Attributes:
-        confirmed_at: seconds on this node's clock.
-        rank: of the reader that confirmed it.
-        reader: which one that was; empty if not told.
-        data_centre: where that one stands; empty if not told.
-        near_at: when a reader of this node's data centre last did.
-        near_rank: of that reader.
-        near_reader: which one that was.
-        better_at: when one of this data centre with a better rank than this
-            node's did.
+        confirmed_at: time of the last confirmation by any reader, seconds on
+            this node's clock.
+        rank: rank of the reader that confirmed it.
+        reader: instance of that reader; empty if unknown.
+        data_centre: data centre of that reader; empty if unknown.
+        local_confirmed_at: time of the last confirmation by a reader of this
+            node's data centre, seconds.
+        local_rank: rank of that reader.
+        local_reader: instance of that reader.
+        better_confirmed_at: time of the last confirmation by a reader of this
+            data centre whose rank is better than this node's, seconds.
     """
 
     confirmed_at: float = NEVER
     rank: int = NO_RANK
-    reader: InstanceId = NOBODY
-    data_centre: DataCentre = NOWHERE
-    near_at: float = NEVER
-    near_rank: int = NO_RANK
-    near_reader: InstanceId = NOBODY
-    better_at: float = NEVER
+    reader: InstanceId = NO_INSTANCE
+    data_centre: DataCentre = NO_DATA_CENTRE
+    local_confirmed_at: float = NEVER
+    local_rank: int = NO_RANK
+    local_reader: InstanceId = NO_INSTANCE
+    better_confirmed_at: float = NEVER
 
 
-class PushOut(Struct, kw_only=True):
-    """A push that was not seen yet.
+class PendingPush(Struct, kw_only=True):
+    """A push that the receiver has not acknowledged yet.
 
     Attributes:
-        version: that was pushed.
-        due: when it is sent again, seconds.
-        tries: how often it was sent.
+        version: pushed version.
+        due: time of the next attempt, seconds.
+        attempts: number of attempts so far.
     """
 
     version: Version
     due: float
-    tries: int
+    attempts: int
 
 
 class Departure(Struct, frozen=True, kw_only=True):
-    """That an instance was listed as leaving, or was taken off the list.
+    """Record of an instance that was listed as leaving or was removed.
 
     Attributes:
-        born: of the instance.
-        era: of the list that said so.
-        said: whether it was listed as leaving.
-        noted_at: when that was last so, seconds.
+        born: start time of the instance, Unix milliseconds; 0 if unknown.
+        era: era of the list that showed the departure.
+        was_leaving: whether the instance was listed as leaving; otherwise it
+            was removed from the list.
+        noted_at: when the departure was last observed, seconds.
     """
 
     born: int
     era: Era
-    said: bool
+    was_leaving: bool
     noted_at: float
 
 
 class Lapses(Struct, kw_only=True):
-    """Where this node knows better than the platform's list.
+    """Exceptions that this node makes to the platform's instance list.
 
     Attributes:
-        listed: the instances of the list as it was given.
-        era: of that list; nothing before the first.
-        kept: those that stay in use though the list lacks them.
-        until: when they are due back, seconds.
-        departures: who has left, by instance.
-        returned_at: when the platform was last seen to have come back from
-            an older copy, seconds.
-        held: those that take no new work though the list says so.
+        listed: records of the list as the platform gave it.
+        era: era of that list; None before the first list.
+        retained: records of instances that stay in use although the list
+            lacks them.
+        retain_until: time by which they have to be listed again, seconds.
+        departures: known departures, by instance.
+        returned_at: when the platform last came back from an older copy,
+            seconds.
+        departed: records of instances that receive no new work although they
+            are listed as live.
     """
 
     listed: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
     era: Era | None = None
-    kept: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
-    until: float = NEVER
+    retained: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
+    retain_until: float = NEVER
     departures: dict[InstanceId, Departure] = field(default_factory=dict)
     returned_at: float = NEVER
-    held: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
+    departed: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
 
 
 class Joining(Struct, kw_only=True):
-    """What a new node has asked before it calls itself ready.
+    """Progress of a new node until it is ready.
 
     Attributes:
-        started_at: seconds.
-        peers: who answered.
-        source: documents that the platform answered for.
-        next_read: when the platform is asked (again), seconds.
-        reads: how often the platform was asked.
-        next_look: when to ask and to look again, seconds.
+        started_at: start of the node, seconds.
+        replied_peers: peers that replied to a swap.
+        confirmed_kinds: kinds of documents that the platform confirmed.
+        next_read_at: time of the next read from the platform, seconds.
+        read_count: number of reads from the platform.
+        next_check_at: time of the next check whether the node is ready,
+            seconds.
     """
 
     started_at: float
-    peers: set[InstanceId] = field(default_factory=set)
-    source: set[Kind] = field(default_factory=set)
-    next_read: float = NEVER
-    reads: int = 0
-    next_look: float = NEVER
+    replied_peers: set[InstanceId] = field(default_factory=set)
+    confirmed_kinds: set[Kind] = field(default_factory=set)
+    next_read_at: float = NEVER
+    read_count: int = 0
+    next_check_at: float = NEVER
 
 
 class DistributionState(Struct, kw_only=True):
-    """Documents, fleet and what is under way.
+    """Documents, members of the fleet and pending operations.
 
     Attributes:
-        members: the fleet.
-        tuning: the figures.
-        seeds: control addresses from the settings.
-        joining: what was asked since the start.
-        stores: by kind, the document.
-        freshness: by kind, how lately confirmed.
-        lapses: instances that stay in use though the list lacks them.
-        delays: of messages from other nodes.
-        pushes: not seen yet, by peer and kind.
-        awaiting: swaps without a reply yet, by peer, since when.
+        members: membership of the fleet.
+        tuning: parameters of distribution.
+        seeds: control addresses of seed nodes, from the settings.
+        joining: progress until the node is ready.
+        stores: store of each kind of document.
+        freshness: last confirmations of each kind of document.
+        lapses: exceptions to the platform's instance list.
+        delays: delays of messages from other nodes.
+        pushes: unacknowledged pushes, by peer and kind.
+        pending_replies: start of each swap without a reply, seconds, by peer.
         appointed: whether this node watches the platform.
-        appointed_at: since when it does or does not, seconds.
-        listed_at: since when the instance beside it is listed, seconds;
-            nothing while it is not.
-        share_due: when this node, as a reader, tells its data centre what it
-            has read, seconds; nothing if it has told all.
-        failing: documents of which the last read failed.
-        suspects: requests under which servers have ended.
-        turn: counts swaps, to take neighbours in turn.
+        appointed_at: when ``appointed`` last changed, seconds.
+        listed_at: when this node's instance was listed, seconds; None while
+            it is not listed.
+        confirmation_due_at: when this node, as a reader, sends its
+            confirmation to its data centre, seconds; None if nothing is due.
+        failing: kinds of documents whose last read failed.
+        suspects: requests that were running when a backend server ended.
+        swap_count: number of swaps, used to take neighbours in turn.
     """
 
     members: MembershipState
@@ -156,34 +170,35 @@
     freshness: dict[Kind, Freshness]
     lapses: Lapses = field(default_factory=Lapses)
     delays: Delays = field(default_factory=Delays)
-    pushes: dict[tuple[InstanceId, Kind], PushOut] = field(
+    pushes: dict[tuple[InstanceId, Kind], PendingPush] = field(
         default_factory=dict,
     )
-    awaiting: dict[InstanceId, float] = field(default_factory=dict)
+    pending_replies: dict[InstanceId, float] = field(default_factory=dict)
     appointed: bool = False
     appointed_at: float = NEVER
     listed_at: float | None = None
-    share_due: float | None = None
+    confirmation_due_at: float | None = None
     failing: set[Kind] = field(default_factory=set)
     suspects: SuspectTable = field(default_factory=SuspectTable)
-    turn: int = 0
+    swap_count: int = 0
 
     def describe_holding(self, kind: Kind, now: float) -> Holding:
-        """Describe the held version of a document and its freshness.
+        """Describe the current version of a document and its freshness.
 
         Args:
-            kind: which document.
-            now: seconds.
+            kind: kind of the document.
+            now: current time, seconds.
 
         Returns:
-            What goes to other nodes.
+            The description that is sent to other nodes.
         """
         held = self.stores[kind].held
         fresh = self.freshness[kind]
         age = UNKNOWN_AGE
         if fresh.confirmed_at != NEVER:
             age = max(0, round((now - fresh.confirmed_at) * MILLISECONDS))
-        # The list tells where a listed reader stands; bytes are saved.
+        # Omitted to save bytes: the receiver finds the data centre of a
+        # listed reader in the list.
         is_listed = fresh.reader in self.members.records
         return Holding(
             kind,
@@ -192,18 +207,18 @@
             age,
             fresh.rank,
             fresh.reader,
-            NOWHERE if is_listed else fresh.data_centre,
+            NO_DATA_CENTRE if is_listed else fresh.data_centre,
         )
 
     def make_swap(self, now: float, *, is_reply: bool = False) -> Swap:
-        """Describe every document, and sum up the suspected requests.
+        """Make a digest of all documents and of the suspected requests.
 
         Args:
-            now: seconds.
-            is_reply: whether it answers a swap.
+            now: current time, seconds.
+            is_reply: whether the digest replies to a swap.
 
         Returns:
-            A digest of this node's view.
+            The digest.
         """
         return Swap(
             tuple(self.describe_holding(kind, now) for kind in self.stores),
@@ -215,10 +230,10 @@
         """Find this node's rank among the readers of its data centre.
 
         Args:
-            readers: best rank first.
+            readers: instances of the data centre, best rank first.
 
         Returns:
-            Its rank from 0.
+            The rank, from 0; ``NO_RANK`` if this node is not among them.
         """
         own = self.members.own.instance
         return readers.index(own) if own in readers else NO_RANK
@@ -234,13 +249,13 @@
     """Make the state of a new node.
 
     Args:
-        members: the fleet, empty but for this node.
-        tuning: the figures.
-        seeds: control addresses from the settings.
-        now: seconds.
+        members: membership that has only this node.
+        tuning: parameters of distribution.
+        seeds: control addresses of seed nodes, from the settings.
+        now: current time, seconds.
 
     Returns:
-        A state that holds no version.
+        A state without any document version.
     """
     return DistributionState(
         members=members,
--- a/wagtaildale/distribution/suspicions.py
+++ b/wagtaildale/distribution/suspicions.py
@@ -1,9 +1,9 @@
-"""Word of requests under which servers end, from node to node.
+"""Spreads suspicions of requests that end servers through the fleet.
 
-Each end goes through the whole fleet at once, from neighbour to neighbour:
-the next server to run the request may be anywhere. What all nodes are to
-know is summed up in the digests that neighbours swap, so that a node that
-missed it, or has just started, asks nobody and is told.
+Each end is sent to the whole fleet immediately, from neighbour to neighbour,
+since any server may be the next to run the request. The digests that
+neighbours swap have a checksum of the suspicions that all nodes need, so that
+a node that missed some, or has just started, receives them without asking.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from wagtaildale.distribution.messages import Send, SuspectsChanged
-from wagtaildale.distribution.wire import SuspectsTold
+from wagtaildale.distribution.wire import SuspicionsSent
 from wagtaildale.membership.state import find_topology
 from wagtaildale.suspects.records import TRIAL_ENDS
 
@@ -32,70 +32,75 @@
     *,
     now: float,
 ) -> list[Effect]:
-    """Note that the server beside this node ended, and tell others.
+    """Record that the server beside this node ended, and inform other nodes.
 
     Args:
-        state: the node; moved forward in place.
-        suspicions: one for each request that it ran.
-        now: seconds.
+        state: state of the node; updated in place.
+        suspicions: suspicion for each request that the server ran.
+        now: current time, seconds.
 
     Returns:
-        What to send, and what calls go by from now on.
+        Messages to send, and the changed snapshot of suspects.
     """
-    return _take(state, suspicions, peers=_list_first_told(state), now=now)
+    return _merge(
+        state, suspicions, peers=_list_direct_receivers(state), now=now
+    )
 
 
-def take_told(
+def merge_suspicions(
     state: DistributionState,
     suspicions: Iterable[Suspicion],
     *,
     sender: InstanceId,
     now: float,
 ) -> list[Effect]:
-    """Take what another node tells of suspected requests.
+    """Merge the suspicions that another node sent.
 
     Args:
-        state: the node; moved forward in place.
-        suspicions: what it tells.
-        sender: the other node.
-        now: seconds.
+        state: state of the node; updated in place.
+        suspicions: received suspicions.
+        sender: instance of the other node.
+        now: current time, seconds.
 
     Returns:
-        What to pass on, and to tell the sender where it knows less.
+        Messages that pass on what is new, and one to the sender with the
+        later records that it lacks.
     """
-    told = tuple(suspicions)
+    received = tuple(suspicions)
     neighbours = find_topology(state.members).neighbours
     peers = [peer for peer in neighbours if peer != sender]
-    effects = _take(state, told, peers=peers, now=now, origin=sender)
+    effects = _merge(state, received, peers=peers, now=now, origin=sender)
     behind = [
         suspicion.fingerprint
-        for suspicion in told
+        for suspicion in received
         if state.suspects.is_behind(suspicion)
     ]
-    return [*effects, *_tell(state, behind, (sender,), now=now)]
+    return [*effects, *_send_suspicions(state, behind, (sender,), now=now)]
 
 
-def compare_sums(
+def compare_checksums(
     state: DistributionState,
-    told: int,
+    checksum: int,
     *,
     sender: InstanceId,
     now: float,
 ) -> list[Effect]:
-    """Tell a neighbour what is known here, if it knows something else.
+    """Send this node's suspicions to a neighbour whose checksum differs.
 
     Args:
-        state: the node.
-        told: what the neighbour knows, summed up.
-        sender: the neighbour.
-        now: seconds.
+        state: state of the node.
+        checksum: checksum of the neighbour's suspicions.
+        sender: instance of the neighbour.
+        now: current time, seconds.
 
     Returns:
-        What to send.
+        Messages to send.
     """
-    if told == state.suspects.compute_checksum():
+    if checksum == state.suspects.compute_checksum():
         return []
-    return _tell(state, state.suspects.list_restricted(), (sender,), now=now)
+    return _send_suspicions(
+        state, state.suspects.list_restricted(), (sender,), now=now
+    )
 
 
 def clear_request(
@@ -104,19 +109,20 @@
     *,
     now: float,
 ) -> list[Effect]:
-    """Note that a suspected request was run to its end here.
+    """Record that a server beside this node answered a suspected request.
 
-    Others are told only if it is not run like others: most of those that
-    were running when a server ended are answered by the next one, and
-    nobody need hear of them. Whoever suspects one later on is told then.
+    Other nodes are informed only if the request is restricted. Most requests
+    that were running when a server ended are answered by the next server, and
+    their clearing need not be sent. A node that suspects one of them later
+    receives the clearing then.
 
     Args:
-        state: the node; moved forward in place.
-        fingerprint: of the request.
-        now: seconds.
+        state: state of the node; updated in place.
+        fingerprint: fingerprint of the request.
+        now: current time, seconds.
 
     Returns:
-        What to send, and what calls go by from now on.
+        Messages to send, and the changed snapshot of suspects.
     """
     before = state.suspects.clear(fingerprint, now=now)
     cleared = state.suspects.describe((fingerprint,), now=now)
@@ -126,7 +132,9 @@
         SuspectsChanged(
             suspects=state.suspects.get_snapshot(), learned=cleared
         ),
-        *_tell(state, (fingerprint,), _list_first_told(state), now=now),
+        *_send_suspicions(
+            state, (fingerprint,), _list_direct_receivers(state), now=now
+        ),
     ]
 
 
@@ -136,15 +144,15 @@
     *,
     now: float,
 ) -> list[Effect]:
-    """Note that a harmful request has come again.
+    """Record that a harmful request was received again.
 
     Args:
-        state: the node; moved forward in place.
-        fingerprint: of the request.
-        now: seconds.
+        state: state of the node; updated in place.
+        fingerprint: fingerprint of the request.
+        now: current time, seconds.
 
     Returns:
-        What is shown of it from now on.
+        The changed snapshot of suspects, if any.
     """
     if not state.suspects.note_seen(fingerprint, now=now):
         return []
@@ -152,26 +160,26 @@
 
 
 def forget_suspects(state: DistributionState, *, now: float) -> list[Effect]:
-    """Forget suspected requests that have not come for long.
+    """Remove suspected requests that were not received for long.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        What calls go by from now on, if that has changed.
+        The changed snapshot of suspects, if any.
     """
     if not state.suspects.forget_old(now=now):
         return []
     return [SuspectsChanged(suspects=state.suspects.get_snapshot())]
 
 
-def _list_first_told(state: DistributionState) -> tuple[InstanceId, ...]:
+def _list_direct_receivers(state: DistributionState) -> tuple[InstanceId, ...]:
     topology = find_topology(state.members)
     return (*topology.neighbours, *topology.roots)
 
 
-def _take(
+def _merge(
     state: DistributionState,
     suspicions: Iterable[Suspicion],
     *,
@@ -192,10 +200,10 @@
         origin=origin,
     )
     names = [suspicion.fingerprint for suspicion in learned]
-    return [changed, *_tell(state, names, peers, now=now)]
+    return [changed, *_send_suspicions(state, names, peers, now=now)]
 
 
-def _tell(
+def _send_suspicions(
     state: DistributionState,
     fingerprints: Sequence[Fingerprint],
     peers: Sequence[InstanceId],
@@ -204,5 +212,5 @@
 ) -> list[Effect]:
     if not fingerprints:
         return []
-    body = SuspectsTold(state.suspects.describe(fingerprints, now=now))
+    body = SuspicionsSent(state.suspects.describe(fingerprints, now=now))
     return [Send(to=peer, body=body) for peer in dict.fromkeys(peers)]
--- a/wagtaildale/distribution/swaps.py
+++ b/wagtaildale/distribution/swaps.py
@@ -15,9 +15,9 @@
     from wagtaildale.distribution.state import DistributionState
     from wagtaildale.membership.decisions import NewsTaken
 
-REPLY_SECONDS: Final = 0.9
-RETRY_AWAY_EVERY: Final = 8
-PEERS_TO_ASK: Final = 2
+REPLY_TIMEOUT_SECONDS: Final = 0.9
+AWAY_RETRY_SWAPS: Final = 8
+MAX_SEEDS_ASKED: Final = 2
 
 
 def swap_digests(state: DistributionState, *, now: float) -> list[Effect]:
@@ -25,31 +25,31 @@
 
     Args:
         state: the node; notes who owes a reply.
-        now: seconds.
+        now: current time, seconds.
 
     Returns:
         What to send, and whom the missing replies made suspect.
     """
     late = _list_late(state, now)
-    taken: list[NewsTaken] = []
+    changes: list[NewsTaken] = []
     for silent in late:
-        state.awaiting.pop(silent)
-        taken.extend(note_missed(state.members, peer=silent, now=now))
+        state.pending_replies.pop(silent)
+        changes.extend(note_missed(state.members, peer=silent, now=now))
     body = state.make_swap(now)
     sends: list[Effect] = [
         Send(to=peer, body=body) for peer in _pick_peers(state, late)
     ]
     for sent in sends:
         if isinstance(sent, Send):
-            state.awaiting[sent.to] = now
-    return [*tell_fleet(taken), *sends, *ask_seeds(state, now=now)]
+            state.pending_replies[sent.to] = now
+    return [*make_fleet_change(changes), *sends, *ask_seeds(state, now=now)]
 
 
 def _list_late(state: DistributionState, now: float) -> list[InstanceId]:
     return [
         peer
-        for peer, since in state.awaiting.items()
-        if now - since > REPLY_SECONDS
+        for peer, since in state.pending_replies.items()
+        if now - since > REPLY_TIMEOUT_SECONDS
     ]
 
 
@@ -59,8 +59,8 @@
 ) -> list[InstanceId]:
     neighbours = find_topology(state.members).neighbours
     peers = [peer for peer in late if peer in neighbours]
-    state.turn += 1
-    if state.turn % RETRY_AWAY_EVERY == 0:
+    state.swap_count += 1
+    if state.swap_count % AWAY_RETRY_SWAPS == 0:
         # Failure: after a partition each side holds the other for dead and
         # asks nobody there, so nothing would ever heal it.
         peers.extend(_pick_away(state))
@@ -68,7 +68,7 @@
     # neither hears of lists nor of what is said of itself until it gives up.
     others = [peer for peer in neighbours if peer not in peers]
     if others:
-        peers.append(others[state.turn % len(others)])
+        peers.append(others[state.swap_count % len(others)])
     return peers
 
 
@@ -85,8 +85,8 @@
     """Ask the seeds what they hold, while this node knows nobody better.
 
     Args:
-        state: the node.
-        now: seconds.
+        state: state of the node.
+        now: current time, seconds.
 
     Returns:
         Digests to some seeds.
@@ -94,7 +94,7 @@
     alone = not find_topology(state.members).neighbours
     if not alone and state.members.state is not NodeState.joining:
         return []
-    count = min(PEERS_TO_ASK, len(state.seeds))
+    count = min(MAX_SEEDS_ASKED, len(state.seeds))
     body = state.make_swap(now)
     return [
         SendSeed(address=address, body=body)
@@ -102,13 +102,13 @@
     ]
 
 
-def tell_fleet(taken: list[NewsTaken]) -> list[Effect]:
+def make_fleet_change(changes: list[NewsTaken]) -> list[Effect]:
     """Say that news changed the view of the fleet.
 
     Args:
-        taken: the news, perhaps none.
+        changes: the news, perhaps none.
 
     Returns:
         One effect, or none.
     """
-    return [FleetChanged(taken=tuple(taken))] if taken else []
+    return [FleetChanged(changes=tuple(changes))] if changes else []
--- a/wagtaildale/distribution/task.py
+++ b/wagtaildale/distribution/task.py
@@ -9,7 +9,7 @@
 from wagtaildale.distribution import messages
 from wagtaildale.distribution.dependencies import Counts, TaskDependencies
 from wagtaildale.distribution.decisions import decide
-from wagtaildale.distribution.effects import carry_out
+from wagtaildale.distribution.effects import execute
 from wagtaildale.distribution.state import MILLISECONDS
 from wagtaildale.distribution.wire import (
     Envelope,
@@ -24,32 +24,32 @@
 from wagtaildale.types import InstanceId, NodeState
 
 if TYPE_CHECKING:
-    from wagtaildale.distribution.sockets import Arrival, NodeSockets
+    from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
     from wagtaildale.distribution.state import DistributionState
     from wagtaildale.distribution.wire import Body
     from wagtaildale.timers.inbox import Inbox
 
-LONGEST_WAIT: Final = 1.0
-ANYBODY: Final = InstanceId('')
+MAX_WAIT_SECONDS: Final = 1.0
+ANY_INSTANCE: Final = InstanceId('')
 
 
 def find_wait(state: DistributionState, *, now: float) -> float:
     """Find how long the task may wait for messages.
 
     Args:
-        state: the node.
-        now: seconds.
+        state: state of the node.
+        now: current time, seconds.
 
     Returns:
         Seconds until a push is due again or, while the node is joining, it
         is to look again; a second at most.
     """
     due = [push.due for push in state.pushes.values()]
-    if state.share_due is not None:
-        due.append(state.share_due)
+    if state.confirmation_due_at is not None:
+        due.append(state.confirmation_due_at)
     if state.members.state is NodeState.joining:
-        due.append(state.joining.next_look)
-    return min(LONGEST_WAIT, max(0, min(due, default=now + 1) - now))
+        due.append(state.joining.next_check_at)
+    return min(MAX_WAIT_SECONDS, max(0, min(due, default=now + 1) - now))
 
 
 class DistributionTask:
@@ -115,26 +115,26 @@
             body: what to say.
         """
         self.counts.messages_out += 1
-        self.sockets.send(address, self._encode(ANYBODY, body))
+        self.sockets.send(address, self._encode(ANY_INSTANCE, body))
 
     def _step(self) -> None:
         seconds = find_wait(self.state, now=read_clock())
         expected = read_clock() + seconds
-        arrivals = self.sockets.wait(seconds)
+        received_frames = self.sockets.wait(seconds)
         now = read_clock()
         if now - expected > LATE_SECONDS:
             self._take(WokeLate(now=now, late_by=now - expected))
         # Failure: replies have come to a machine that is slow, its timers are
         # looked at first, and those who sent the replies are blamed for them.
-        for arrival in arrivals:
-            self._receive(arrival)
+        for received in received_frames:
+            self._receive(received)
         for message in self._inbox.take_all():
             self._take(message)
         if find_wait(self.state, now=read_clock()) == 0:
             self._take(messages.DeadlineReached())
 
-    def _receive(self, arrival: Arrival) -> None:
-        decoded = decode_envelope(arrival.frame)
+    def _receive(self, received: ReceivedFrame) -> None:
+        decoded = decode_envelope(received.frame)
         if isinstance(decoded, Err):
             self.counts.malformed += 1
             fault = decoded.err_value
@@ -144,12 +144,12 @@
         # Failure: an address is reused by another instance, and messages
         # for the old one reach the new one. Each message names whom it is
         # for, so such a one is dropped here.
-        if envelope.to not in {ANYBODY, self.state.members.own.instance}:
+        if envelope.to not in {ANY_INSTANCE, self.state.members.own.instance}:
             self.counts.misdirected += 1
             self._record_refusal(Code.message_misdirected, envelope.to)
             return
         self.counts.messages_in += 1
-        self.sockets.note_route(envelope.sender, arrival.route)
+        self.sockets.note_route(envelope.sender, received.route)
         self.dependencies.recorder.clock.observe(envelope.stamp)
         self._take(messages.Received(envelope=envelope))
 
@@ -160,7 +160,7 @@
                 EventKind.woke_late, detail=detail
             )
         for effect in decide(message, self.state, now=read_clock()):
-            carry_out(effect, self)
+            execute(effect, self)
 
     def _encode(self, to: InstanceId, body: Body) -> bytes:
         envelope = Envelope(
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -170,7 +170,7 @@
         network.now,
     )
     delta = make_delta(build_configuration(1), target=target)
-    body = Push(delta, holding, is_past_tree=True)
+    body = Push(delta, holding, bypasses_tree=True)
     network.tell(leaf, network.wrap(root, to=leaf, body=body))
     network.flush()
     assert_held(network, 2)
--- a/wagtaildale/distribution/tests/test_handover.py
+++ b/wagtaildale/distribution/tests/test_handover.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from wagtaildale.distribution.tests.watched import (
+from wagtaildale.distribution.tests.watched_fleet import (
     DRAIN_SECONDS,
     STEP_SECONDS,
     WatchedFleet,
--- a/wagtaildale/distribution/tests/test_lapses.py
+++ b/wagtaildale/distribution/tests/test_lapses.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.lapses import RETURN_SECONDS
+from wagtaildale.distribution.lapses import RELIST_SECONDS
 from wagtaildale.document.model import Document
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.routing.view import ViewHolder
@@ -66,7 +66,7 @@
         assert list_known(network, name) == set(NAMES)
     network.source.show(build_instances(*network.records, version=3))
     network.settle()
-    assert not network.nodes[A].state.lapses.kept
+    assert not network.nodes[A].state.lapses.retained
     assert list_known(network, A) == set(NAMES)
 
 
@@ -81,7 +81,7 @@
     network.source.show(list_without(network, D))
     network.pass_round(seconds=0.1)
     assert D in list_known(network, A)
-    network.pass_round(seconds=RETURN_SECONDS)
+    network.pass_round(seconds=RELIST_SECONDS)
     network.pass_round(seconds=0.1)
     assert D not in list_known(network, A)
 
@@ -133,7 +133,7 @@
     listed = [*network.records[:-1], successor]
     network.source.show(build_instances(*listed, version=2))
     network.settle()
-    assert not network.nodes[A].state.lapses.kept
+    assert not network.nodes[A].state.lapses.retained
 
 
 def list_upstreams(view: ViewHolder) -> list[InstanceId]:
--- a/wagtaildale/distribution/tests/test_returns.py
+++ b/wagtaildale/distribution/tests/test_returns.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec import structs
 
-from wagtaildale.distribution.lapses import RETURN_SECONDS, take_list
+from wagtaildale.distribution.lapses import RELIST_SECONDS, update_list
 from wagtaildale.distribution.messages import PlatformReturned
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.document.eras import Era, make_version
@@ -30,7 +30,7 @@
     made = build_network(6, data_centres=('derby', 'coventry'))
     made.settle()
     show_list(made, made.records, era=1, revision=COPY_REVISION - 1)
-    made.pass_round(seconds=2 * RETURN_SECONDS)
+    made.pass_round(seconds=2 * RELIST_SECONDS)
     return made
 
 
@@ -127,7 +127,7 @@
     older = [record for record in network.records if record.instance != D]
     show_list(network, older, era=2, revision=COPY_REVISION)
     assert list_states(network) == {ListedState.live}
-    network.pass_round(seconds=2 * RETURN_SECONDS)
+    network.pass_round(seconds=2 * RELIST_SECONDS)
     assert list_states(network) == {None}
 
 
@@ -150,4 +150,4 @@
     document = build_instances(*network.records, version=version)
     state = network.nodes[InstanceId('a')].state
     noted = PlatformReturned(era=Era(2), revision=COPY_REVISION)
-    assert noted in take_list(state, document=document, now=network.now)
+    assert noted in update_list(state, document=document, now=network.now)
--- a/wagtaildale/distribution/tests/test_sockets.py
+++ b/wagtaildale/distribution/tests/test_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 import zmq
 
-from wagtaildale.distribution.sockets import Arrival, NodeSockets
+from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
 from wagtaildale.keys.pairs import KeyPair
 from wagtaildale.types import InstanceId
 
@@ -44,14 +44,14 @@
         self.here.close()
         self.there.close()
 
-    def send(self, frame: bytes, *, seconds: float) -> list[Arrival]:
+    def send(self, frame: bytes, *, seconds: float) -> list[ReceivedFrame]:
         self.here.send(THERE, frame)
         deadline = time.monotonic() + seconds
-        arrivals: list[Arrival] = []
-        while not arrivals and time.monotonic() < deadline:
+        received_frames: list[ReceivedFrame] = []
+        while not received_frames and time.monotonic() < deadline:
             self.here.wait(0.01)
-            arrivals = self.there.wait(0.01)
-        return arrivals
+            received_frames = self.there.wait(0.01)
+        return received_frames
 
 
 @pytest.fixture
@@ -62,8 +62,8 @@
 
 
 def test_answer_goes_back_by_the_same_connection(plain: Ends) -> None:
-    arrival = plain.send(b'question', seconds=PATIENCE)[0]
-    plain.there.note_route(SENDER, arrival.route)
+    received = plain.send(b'question', seconds=PATIENCE)[0]
+    plain.there.note_route(SENDER, received.route)
     assert plain.there.answer(SENDER, b'answer')
     frames = [each.frame for each in plain.here.wait(PATIENCE)]
     assert frames == [b'answer']
@@ -139,8 +139,8 @@
     old, new = build_pair(), build_pair()
     ends = Ends((new, old), (old, new))
     deadline = time.monotonic() + PATIENCE
-    arrivals: list[Arrival] = []
-    while not arrivals and time.monotonic() < deadline:
-        arrivals = ends.send(b'x', seconds=0.2)
-    assert arrivals
+    received_frames: list[ReceivedFrame] = []
+    while not received_frames and time.monotonic() < deadline:
+        received_frames = ends.send(b'x', seconds=0.2)
+    assert received_frames
     ends.close()
--- a/wagtaildale/distribution/tests/test_suspicions.py
+++ b/wagtaildale/distribution/tests/test_suspicions.py
@@ -110,8 +110,8 @@
     pass_time(network)
     network.sent.clear()
     pass_time(network)
-    told = {body.__name__ for body in network.sent}
-    assert 'SuspectsTold' not in told
+    kinds = {body.__name__ for body in network.sent}
+    assert 'SuspicionsSent' not in kinds
 
 
 def test_calls_go_by_what_was_forgotten(network: FakeNetwork) -> None:
--- a/wagtaildale/distribution/tests/test_swaps.py
+++ b/wagtaildale/distribution/tests/test_swaps.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wagtaildale.distribution.messages import Send
-from wagtaildale.distribution.swaps import REPLY_SECONDS, swap_digests
+from wagtaildale.distribution.swaps import REPLY_TIMEOUT_SECONDS, swap_digests
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.distribution.wire import Swap
 from wagtaildale.membership.decisions import note_missed
@@ -20,8 +20,8 @@
     network = build_network(8)
     state = network.nodes[InstanceId('a')].state
     silent = find_topology(state.members).neighbours[0]
-    state.awaiting = {silent: network.now}
-    network.now += 2 * REPLY_SECONDS
+    state.pending_replies = {silent: network.now}
+    network.now += 2 * REPLY_TIMEOUT_SECONDS
     effects = swap_digests(state, now=network.now)
     asked = {effect.to for effect in effects if isinstance(effect, Send)}
     assert silent in asked
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING, Final, cast
 
 from wagtaildale.distribution.dependencies import TaskDependencies
-from wagtaildale.distribution.sockets import Arrival, NodeSockets
-from wagtaildale.distribution.swaps import REPLY_SECONDS
+from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
+from wagtaildale.distribution.swaps import REPLY_TIMEOUT_SECONDS
 from wagtaildale.distribution.task import DistributionTask
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.distribution.wire import Swap, encode_envelope
@@ -39,10 +39,10 @@
     def watch_inbox(self, inbox: Inbox[Any]) -> None:
         """The task does not wait here."""
 
-    def wait(self, seconds: float) -> list[Arrival]:
+    def wait(self, seconds: float) -> list[ReceivedFrame]:
         assert self.task is not None
         self.task.stop()
-        return [Arrival(self._frame, 'route')]
+        return [ReceivedFrame(self._frame, 'route')]
 
     def note_route(self, instance: InstanceId, route: bytes | str) -> None:
         """Nothing is answered."""
@@ -90,7 +90,7 @@
     reply = network.wrap(peer, to=own, body=Swap((), is_reply=True))
     now = read_clock()
     note_missed(state.members, peer=peer, now=now - EARLIER_SECONDS)
-    state.awaiting = {peer: now - 2 * REPLY_SECONDS}
+    state.pending_replies = {peer: now - 2 * REPLY_TIMEOUT_SECONDS}
     inbox: Inbox[Any] = Inbox()
     inbox.put(Tick(name=TimerName.digest, now=now))
     sockets = ReplySockets(encode_envelope(reply.envelope))
--- a/wagtaildale/distribution/tests/test_wire.py
+++ b/wagtaildale/distribution/tests/test_wire.py
@@ -8,10 +8,10 @@
 from msgspec import structs
 
 from wagtaildale.distribution.wire import (
-    LARGEST_MESSAGE,
+    MAX_MESSAGE_BYTES,
     BlobsSent,
     Envelope,
-    SuspectsTold,
+    SuspicionsSent,
     Swap,
     decode_envelope,
     encode_envelope,
@@ -59,7 +59,7 @@
 
 def test_small_frame_cannot_fill_the_memory() -> None:
     """A stranger's frame of some kilobytes becomes gigabytes."""
-    bomb = zlib.compress(bytes(LARGEST_MESSAGE * 2))
+    bomb = zlib.compress(bytes(MAX_MESSAGE_BYTES * 2))
     assert assert_err(decode_envelope(bomb)).code is Code.message_malformed
 
 
@@ -85,7 +85,7 @@
 ) -> None:
     """A node says that a million servers ended under a request."""
     suspicion = structs.replace(build_suspicion(), **wrong)
-    body = SuspectsTold((suspicion,))
+    body = SuspicionsSent((suspicion,))
     envelope = Envelope(InstanceId('b'), (SENDER,), 7, body)
     refused = decode_envelope(encode_envelope(envelope))
     assert assert_err(refused).code is Code.message_malformed
--- a/wagtaildale/distribution/tuning.py
+++ b/wagtaildale/distribution/tuning.py
@@ -79,7 +79,7 @@
     reads_last: bool = False
 
 
-EVERY_NODE: Final = 1_000_000
+ALL_NODES: Final = 1_000_000
 # Of the time in which a version must be in force. A watch ends after half of
 # it; a spare reader that has heard of none for a little longer reads by
 # itself, and has a third left to do so and to try again.
@@ -97,13 +97,13 @@
 # further tenth of a second is one in which every caller is refused.
 ASK_PEERS_SHARE: Final = 0.05
 # Writes that an instance misses before its entry lapses: the operators'.
-BEATS_TO_LAPSE: Final = 3
+MISSED_HEARTBEATS: Final = 3
 HEARTBEAT_SECONDS: Final = 1.5
 # What the platform sends for 1,500 routes in base64: about 400 KB.
-WHOLE_MEGABITS: Final = 3.2
+FULL_READ_MEGABITS: Final = 3.2
 # A read of everything that takes longer than this leaves too little of the
 # time to pass a version on: 0.2 s of 2 s, 16 Mbit/s.
-LONG_READ_SHARE: Final = 0.1
+SLOW_READ_SHARE: Final = 0.1
 FRUGAL_READERS: Final = 2
 FRUGAL_SWAP_SECONDS: Final = 3.0
 FRUGAL_STALE_SECONDS: Final = 8.0
@@ -112,7 +112,7 @@
 TUNINGS: Final = MappingProxyType(
     {
         Spread.prompt: Tuning(),
-        Spread.direct: Tuning(readers=EVERY_NODE, passes_on=False),
+        Spread.direct: Tuning(readers=ALL_NODES, passes_on=False),
         Spread.frugal: Tuning(
             readers=FRUGAL_READERS,
             swap_seconds=FRUGAL_SWAP_SECONDS,
@@ -143,10 +143,10 @@
     Returns:
         The figures.
     """
-    read_seconds = WHOLE_MEGABITS / line_mbps if line_mbps else 0
+    read_seconds = FULL_READ_MEGABITS / line_mbps if line_mbps else 0
     return Tuning(
         readers=1,
-        spare_readers=EVERY_NODE,
+        spare_readers=ALL_NODES,
         stale_seconds=STALE_SHARE * apply_seconds,
         step_seconds=STEP_SHARE * apply_seconds,
         watch_seconds=WATCH_SHARE * apply_seconds,
@@ -158,7 +158,7 @@
         # Such a platform's answers are never stale, so nobody needs to
         # confirm them.
         alone_seconds=0,
-        lapse_seconds=BEATS_TO_LAPSE * heartbeat_seconds,
+        lapse_seconds=MISSED_HEARTBEATS * heartbeat_seconds,
         read_seconds=read_seconds,
-        reads_last=read_seconds > LONG_READ_SHARE * apply_seconds,
+        reads_last=read_seconds > SLOW_READ_SHARE * apply_seconds,
     )
--- a/wagtaildale/distribution/wire.py
+++ b/wagtaildale/distribution/wire.py
@@ -19,18 +19,18 @@
 from wagtaildale.suspects.records import Suspicion
 from wagtaildale.types import DataCentre, Digest, InstanceId, Kind, Version
 
-LARGEST_MESSAGE: Final = 16_000_000
-WORTH_COMPRESSING: Final = 300
-ZLIB_MARK: Final = b'\x78'
-NOBODY: Final = InstanceId('')
-NOWHERE: Final = DataCentre('')
+MAX_MESSAGE_BYTES: Final = 16_000_000
+MIN_COMPRESSED_BYTES: Final = 300
+ZLIB_FIRST_BYTE: Final = b'\x78'
+NO_INSTANCE: Final = InstanceId('')
+NO_DATA_CENTRE: Final = DataCentre('')
 
 
 class Holding(Struct, frozen=True, array_like=True):
     """Which version of one document a node holds, and how fresh it is.
 
     Attributes:
-        kind: which document.
+        kind: kind of the document.
         version: held.
         digest: of that version.
         age_ms: milliseconds since somebody last confirmed it at the
@@ -46,8 +46,8 @@
     digest: Digest
     age_ms: int
     rank: int
-    reader: InstanceId = NOBODY
-    data_centre: DataCentre = NOWHERE
+    reader: InstanceId = NO_INSTANCE
+    data_centre: DataCentre = NO_DATA_CENTRE
 
 
 class Swap(Struct, frozen=True, array_like=True, tag=1):
@@ -71,13 +71,13 @@
     Attributes:
         delta: what changes.
         holding: the sender's, with its freshness.
-        is_past_tree: whether it does not come down the push tree: the
+        bypasses_tree: whether it does not come down the push tree: the
             receiver had asked for it, or it is from another data centre.
     """
 
     delta: Delta
     holding: Holding
-    is_past_tree: bool = False
+    bypasses_tree: bool = False
 
 
 class PushSeen(Struct, frozen=True, array_like=True, tag=3):
@@ -115,7 +115,7 @@
     blobs: tuple[bytes, ...]
 
 
-class SuspectsTold(Struct, frozen=True, array_like=True, tag=8):
+class SuspicionsSent(Struct, frozen=True, array_like=True, tag=8):
     """Requests under which servers have ended."""
 
     suspicions: tuple[Suspicion, ...]
@@ -129,7 +129,7 @@
     | OutlineSent
     | BlobPull
     | BlobsSent
-    | SuspectsTold
+    | SuspicionsSent
 )
 
 
@@ -170,7 +170,7 @@
         MessagePack, compressed where that is worth it.
     """
     frame = _encoder.encode(envelope)
-    if len(frame) < WORTH_COMPRESSING:
+    if len(frame) < MIN_COMPRESSED_BYTES:
         return frame
     compressed = zlib.compress(frame)
     return compressed if len(compressed) < len(frame) else frame
@@ -198,9 +198,9 @@
     # An envelope is an array of four: its first byte is never that of a
     # zlib stream. What a frame may grow to is bounded, so that a small one
     # cannot fill the memory.
-    if not frame.startswith(ZLIB_MARK):
+    if not frame.startswith(ZLIB_FIRST_BYTE):
         return frame
-    return zlib.decompressobj().decompress(frame, LARGEST_MESSAGE)
+    return zlib.decompressobj().decompress(frame, MAX_MESSAGE_BYTES)
 
 
 def _describe(got: str) -> Fault:
