--- a/wagtaildale/distribution/__init__.py
+++ b/wagtaildale/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Spreading documents and membership between nodes."""
+"""Distributes documents and membership news between nodes."""
--- a/wagtaildale/distribution/appointments.py
+++ b/wagtaildale/distribution/appointments.py
@@ -1,14 +1,15 @@
-"""Who watches the platform: by rank, without an election.
-
-The best-ranked nodes of each data centre watch. The next ones appoint
-themselves when none of them has confirmed the platform for long, one rank
-after the other, and step down when a better rank confirms again. Two views that
-differ give too many readers for a while, which is waste and never an error.
-
-Load pattern answered: lines of 3.5 to 70 Mbit/s in one fleet and versions
-several times a second. A read brings the whole value, half a megabyte for
-1,500 routes, and on a slow line the calls wait behind it. So nodes on slow
-lines rank behind all others.
+"""Selects the nodes that watch the platform, by rank instead of an election.
+
+The best-ranked nodes of each data centre watch. If none of them has confirmed
+a document for too long, the next ones appoint themselves, one rank after the
+other, and step down when a better rank confirms again. If views of the fleet
+differ, there are too many readers for a while, which costs reads but is never
+an error.
+
+The lines of one fleet carry 3.5 to 70 Mbit/s, and versions may come several
+times a second. A read transfers the whole value, half a megabyte for 1,500
+routes, and on a slow line calls wait behind it. So nodes on slow lines rank
+behind all others.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
         now: current time, seconds.
 
     Returns:
-        Watches to begin or end.
+        Watches to begin or end, one for each kind of document.
     """
     rank = find_rank(state)
     _note_listed(state, now)
@@ -53,13 +54,13 @@
 
 
 def find_rank(state: DistributionState) -> int:
-    """Find this node's rank among those that may watch the platform.
+    """Find this node's rank among the possible readers.
 
     Args:
         state: state of the node.
 
     Returns:
-        Its rank in its data centre from 0; those on slow lines come behind
+        Its rank in its data centre, from 0; nodes on slow lines rank behind
         all others.
     """
     readers = find_topology(state.members).readers
@@ -68,26 +69,26 @@
 
 
 def is_primary_reader(state: DistributionState) -> bool:
-    """Tell whether this node is to watch whatever others do.
+    """Tell whether this node watches regardless of other readers.
 
     Args:
         state: state of the node.
 
     Returns:
-        Whether it is among the first readers of its data centre.
+        Whether its rank is among the regular readers of its data centre.
     """
     return find_rank(state) < state.tuning.readers
 
 
 def pushes_to_others(state: DistributionState) -> bool:
-    """Tell whether this node passes lists on to other data centres.
+    """Tell whether this node pushes lists to other data centres.
 
     Args:
         state: state of the node.
 
     Returns:
-        Whether it is a reader; where several read in a data centre, the
-        first of them.
+        Whether it is a reader and, if a data centre has several, the
+        best-ranked one.
     """
     return state.appointed and (
         state.tuning.readers == 1 or find_rank(state) == 0
--- a/wagtaildale/distribution/authentication.py
+++ b/wagtaildale/distribution/authentication.py
@@ -1,9 +1,8 @@
-"""Decides which peers may connect (ZAP, RFC 27 of ZeroMQ).
+"""Authenticates peers that connect (ZAP, RFC 27 of ZeroMQ).
 
-Failure guarded here: a stranger connects to a node and feeds it a
-configuration, or reads one. With keys in the settings every connection is
-encrypted by CURVE; a peer whose public key is none of the fleet's is
-refused before any of its messages is read, and counted.
+With keys in the settings, every connection is encrypted by CURVE. A peer whose
+public key is not one of the fleet's is refused and counted before any of its
+messages is read, so that no outsider can send a configuration or read one.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 
 class ZapRequest(Struct, frozen=True):
-    """The frames of a request for a verdict, in the protocol's order."""
+    """Frames of an authentication request, in the order of the protocol."""
 
     version: bytes
     request_id: bytes
@@ -40,7 +39,7 @@
 
 
 class ZapAuthenticator:
-    """Answers the library's questions about peers that connect."""
+    """Answers the library's authentication requests for new connections."""
 
     def __init__(
         self,
@@ -48,11 +47,11 @@
         *,
         accepted: Collection[KeyPair],
     ) -> None:
-        """Begin to answer.
+        """Bind the socket that receives authentication requests.
 
         Args:
-            context: of the sockets that are guarded.
-            accepted: pairs of the fleet.
+            context: context of the sockets to protect.
+            accepted: key pairs of the fleet.
         """
         self.refused = 0
         self.socket = context.socket(zmq.REP)
@@ -60,14 +59,14 @@
         self._accepted = {z85.decode(pair.public) for pair in accepted}
 
     def answer(self) -> None:
-        """Answer every question that waits."""
+        """Answer all pending authentication requests."""
         while self.socket.poll(0):
             frames = self.socket.recv_multipart()
             request = ZapRequest(*frames[:ZAP_FRAMES])
             self.socket.send_multipart(self._authenticate(request))
 
     def close(self) -> None:
-        """End answering."""
+        """Close the socket."""
         self.socket.close()
 
     def _authenticate(self, request: ZapRequest) -> tuple[bytes, ...]:
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -1,4 +1,4 @@
-"""Decides on the body of a message from another node."""
+"""Decides which effects follow from messages of other nodes, by their body."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 
 
 class Context(Struct, frozen=True, kw_only=True):
-    """Around a body: whose state it moves, who sent it, when it came.
+    """State of the node, and origin of the message that is decided on.
 
     Attributes:
         state: state of the node; updated in place.
-        sender: of the message.
+        sender: instance that sent the message.
         now: current time, seconds.
-        delay: seconds that it was under way beyond the usual.
+        delay: how much longer than usual the message took, seconds.
     """
 
     state: DistributionState
@@ -58,7 +58,7 @@
 
     @property
     def sent_at(self) -> float:
-        """When it was sent, as nearly as can be told, on this clock."""
+        """Estimated time of sending, seconds on this node's clock."""
         return self.now - self.delay
 
 
@@ -67,14 +67,14 @@
     """Decide on one body.
 
     Args:
-        body: what another node said.
-        context: who said it and when.
+        body: body of the message.
+        context: state of the node, sender and time of the message.
 
     Returns:
         Effects to execute.
 
     Raises:
-        TypeError: for a body that no node knows.
+        TypeError: for a body of an unknown type.
     """
     raise TypeError(f'got {body!r}, expected the body of a message')
 
@@ -122,7 +122,8 @@
         kind=kind,
         offer=DeltaOffered(delta=body.delta, origin=context.sender),
         now=context.now,
-        # The root of the tree may not have it yet, as after a partition.
+        # A push from outside the tree, for example after a partition, may have
+        # bypassed the root.
         from_tree=not body.bypasses_tree,
     )
     _note_freshness(context, body.holding)
--- a/wagtaildale/distribution/checks.py
+++ b/wagtaildale/distribution/checks.py
@@ -1,4 +1,4 @@
-"""How each kind of document is judged as a whole."""
+"""Checks that validate each kind of document as a whole."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
     """Check that every route of a version has its service and class.
 
     Args:
-        document: all parts.
+        document: configuration with all of its parts.
 
     Returns:
-        Nothing, or the fault.
+        None, or the fault.
     """
     checked = check_parts(document.blobs)
     return checked if isinstance(checked, Err) else Ok(None)
 
 
 def check_instances(document: Document) -> Result[None, Fault]:
-    """Check that every record of a list can be read.
+    """Check that every record of an instance list can be decoded.
 
     Args:
-        document: all records.
+        document: list with all of its records.
 
     Returns:
-        Nothing, or the fault.
+        None, or the fault.
     """
     checked = check_records(document.blobs)
     return checked if isinstance(checked, Err) else Ok(None)
--- a/wagtaildale/distribution/confirmations.py
+++ b/wagtaildale/distribution/confirmations.py
@@ -1,4 +1,4 @@
-"""What a reader tells its data centre of what it has confirmed."""
+"""Sends a reader's confirmations to the other nodes of its data centre."""
 
 from __future__ import annotations
 
@@ -13,18 +13,19 @@
     from wagtaildale.distribution.messages import Effect
     from wagtaildale.distribution.state import DistributionState
 
-# A change has come down the push tree by then, also over slow lines.
+# A change passes down the push tree within this time, even over slow lines.
 CONFIRMATION_DELAY_SECONDS: Final = 0.2
 
 
 def claim_confirmations(state: DistributionState) -> None:
-    """Prepare the word of a reader that stops: it was the last one.
+    """Set a stopping reader as the one that last confirmed all documents.
 
-    Failure guarded here: several read for a moment, those that go on stop
-    one after the other, and all others wait for one that has stepped down.
+    Several nodes may read for a moment, and those that continue may stop one
+    after the other. Without this, all others would wait for a reader that has
+    already stepped down.
 
     Args:
-        state: the node, before it leaves; moved forward in place.
+        state: state of the node before it leaves; updated in place.
     """
     if not state.appointed:
         return
@@ -33,12 +34,11 @@
 
 
 def schedule_confirmation(state: DistributionState, *, now: float) -> None:
-    """Tell the spare readers of a change once it has had its time to spread.
+    """Schedule the confirmation of a change for after it has spread.
 
-    Failure guarded here: a change goes down the push tree, and in the same
-    moment everybody is told that there is one. Each asks the reader for what
-    is on its way to it and pushes it on once more, and on slow lines calls
-    wait behind the copies.
+    If the confirmation were sent while the change goes down the push tree,
+    each node would request the version that is already on its way to it and
+    push it once more, and on slow lines calls would wait behind the copies.
 
     Args:
         state: state of the node; updated in place.
@@ -51,14 +51,14 @@
 def send_due_confirmation(
     state: DistributionState, *, now: float
 ) -> list[Effect]:
-    """Tell the spare readers of a change, if it is time.
+    """Send the scheduled confirmation if it is due.
 
     Args:
         state: state of the node; updated in place.
         now: current time, seconds.
 
     Returns:
-        Messages, or none.
+        Messages to send, if any.
     """
     if state.confirmation_due_at is None or now < state.confirmation_due_at:
         return []
@@ -70,31 +70,31 @@
     *,
     now: float,
 ) -> list[Effect]:
-    """Tell the spare readers that the platform was confirmed.
+    """Send a confirmation by the platform to the spare readers.
 
-    Failure guarded here: all readers die at once, and the next ranks learn
-    so only when digests have carried a growing age from node to node. With
-    word from each confirmation itself, its absence is noticed within two
-    watches.
+    If all readers die at once, the next ranks would notice only through the
+    growing age that digests carry from node to node. Since each confirmation
+    is sent directly, its absence is noticed within two watches.
 
     Args:
         state: state of the node; updated in place.
         now: current time, seconds.
 
     Returns:
-        Messages, if this node is an appointed reader.
+        Messages to send, if this node is an appointed reader.
     """
     state.confirmation_due_at = None
     if not state.appointed or not state.tuning.passes_on:
         return []
     own = state.members.own.instance
     readers = find_topology(state.members).readers
-    # In place of nodes on slow lines spares read; those are told then too.
+    # A spare reader that reads in place of nodes on slow lines informs those
+    # nodes too.
     first = state.tuning.readers if is_primary_reader(state) else 0
     spares = readers[first : first + state.tuning.spare_readers]
-    # Failure: a node that works is suspected for an answer that was late,
-    # nobody sends it anything, and it neither refutes that nor learns that
-    # its server leaves. What is held against it goes along with each message.
+    # Suspects are informed too. A running node may be suspected for a late
+    # reply. If it received nothing, it could neither refute the suspicion,
+    # which each message includes, nor learn that its server leaves.
     suspects = state.members.list_suspects()
     body = state.make_swap(now, is_reply=True)
     return [
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -74,7 +74,9 @@
     Raises:
         TypeError: for a message of an unknown type.
     """
-    raise TypeError(f'got {message!r}, expected a message to the distribution task')
+    raise TypeError(
+        f'got {message!r}, expected a message to the distribution task'
+    )
 
 
 @decide.register
--- a/wagtaildale/distribution/delays.py
+++ b/wagtaildale/distribution/delays.py
@@ -1,4 +1,4 @@
-"""How long messages were under way, beyond what is usual from their sender."""
+"""Measures how much longer than usual messages took from their sender."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from wagtaildale.timers.clock_offsets import MinimumOffset
 from wagtaildale.types import Incarnation, InstanceId
 
-# How long a least difference counts. A sender that was suspended comes back
-# with its clock behind, and all it says looks late for that long: nodes then
-# read the platform though they need not.
+# How long a minimum clock offset counts. After a sender was suspended, its
+# clock is behind and all its messages seem delayed for this long, so that nodes
+# read from the platform unnecessarily.
 WINDOW_SECONDS: Final = 10.0
 
-# Under this a message waited on a slow line behind others. Were that counted,
-# nodes on slow lines would read the platform, and what they read would make
-# the lines slower. What a cut holds up is seconds late.
+# A shorter delay is taken as queueing on a slow line and counts as 0.
+# Otherwise nodes on slow lines would read from the platform, and the reads
+# would slow the lines further. Messages delayed by a cut are seconds late.
 MIN_DELAY_SECONDS: Final = 0.5
 
 SenderProcess = tuple[InstanceId, Incarnation]
 
 
 class Delays(Struct, kw_only=True):
-    """The differences of all senders.
+    """Clock offsets of all senders, from which delays are measured.
 
     Attributes:
-        senders: by process, what was seen of it.
+        senders: minimum clock offset of each sending process.
     """
 
     senders: dict[SenderProcess, MinimumOffset] = field(default_factory=dict)
@@ -34,21 +34,21 @@
     def measure(
         self, sender: SenderProcess, *, sent: float, now: float
     ) -> float:
-        """Measure how long a message was under way beyond the usual.
+        """Measure how much longer than usual a message took.
 
-        Failure guarded here: a line is cut for some seconds, and what was
-        sent meanwhile comes when it is mended: "the platform has just
-        confirmed this". Whoever believes that goes by an old list and reads
-        nothing itself. With the delay added the news is as old as it is.
+        When a line is cut for some seconds, messages that were sent meanwhile
+        arrive after it is restored. Without the delay, their confirmations
+        would seem new, and the receiver would use an old list and not read
+        from the platform itself.
 
         Args:
-            sender: the process.
-            sent: seconds on its steady clock.
-            now: seconds on this one's.
+            sender: sending process.
+            sent: time of sending, seconds on the sender's steady clock.
+            now: current time, seconds on this node's steady clock.
 
         Returns:
-            Seconds; 0 for the first message of a sender, and for one that
-            was not held up.
+            Seconds; 0 for the first message of a sender, and for a message
+            that was not delayed.
         """
         seen = self.senders.get(sender)
         if seen is None:
--- a/wagtaildale/distribution/dependencies.py
+++ b/wagtaildale/distribution/dependencies.py
@@ -1,4 +1,4 @@
-"""What surrounds the distribution task: other parts, and its counts."""
+"""Other parts of the node that the distribution task uses, and its counts."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Counts(Struct, kw_only=True):
-    """What the task has counted.
+    """Message counts of the task.
 
     Attributes:
-        messages_in: messages taken.
-        messages_out: messages sent.
-        malformed: frames that were no message.
-        misdirected: messages meant for another instance.
-        unsent: messages that no connection took.
+        messages_in: messages received and processed.
+        messages_out: messages sent, ``unsent`` ones included.
+        malformed: received frames that cannot be decoded.
+        misdirected: received messages that are addressed to another instance.
+        unsent: messages that no connection accepted.
     """
 
     messages_in: int = 0
@@ -34,16 +34,16 @@
 
 
 class TaskDependencies(Struct, kw_only=True):
-    """The other parts of the node that this task talks to.
+    """Other parts of the node that the distribution task uses.
 
     Attributes:
-        recorder: gets events.
-        invariants: are checked when a version is swapped in.
-        view: what calls are routed by.
-        watches: inboxes of the watch tasks.
+        recorder: recorder of log events.
+        invariants: checks that run before a version is applied.
+        view: routing view that calls use.
+        watches: inboxes of the watch tasks, by kind of document.
         fetches: inbox of the fetch task.
-        states: the node's state, the latest last.
-        suspects: which requests calls take for suspected.
+        states: states of the node so far, the current one last.
+        suspects: holder of the suspected requests that calls check.
     """
 
     recorder: EventRecorder
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -1,4 +1,4 @@
-"""Decides on offers of documents: take, push on, ask for more."""
+"""Decides on offered document versions: apply, push, or request more."""
 
 from __future__ import annotations
 
@@ -48,15 +48,15 @@
     now: float,
     from_tree: bool = False,
 ) -> list[Effect]:
-    """Offer a version to its store and carry on from what comes of it.
+    """Offer a version to its store and decide on the outcomes.
 
     Args:
         state: state of the node; updated in place.
         kind: kind of the document.
-        offer: the version.
+        offer: version or part of one.
         now: current time, seconds.
-        from_tree: whether the push tree brought it, so that the tree's
-            root need not be told.
+        from_tree: whether the version came down the push tree, so that it
+            need not be pushed to the root of the tree.
 
     Returns:
         Effects to execute.
@@ -77,7 +77,7 @@
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
-    raise TypeError(f'got {outcome!r}, expected an effect of a store')
+    raise TypeError(f'got {outcome!r}, expected an outcome of a store')
 
 
 @_handle_outcome.register
@@ -89,7 +89,8 @@
     document = outcome.document
     changes: list[Effect] = []
     if document.kind is Kind.instances:
-        # Before the list itself: calls never see it without those kept.
+        # These come before the list itself, so that calls never use the list
+        # without its exceptions.
         changes = update_list(state, document=document, now=now)
     updated = DocumentUpdated(
         before=outcome.before,
@@ -128,9 +129,9 @@
     if outcome.origin is not None:
         body = BlobPull(outcome.kind, outcome.digests)
         return [Send(to=outcome.origin, body=body)]
-    # Failure: a herd of new nodes reads every part from the platform. Only
-    # appointed readers do so at once; the others get the parts from them,
-    # and turn to the platform when nobody has brought them for a while.
+    # Only appointed readers read parts from the platform immediately, so that
+    # many new nodes do not all read every part at once. The others receive the
+    # parts from readers, and read them after a while if no peer has sent them.
     waited = now - state.joining.started_at > PEER_WAIT_SECONDS
     readers = find_topology(state.members).readers
     read = ReadBlobs(
@@ -147,15 +148,15 @@
     kind: Kind,
     peer: InstanceId,
 ) -> Send:
-    """Ask a peer for what leads from the held version to its own.
+    """Request the delta from this node's version to that of a peer.
 
     Args:
         state: state of the node.
         kind: kind of the document.
-        peer: who is asked.
+        peer: instance that receives the request.
 
     Returns:
-        The message.
+        The message to send.
     """
     held = state.stores[kind].held
     return Send(to=peer, body=Pull(kind, held.version, held.digest))
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -1,4 +1,4 @@
-"""Carries out what was decided: send, swap the view, record."""
+"""Executes effects: sends messages, updates the routing view, logs events."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Sender(Protocol):
-    """The task whose effects are carried out."""
+    """The task that executes effects."""
 
     state: DistributionState
     dependencies: TaskDependencies
@@ -44,29 +44,29 @@
         """Send a message to an instance.
 
         Args:
-            instance: the receiver.
-            body: what to say.
+            instance: receiving instance.
+            body: body of the message.
         """
 
     def send_seed(self, address: str, body: Body) -> None:
-        """Send a message to whoever listens at an address.
+        """Send a message to an address whose instance is unknown.
 
         Args:
-            address: from the settings.
-            body: what to say.
+            address: address of a seed, from the settings.
+            body: body of the message.
         """
 
 
 @singledispatch
 def execute(effect: object, sender: Sender) -> None:
-    """Carry out one effect of a decision.
+    """Execute one effect of a decision.
 
     Args:
-        effect: what was decided.
-        sender: whose sockets and surroundings are used.
+        effect: effect to execute.
+        sender: task that provides sockets and dependencies.
 
     Raises:
-        TypeError: for an effect that this task does not know.
+        TypeError: for an effect of an unknown type.
     """
     raise TypeError(f'got {effect!r}, expected an effect')
 
@@ -129,10 +129,10 @@
     effect: messages.DocumentUpdated,
     state: DistributionState,
 ) -> Inputs:
-    """Describe by whom and how late a version came here.
+    """Describe the origin and the age of a version for the log.
 
-    A list that comes late is told apart in the log from one that was read
-    late at the platform, and from one that stayed on its way.
+    This distinguishes a list that was read late from the platform from one
+    that was delayed between nodes.
     """
     fresh = state.freshness[effect.document.kind]
     inputs: Inputs = {'origin': effect.origin or PLATFORM_ORIGIN}
--- a/wagtaildale/distribution/joining.py
+++ b/wagtaildale/distribution/joining.py
@@ -1,4 +1,4 @@
-"""When a new node may call itself ready."""
+"""Decides when a joining node becomes ready."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         now: current time, seconds.
 
     Returns:
-        The change of state, if there is one.
+        The change of state and its announcement, if the node became ready.
     """
     if state.members.state is not NodeState.joining or not _is_ready(
         state, now
@@ -37,15 +37,15 @@
 
 
 def announce_state(state: DistributionState, *, now: float) -> list[Effect]:
-    """Tell some others at once what this node's state is.
+    """Send this node's state to some other nodes immediately.
 
     Args:
         state: state of the node.
         now: current time, seconds.
 
     Returns:
-        Messages to neighbours and to some of the data centre, who pass it
-        on.
+        Messages to neighbours and to some nodes of the data centre, which
+        spread it.
     """
     swap = state.make_swap(now)
     topology = find_topology(state.members)
@@ -57,9 +57,9 @@
 
 
 def _is_ready(state: DistributionState, now: float) -> bool:
-    # Failure: a new node settles for a stale platform, shown by routes from
-    # yesterday. It is ready only when peers have answered too, or when for
-    # a while there was nobody but the platform to ask.
+    # The platform may be stale and give outdated routes. So a node becomes
+    # ready only after peers have replied too, or after a while without peers
+    # that could reply.
     stores = state.stores.values()
     if any(store.held.version == NO_VERSION for store in stores):
         return False
@@ -71,8 +71,8 @@
     ):
         return True
     asked = len(joining.confirmed_kinds) == len(state.stores)
-    # A node without seeds can ask nobody: the peers that the list names get
-    # its first digest, and whoever knows better answers that.
+    # A node without seeds does not wait for peers. Those that the list names
+    # receive its first digest and reply if they have later versions.
     patience = state.tuning.alone_seconds if state.seeds else 0
     alone = now - joining.started_at > patience
     return alone and (asked or bool(joining.replied_peers))
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -1,4 +1,4 @@
-"""The push tree: who is sent a new version, and again when it was lost."""
+"""Pushes new versions down the push tree and resends lost pushes."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
     now: float,
     from_tree: bool,
 ) -> list[Effect]:
-    """Pass a version that was just taken on to this node's children.
+    """Push a version that was just applied to this node's children.
 
     Args:
-        state: the node; notes what was sent.
+        state: state of the node; records the pending pushes.
         kind: kind of the document.
         now: current time, seconds.
-        from_tree: whether the push tree brought it; otherwise the root of
-            the data centre's tree is told too.
+        from_tree: whether the version came down the push tree; otherwise it
+            is also pushed to the root of the data centre's tree.
 
     Returns:
         Messages to send.
@@ -65,15 +65,16 @@
     kind: Kind,
     now: float,
 ) -> list[Effect]:
-    """Pass a version that was read at the platform to other data centres.
+    """Push a version that was read from the platform to other data centres.
 
-    Failure guarded here: the readers of a data centre stop, or only nodes on
-    slow lines are left there, and lists come by digests from elsewhere, one
-    a second: an owner learns seconds late that its server leaves. With each
-    reader telling all data centres, one reader in the fleet is enough.
+    Since each reader pushes to all data centres, one reader in the fleet is
+    enough. Otherwise, when the readers of a data centre stop or only nodes on
+    slow lines are left there, lists would arrive by digests from other data
+    centres, one a second, and an owner would learn seconds late that its
+    server leaves.
 
     Args:
-        state: the node; notes what was sent.
+        state: state of the node; records the pending pushes.
         kind: kind of the document.
         now: current time, seconds.
 
@@ -89,13 +90,13 @@
 
 
 def resend_pushes(state: DistributionState, *, now: float) -> list[Effect]:
-    """Send again what was not seen, and serve past a peer that is gone.
+    """Resend unacknowledged pushes, and bypass peers that do not reply.
 
-    Failure guarded here: an inner node of the push tree dies or loses a
-    message, which shows as a whole branch that stays behind until digests
-    are swapped. A push that was not seen is sent again, then the receiver's
-    children are served in its place. The guard holds since every push is
-    answered, and since taking one twice does no harm.
+    When an inner node of the push tree dies or a message is lost, the whole
+    branch would keep its old version until digests are swapped. So a push
+    without an acknowledgement is sent again, and after that this node pushes
+    to the receiver's children itself. Every push is acknowledged, and applying
+    one twice does no harm.
 
     Args:
         state: state of the node; updated in place.
--- a/wagtaildale/distribution/sockets.py
+++ b/wagtaildale/distribution/sockets.py
@@ -1,4 +1,4 @@
-"""The ZeroMQ sockets between nodes; owned by the distribution task alone."""
+"""ZeroMQ sockets between nodes, used only by the distribution task."""
 
 from __future__ import annotations
 
@@ -21,28 +21,29 @@
 MAX_QUEUED_MESSAGES: Final = 64
 MAX_UNANSWERED_MESSAGES: Final = 2
 RECONNECT_MS: Final = 200
-# A peer that was cut off is back this soon after the cut is mended.
+# A peer that was cut off reconnects within this time after the cut ends.
 MAX_RECONNECT_MS: Final = 1000
 CONNECT_TIMEOUT_MS: Final = 1000
-# As long as a version may take to be in force everywhere (two seconds on the
-# users' platform); a line that carries a large answer is quiet for less.
+# A connection that is silent for longer is closed. The timeout equals the time
+# in which a version must be in force everywhere (two seconds on the users'
+# platform); a line that carries a large message is silent for less.
 HEARTBEAT_MS: Final = 1000
 HEARTBEAT_TIMEOUT_MS: Final = 2000
 MILLISECONDS: Final = 1000
 
 
 class ReceivedFrame:
-    """One frame that has come, and by which way an answer goes back."""
+    """A received frame and the route for a reply."""
 
     __slots__ = ('frame', 'route')
 
     def __init__(self, frame: bytes, route: bytes | str) -> None:
-        """Keep frame and way.
+        """Store the frame and the route.
 
         Args:
-            frame: the message.
-            route: the sender's identity at the listening socket, or the
-                address that this node has opened a socket to.
+            frame: encoded message.
+            route: sender's identity at the listening socket, or the address
+                to which this node has opened a socket.
         """
         self.frame = frame
         self.route = route
@@ -52,8 +53,8 @@
     """A socket to one peer.
 
     Attributes:
-        socket: connected.
-        key: which of the fleet's keys the peer is taken to have.
+        socket: connected socket.
+        key_index: index of the fleet's key that the peer is assumed to have.
     """
 
     def __init__(
@@ -61,28 +62,28 @@
         socket: zmq.Socket[bytes],
         *,
         address: str,
-        key: int,
+        key_index: int,
     ) -> None:
-        """Take a connected socket.
+        """Wrap a connected socket.
 
         Args:
-            socket: a DEALER.
-            address: that it is connected to.
-            key: number of the key that it was opened with.
+            socket: connected DEALER socket.
+            address: address of the peer.
+            key_index: index of the key that the socket was opened with.
         """
         self.socket = socket
         self._address = address
-        self.key = key
+        self.key_index = key_index
         self._unanswered = 0
 
     def send(self, frame: bytes) -> None:
         """Send a message.
 
         Args:
-            frame: the message.
+            frame: encoded message.
 
         Raises:
-            ZMQError: when the queue to the peer is full.
+            ZMQError: if the queue to the peer is full.
         """
         self._unanswered += 1
         self.socket.send(frame, zmq.NOBLOCK)
@@ -90,22 +91,22 @@
     def seems_refused(self, keys: int) -> bool:
         """Tell whether to try the peer with another key.
 
-        While a key is rotated, some peers have the old one and some the
-        new one; nothing but silence tells which.
+        During a key rotation, some peers have the old key and some the new
+        one. A peer that was given the wrong key shows it only by not replying.
 
         Args:
-            keys: how many the fleet has.
+            keys: number of keys of the fleet.
 
         Returns:
-            Whether several messages in a row had no answer.
+            Whether several messages in a row had no reply.
         """
         return keys > 1 and self._unanswered > MAX_UNANSWERED_MESSAGES
 
     def drain(self) -> list[ReceivedFrame]:
-        """Take every message that has come.
+        """Receive all pending messages.
 
         Returns:
-            Oldest first.
+            The frames, oldest first.
         """
         received_frames: list[ReceivedFrame] = []
         while self.socket.poll(0):
@@ -117,19 +118,19 @@
 
 
 class NodeSockets:
-    """One listening socket, and one to each of a bounded set of peers.
+    """A listening socket, and one socket to each of a bounded set of peers.
 
-    An answer goes back by the connection on which the question came, so
-    two nodes need one connection between them, and a node that is not yet
-    in anybody's list can be answered.
+    Replies use the connection on which a message was received. So two nodes
+    need only one connection, and a node that is not listed yet can be sent a
+    reply.
     """
 
     def __init__(self, keys: tuple[KeyPair, ...] = ()) -> None:
-        """Open nothing yet.
+        """Prepare without opening a socket.
 
         Args:
-            keys: of the fleet, this node's own first; none for connections
-                that are neither encrypted nor checked.
+            keys: key pairs of the fleet, this node's own first; empty for
+                connections that are neither encrypted nor authenticated.
         """
         self.sent_bytes = 0
         self.received_bytes = 0
@@ -144,15 +145,16 @@
     def bind(self, address: str) -> Result[None, Fault]:
         """Listen for other nodes.
 
-        The library starts its threads with the first socket. That is left
-        until everything is imported: an import beside running threads has
-        crashed on the users' platform (docs/design/concurrency.md).
+        The library starts its threads with the first socket. No socket is
+        opened before all modules are imported, since an import beside running
+        threads has crashed on the users' platform
+        (docs/design/concurrency.md).
 
         Args:
-            address: as ZeroMQ writes it.
+            address: address in ZeroMQ notation.
 
         Returns:
-            Nothing, or the fault.
+            None, or the fault.
         """
         listener = self._open_listener()
         try:
@@ -169,10 +171,10 @@
         return Ok(None)
 
     def watch_inbox(self, inbox: Inbox[object]) -> None:
-        """Let a message in an inbox end the wait too.
+        """Make ``wait`` return also when an inbox has a message.
 
         Args:
-            inbox: of the task that owns these sockets.
+            inbox: inbox of the task that owns these sockets.
         """
         self._poller.register(inbox.fileno(), zmq.POLLIN)
 
@@ -180,10 +182,11 @@
         """Wait for messages.
 
         Args:
-            seconds: at most.
+            seconds: maximum time to wait.
 
         Returns:
-            What has come; none if the time is up or an inbox woke it.
+            The received frames; empty after the maximum time or if the inbox
+            has a message.
         """
         ready = dict(self._poller.poll(round(seconds * MILLISECONDS)))
         received_frames: list[ReceivedFrame] = []
@@ -198,16 +201,15 @@
         return received_frames
 
     def note_route(self, instance: InstanceId, route: bytes | str) -> None:
-        """Remember by which connection an instance can be answered.
+        """Store the route for replies to an instance.
 
-        Failure guarded here: a new node starts while the platform is away.
-        A seed tells it what there is, and it cannot ask for that: it has no
-        list yet that names the seed's address. It asks by the way on which
-        the seed spoke.
+        A new node that starts while the platform is down has no list yet, so it
+        does not know the address of the instance beside the seed that replied
+        to it. It requests versions from the seed by this route.
 
         Args:
-            instance: who sent a message.
-            route: by which way, as its ``ReceivedFrame`` says.
+            instance: instance that sent a message.
+            route: route of its ``ReceivedFrame``.
         """
         self._routes[instance] = route
         self._routes.move_to_end(instance)
@@ -215,14 +217,14 @@
             self._routes.popitem(last=False)
 
     def answer(self, instance: InstanceId, frame: bytes) -> bool:
-        """Send by the connection on which an instance last spoke.
+        """Send over the connection on which an instance last sent a message.
 
         Args:
-            instance: the receiver.
-            frame: the message.
+            instance: receiving instance.
+            frame: encoded message.
 
         Returns:
-            Whether there was such a connection.
+            Whether there is such a connection and it accepted the message.
         """
         route = self._routes.get(instance)
         if isinstance(route, str):
@@ -238,19 +240,19 @@
         return True
 
     def send(self, address: str, frame: bytes) -> bool:
-        """Send to an address, over a connection that is opened if need be.
+        """Send to an address, opening a connection if necessary.
 
         Args:
-            address: as ZeroMQ writes it.
-            frame: the message.
+            address: address in ZeroMQ notation.
+            frame: encoded message.
 
         Returns:
-            Whether it was taken; a queue that is full takes nothing more.
+            Whether the message was queued; False if the queue is full.
         """
         peer = self._peers.get(address) or self._open(address, 0)
         if peer.seems_refused(len(self._keys)):
             self._close(address)
-            peer = self._open(address, peer.key + 1)
+            peer = self._open(address, peer.key_index + 1)
         self._peers.move_to_end(address)
         try:
             peer.send(frame)
@@ -260,7 +262,7 @@
         return True
 
     def close(self) -> None:
-        """Close everything; what is still queued gets a moment to leave."""
+        """Close all sockets; queued messages have a short time to be sent."""
         for peer in self._peers.values():
             peer.socket.close()
         if self._authenticator is not None:
@@ -271,22 +273,24 @@
 
     @property
     def refused_peers(self) -> int:
-        """How many connections were refused for want of a key."""
+        """Number of connections that were refused without a valid key."""
         return self._authenticator.refused if self._authenticator else 0
 
-    def _open(self, address: str, key: int) -> Peer:
+    def _open(self, address: str, key_index: int) -> Peer:
         if len(self._peers) >= MAX_PEERS:
             self._close(next(iter(self._peers)))
         socket = self._context.socket(zmq.DEALER)
         _set_options(socket)
-        number = key % max(1, len(self._keys))
+        wrapped_index = key_index % max(1, len(self._keys))
         if self._keys:
-            socket.curve_serverkey = self._keys[number].public
+            socket.curve_serverkey = self._keys[wrapped_index].public
             socket.curve_secretkey = self._keys[0].secret
             socket.curve_publickey = self._keys[0].public
         socket.connect(address)
         self._poller.register(socket, zmq.POLLIN)
-        self._peers[address] = Peer(socket, address=address, key=number)
+        self._peers[address] = Peer(
+            socket, address=address, key_index=wrapped_index
+        )
         return self._peers[address]
 
     def _close(self, address: str) -> None:
@@ -321,16 +325,15 @@
 
 
 def _set_options(socket: zmq.Socket[bytes]) -> None:
-    # Failure: a peer that was away comes back and gets minutes of old
-    # messages. The queue to it is short, and versions in a message
-    # that are older than what it holds are ignored there.
+    # The queue is short so that a peer that reconnects does not receive minutes
+    # of old messages. It ignores versions older than its own.
     socket.setsockopt(zmq.SNDHWM, MAX_QUEUED_MESSAGES)
     socket.setsockopt(zmq.LINGER, RECONNECT_MS)
     socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
     socket.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_MS)
     socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
-    # Failure: a line goes silent without a reset, and what is sent on it
-    # waits for the kernel, that asks again after ever longer times: seconds
-    # after a cut is mended nothing passes yet.
+    # Heartbeats detect a connection that goes silent without a reset. Otherwise
+    # messages would wait for the kernel's retransmissions, whose intervals
+    # grow, and nothing would pass for seconds after a cut has ended.
     socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
     socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
--- a/wagtaildale/distribution/swaps.py
+++ b/wagtaildale/distribution/swaps.py
@@ -1,4 +1,4 @@
-"""Swaps of digests between neighbours: anti-entropy and heartbeat in one."""
+"""Swaps digests with neighbours, as both anti-entropy and heartbeat."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def swap_digests(state: DistributionState, *, now: float) -> list[Effect]:
-    """Send this node's digest to the neighbour whose turn it is.
+    """Send this node's digest to the next neighbour in turn.
 
     Args:
-        state: the node; notes who owes a reply.
+        state: state of the node; records the pending replies.
         now: current time, seconds.
 
     Returns:
-        What to send, and whom the missing replies made suspect.
+        Messages to send, and the peers that are suspected for missing replies.
     """
     late = _list_late(state, now)
     changes: list[NewsTaken] = []
@@ -61,11 +61,12 @@
     peers = [peer for peer in late if peer in neighbours]
     state.swap_count += 1
     if state.swap_count % AWAY_RETRY_SWAPS == 0:
-        # Failure: after a partition each side holds the other for dead and
-        # asks nobody there, so nothing would ever heal it.
+        # After a partition each side considers the other dead and sends it
+        # nothing, so without these attempts the sides would never reconnect.
         peers.extend(_pick_away(state))
-    # Failure: a node asks nobody but a neighbour that has just ended, and
-    # neither hears of lists nor of what is said of itself until it gives up.
+    # Another neighbour is always included. A node that retries only one that
+    # has just ended would receive no lists and could not refute suspicions of
+    # itself until it gives that neighbour up.
     others = [peer for peer in neighbours if peer not in peers]
     if others:
         peers.append(others[state.swap_count % len(others)])
@@ -82,14 +83,14 @@
 
 
 def ask_seeds(state: DistributionState, *, now: float) -> list[Effect]:
-    """Ask the seeds what they hold, while this node knows nobody better.
+    """Swap digests with seeds while this node is joining or has no neighbours.
 
     Args:
         state: state of the node.
         now: current time, seconds.
 
     Returns:
-        Digests to some seeds.
+        Digests to send to some of the seeds.
     """
     alone = not find_topology(state.members).neighbours
     if not alone and state.members.state is not NodeState.joining:
@@ -103,12 +104,12 @@
 
 
 def make_fleet_change(changes: list[NewsTaken]) -> list[Effect]:
-    """Say that news changed the view of the fleet.
+    """Make the effect of membership news that changed the view of the fleet.
 
     Args:
-        changes: the news, perhaps none.
+        changes: accepted news; may be empty.
 
     Returns:
-        One effect, or none.
+        One effect, or none if there is no news.
     """
     return [FleetChanged(changes=tuple(changes))] if changes else []
--- a/wagtaildale/distribution/task.py
+++ b/wagtaildale/distribution/task.py
@@ -1,4 +1,4 @@
-"""The distribution task: it alone touches the sockets and the state."""
+"""Runs the distribution task, the only user of its sockets and state."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
         now: current time, seconds.
 
     Returns:
-        Seconds until a push is due again or, while the node is joining, it
-        is to look again; a second at most.
+        Seconds until the next deadline: of a push, of a confirmation or, while
+        the node is joining, of its next check; at most one second.
     """
     due = [push.due for push in state.pushes.values()]
     if state.confirmation_due_at is not None:
@@ -53,7 +53,7 @@
 
 
 class DistributionTask:
-    """Takes messages, decides, and carries the effects out."""
+    """Receives messages, decides on them, and executes the effects."""
 
     def __init__(
         self,
@@ -63,13 +63,13 @@
         inbox: Inbox[Any],
         dependencies: TaskDependencies,
     ) -> None:
-        """Prepare; ``run`` does the work.
+        """Prepare the task, which ``run`` executes.
 
         Args:
-            state: of a new node.
-            sockets: bound already.
-            inbox: of this task.
-            dependencies: the parts that it talks to.
+            state: state of a new node.
+            sockets: bound sockets.
+            inbox: inbox of this task.
+            dependencies: other parts of the node that it uses.
         """
         self.state = state
         self.dependencies = dependencies
@@ -80,7 +80,7 @@
         sockets.watch_inbox(inbox)
 
     def run(self) -> None:
-        """Work until stopped, then close the sockets."""
+        """Process messages until stopped, then close the sockets."""
         while self._running:
             self._step()
         for message in self._inbox.take_all():
@@ -95,8 +95,8 @@
         """Send a message to an instance.
 
         Args:
-            instance: the receiver.
-            body: what to say.
+            instance: receiving instance.
+            body: body of the message.
         """
         frame = self._encode(instance, body)
         record = self.state.members.records.get(instance)
@@ -108,11 +108,11 @@
         self.counts.unsent += 1
 
     def send_seed(self, address: str, body: Body) -> None:
-        """Send a message to whoever listens at an address.
+        """Send a message to an address whose instance is unknown.
 
         Args:
-            address: from the settings.
-            body: what to say.
+            address: address of a seed, from the settings.
+            body: body of the message.
         """
         self.counts.messages_out += 1
         self.sockets.send(address, self._encode(ANY_INSTANCE, body))
@@ -124,8 +124,8 @@
         now = read_clock()
         if now - expected > LATE_SECONDS:
             self._take(WokeLate(now=now, late_by=now - expected))
-        # Failure: replies have come to a machine that is slow, its timers are
-        # looked at first, and those who sent the replies are blamed for them.
+        # Received messages come before timers. On a slow machine, a timer that
+        # is processed first would suspect peers whose replies have arrived.
         for received in received_frames:
             self._receive(received)
         for message in self._inbox.take_all():
@@ -141,9 +141,8 @@
             self._record_refusal(fault.code, fault.got)
             return
         envelope = decoded.ok_value
-        # Failure: an address is reused by another instance, and messages
-        # for the old one reach the new one. Each message names whom it is
-        # for, so such a one is dropped here.
+        # If an address is reused by another instance, messages for the previous
+        # one reach the new one. They name their receiver and are dropped here.
         if envelope.to not in {ANY_INSTANCE, self.state.members.own.instance}:
             self.counts.misdirected += 1
             self._record_refusal(Code.message_misdirected, envelope.to)
--- a/wagtaildale/distribution/tuning.py
+++ b/wagtaildale/distribution/tuning.py
@@ -1,7 +1,7 @@
-"""The figures of distribution, offered to operators as one named choice.
+"""Parameters of distribution, offered to operators as one named choice.
 
-What each figure trades, and the sweep that chose it, is in
-docs/design/distribution.md.
+docs/design/distribution.md describes the trade-off behind each parameter, and
+the parameter sweep.
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 
 @final
 class Spread(Enum):
-    """What a deployment weighs more: convergence time or control bytes.
+    """Whether a deployment favours convergence time or control bytes.
 
     ``direct`` is the baseline of the benchmarks: every node watches the
-    platform for itself and nothing is passed on. It is not for production.
+    platform itself, and nodes send each other no versions. It is not for
+    production.
     """
 
     prompt = 'prompt'
@@ -27,35 +28,37 @@
 
 
 class Tuning(Struct, frozen=True, kw_only=True):
-    """The figures behind a choice.
+    """Parameters of distribution; times are in seconds.
 
     Attributes:
-        readers: nodes of a data centre that watch the platform.
-        spare_readers: how many more may appoint themselves.
-        fan_out: children of a node in the push tree.
-        swap_seconds: between two swaps of digests.
-        resend_seconds: until an unseen push is sent again.
+        readers: number of nodes of a data centre that watch the platform.
+        spare_readers: number of further nodes that may appoint themselves.
+        fan_out: number of children of a node in the push tree.
+        swap_seconds: interval between two swaps of digests.
+        resend_seconds: delay before an unacknowledged push is sent again.
         stale_seconds: age of the last confirmation at which the first
             spare reader appoints itself.
-        step_seconds: more for each further rank.
+        step_seconds: additional age for each further rank.
         watch_seconds: how long the platform holds a watch open.
-        look_seconds: between two looks at who is to watch.
-        join_look_seconds: between two looks of a node that is joining; a
-            seed answers within some milliseconds.
-        first_read_seconds: over which new nodes spread their first reads.
-        backoff_seconds: longest delay after one failed read.
-        gather_seconds: how long a reader that was told of a change waits
-            for further ones before it asks again.
-        ask_peers_seconds: how long a new node asks the seeds alone before it
-            turns to the platform too.
-        alone_seconds: how long a new node with what the platform gave waits
-            for a peer to confirm it.
-        lapse_seconds: without a confirmation, after which the platform may
-            have forgotten live instances.
-        passes_on: whether nodes tell each other of versions at all.
-        read_seconds: that a read of everything may keep this node's line
-            busy; how much longer it waits for peers to bring it.
-        reads_last: whether that is so long that others are to watch.
+        look_seconds: interval between two reviews of which nodes watch.
+        join_look_seconds: interval between two checks of a joining node; a
+            seed replies within some milliseconds.
+        first_read_seconds: interval over which new nodes spread their first
+            reads.
+        backoff_seconds: maximum delay after a first failed read.
+        gather_seconds: how long a reader waits for further changes after a
+            change before it reads again.
+        ask_peers_seconds: how long a new node asks only the seeds before it
+            reads from the platform.
+        alone_seconds: how long a new node that has read from the platform
+            waits for a reply of a peer.
+        lapse_seconds: time without a confirmation after which entries of live
+            instances may have lapsed at the platform.
+        passes_on: whether nodes send versions to each other at all.
+        read_seconds: how long a full read may occupy this node's line; a
+            joining node waits this much longer for peers.
+        reads_last: whether the line is so slow that the node ranks behind all
+            others as a reader.
     """
 
     readers: int = 3
@@ -80,29 +83,30 @@
 
 
 ALL_NODES: Final = 1_000_000
-# Of the time in which a version must be in force. A watch ends after half of
-# it; a spare reader that has heard of none for a little longer reads by
-# itself, and has a third left to do so and to try again.
+# Shares of the time in which a version must be in force. A watch ends after
+# half of it. A spare reader without a confirmation for a little longer starts
+# to read, with a third of the time left to read and to retry.
 WATCH_SHARE: Final = 0.5
 STALE_SHARE: Final = 0.65
 LOOK_SHARE: Final = 0.1
 STEP_SHARE: Final = 0.02
 FIRST_READ_SHARE: Final = 0.05
 BACKOFF_SHARE: Final = 0.1
-# Changes come in rows: a release, or versions five times a second. One call
-# then brings several of them.
+# Changes come in series, such as a release or versions five times a second.
+# One read then fetches several of them.
 GATHER_SHARE: Final = 0.2
-# A seed that lives answers within some milliseconds, and a store call is
-# saved. When a whole fleet starts at once no seed knows anything, and each
+# A running seed replies within some milliseconds, which saves a read from the
+# platform. When a whole fleet starts at once, no seed has a version, and each
 # further tenth of a second is one in which every caller is refused.
 ASK_PEERS_SHARE: Final = 0.05
-# Writes that an instance misses before its entry lapses: the operators'.
+# Number of writes that an instance misses before its entry lapses, according
+# to the platform's operators.
 MISSED_HEARTBEATS: Final = 3
 HEARTBEAT_SECONDS: Final = 1.5
-# What the platform sends for 1,500 routes in base64: about 400 KB.
+# Size of a full read of 1,500 routes in base64: about 400 KB.
 FULL_READ_MEGABITS: Final = 3.2
-# A read of everything that takes longer than this leaves too little of the
-# time to pass a version on: 0.2 s of 2 s, 16 Mbit/s.
+# A full read that takes a larger share of the time leaves too little to push
+# the version on: 0.2 s of 2 s, which takes 16 Mbit/s.
 SLOW_READ_SHARE: Final = 0.1
 FRUGAL_READERS: Final = 2
 FRUGAL_SWAP_SECONDS: Final = 3.0
@@ -129,19 +133,22 @@
     heartbeat_seconds: float = HEARTBEAT_SECONDS,
     line_mbps: float = 0,
 ) -> Tuning:
-    """Make the figures that keep a bound on the time to apply a version.
+    """Make the parameters that keep a bound on the time to apply a version.
 
-    One reader in each data centre: on a platform that is paid by the call,
-    a second one costs more than the seconds that it would save when the
-    first one dies. Every other node is a spare.
+    Each data centre has one reader: on a platform that is paid by the call, a
+    second one costs more than the seconds that it would save when the first
+    one dies. Every other node is a spare.
 
     Args:
-        apply_seconds: in which a version must be in force everywhere.
-        heartbeat_seconds: between two writes of an instance to the list.
-        line_mbps: megabits a second of this node's line; 0 if not told.
+        apply_seconds: time in which a version must be in force everywhere,
+            seconds.
+        heartbeat_seconds: interval between two writes of an instance to the
+            list, seconds.
+        line_mbps: bandwidth of this node's line, megabits per second; 0 if
+            unknown.
 
     Returns:
-        The figures.
+        The parameters.
     """
     read_seconds = FULL_READ_MEGABITS / line_mbps if line_mbps else 0
     return Tuning(
@@ -155,7 +162,7 @@
         backoff_seconds=BACKOFF_SHARE * apply_seconds,
         gather_seconds=GATHER_SHARE * apply_seconds,
         ask_peers_seconds=ASK_PEERS_SHARE * apply_seconds,
-        # Such a platform's answers are never stale, so nobody needs to
+        # Answers of such a platform are never stale, so that peers need not
         # confirm them.
         alone_seconds=0,
         lapse_seconds=MISSED_HEARTBEATS * heartbeat_seconds,
--- a/wagtaildale/distribution/wire.py
+++ b/wagtaildale/distribution/wire.py
@@ -1,7 +1,7 @@
-"""Messages between nodes, as MessagePack.
+"""Messages between nodes, encoded as MessagePack.
 
-Arrays without field names keep them small: control bytes are one of the two
-measures of the product.
+They are arrays without field names to keep them small: the volume of control
+traffic is one of the two measures of the product.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 
 
 class Holding(Struct, frozen=True, array_like=True):
-    """Which version of one document a node holds, and how fresh it is.
+    """The version of a document that a node holds, and its freshness.
 
     Attributes:
         kind: kind of the document.
-        version: held.
-        digest: of that version.
-        age_ms: milliseconds since somebody last confirmed it at the
-            platform, as far as the sender knows; -1 for never.
-        rank: of the reader that confirmed it, in its data centre.
-        reader: which one that was; empty if not told.
-        data_centre: where it stands; empty if not told, or if the list
-            tells.
+        version: version that the sender holds.
+        digest: content hash of that version.
+        age_ms: milliseconds since a reader last confirmed it at the platform,
+            as far as the sender knows; -1 for never.
+        rank: rank of that reader in its data centre.
+        reader: instance of that reader; empty if unknown.
+        data_centre: data centre of that reader; empty if unknown, or if the
+            reader is listed.
     """
 
     kind: Kind
@@ -54,10 +54,10 @@
     """A digest of the sender's view, swapped between neighbours.
 
     Attributes:
-        holdings: one for each document.
-        is_reply: whether it answers a swap; replies are not answered.
-        suspects: sums up the requests that all nodes are to know of; nothing
-            if that is not told.
+        holdings: held version of each document.
+        is_reply: whether it replies to a swap; replies get no reply.
+        suspects: checksum of the suspected requests that all nodes must know;
+            None if not sent.
     """
 
     holdings: tuple[Holding, ...]
@@ -69,10 +69,10 @@
     """A later version, as a delta.
 
     Attributes:
-        delta: what changes.
-        holding: the sender's, with its freshness.
-        bypasses_tree: whether it does not come down the push tree: the
-            receiver had asked for it, or it is from another data centre.
+        delta: changes from an earlier version.
+        holding: version that the sender holds, and its freshness.
+        bypasses_tree: whether it does not come down the push tree, since the
+            receiver requested it or it is from another data centre.
     """
 
     delta: Delta
@@ -81,14 +81,14 @@
 
 
 class PushSeen(Struct, frozen=True, array_like=True, tag=3):
-    """A push has come; the sender holds this version or a later one."""
+    """Acknowledges a push; the sender holds this version or a later one."""
 
     kind: Kind
     version: Version
 
 
 class Pull(Struct, frozen=True, array_like=True, tag=4):
-    """Asks for what leads from a held version to the receiver's."""
+    """Requests the delta from the sender's version to the receiver's."""
 
     kind: Kind
     version: Version
@@ -96,27 +96,27 @@
 
 
 class OutlineSent(Struct, frozen=True, array_like=True, tag=5):
-    """A version's entries, for one whose base is not remembered."""
+    """Entries of a version, sent if the base of a delta is unknown."""
 
     outline: Outline
 
 
 class BlobPull(Struct, frozen=True, array_like=True, tag=6):
-    """Asks for blobs by content hash."""
+    """Requests blobs by content hash."""
 
     kind: Kind
     digests: tuple[Digest, ...]
 
 
 class BlobsSent(Struct, frozen=True, array_like=True, tag=7):
-    """Blobs that were asked for, as many as the sender has."""
+    """Requested blobs, as many as the sender has."""
 
     kind: Kind
     blobs: tuple[bytes, ...]
 
 
 class SuspicionsSent(Struct, frozen=True, array_like=True, tag=8):
-    """Requests under which servers have ended."""
+    """Suspected requests, which were running when servers ended."""
 
     suspicions: tuple[Suspicion, ...]
 
@@ -137,11 +137,12 @@
     """One message between two nodes.
 
     Attributes:
-        to: the instance meant; empty where only an address is known.
-        news: the sender's own news first, then some of others.
-        stamp: the sender's hybrid logical clock.
-        body: what it is about.
-        sent_ms: milliseconds on the sender's steady clock; 0 if not told.
+        to: receiving instance; empty if only its address is known.
+        news: membership news: the sender's own first, then some of others.
+        stamp: hybrid logical clock of the sender.
+        body: content of the message.
+        sent_ms: time of sending, milliseconds on the sender's steady clock; 0
+            if unknown.
     """
 
     to: InstanceId
@@ -152,7 +153,7 @@
 
     @property
     def sender(self) -> InstanceId:
-        """The instance that sent it."""
+        """Instance that sent the message."""
         return self.news[0].instance
 
 
@@ -167,7 +168,7 @@
         envelope: the message.
 
     Returns:
-        MessagePack, compressed where that is worth it.
+        MessagePack, compressed if that makes it smaller.
     """
     frame = _encoder.encode(envelope)
     if len(frame) < MIN_COMPRESSED_BYTES:
@@ -180,10 +181,10 @@
     """Decode a message.
 
     Args:
-        frame: what a socket gave.
+        frame: received frame.
 
     Returns:
-        The message, or a fault if it is none of ours.
+        The message, or a fault if it cannot be decoded.
     """
     try:
         envelope = _decoder.decode(_decompress(frame))
@@ -195,9 +196,9 @@
 
 
 def _decompress(frame: bytes) -> bytes:
-    # An envelope is an array of four: its first byte is never that of a
-    # zlib stream. What a frame may grow to is bounded, so that a small one
-    # cannot fill the memory.
+    # An envelope is an array of four or five, whose first byte is never that of
+    # a zlib stream. The decompressed size is bounded so that a small frame
+    # cannot exhaust the memory.
     if not frame.startswith(ZLIB_FIRST_BYTE):
         return frame
     return zlib.decompressobj().decompress(frame, MAX_MESSAGE_BYTES)
@@ -208,5 +209,5 @@
         code=Code.message_malformed,
         where='message from a node',
         got=got,
-        expected='an envelope',
+        expected='an envelope encoded as MessagePack',
     )
