--- a/properties/test_distribution.py
+++ b/properties/test_distribution.py
@@ -1,4 +1,4 @@
-"""State machine: three to six nodes' decisions through one fake network."""
+"""State machine test of three to six nodes on a fake network."""
 
 from __future__ import annotations
 
@@ -38,27 +38,30 @@
 SERVICES = ('casefiles', 'intake', 'reports')
 PAUSE_SECONDS = 30.0
 FIRST = Version(1)
-DEADLY = Fingerprint(b'deadly query')
-# Digests go from node to node once a second.
-ROUNDS_TO_AGREE = 10
+HARMFUL = Fingerprint(b'deadly query')
+# Neighbours swap digests once a second.
+AGREEMENT_ROUNDS = 10
 
 
 class DistributionMachine(RuleBasedStateMachine):
-    """Loses, doubles, reorders, cuts, pauses, kills, lies."""
+    """Injects lost, repeated and reordered messages, and failures of nodes.
+
+    The platform may also be down or publish invalid and older versions.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.network = FakeNetwork(NAMES[:3], data_centres=('derby',))
         self.version = 0
         self.era = 0
-        self.good = set[int]()
+        self.valid_versions = set[int]()
 
-    def has_staying(self, *, but: int) -> bool:
-        """Tell whether more nodes than some stay."""
+    def has_active_nodes_beyond(self, *, count: int) -> bool:
+        """Tell whether more than ``count`` nodes are not leaving."""
         states = (
             node.state.members.state for node in self.network.nodes.values()
         )
-        return sum(state is not NodeState.leaving for state in states) > but
+        return sum(state is not NodeState.leaving for state in states) > count
 
     @initialize(
         count=st.integers(3, len(NAMES)),
@@ -75,7 +78,7 @@
     @rule(services=st.integers(1, 3), within_ms=st.integers(100, 103))
     def publish(self, services: int, within_ms: int) -> None:
         self.version += 1
-        self.good.add(self.version)
+        self.valid_versions.add(self.version)
         self.network.source.show(
             build_configuration(
                 self.version,
@@ -92,7 +95,7 @@
 
     @rule()
     def publish_again_under_same_number(self) -> None:
-        # Nodes may take either content; none may move between the two.
+        # Nodes may apply either content, but none may switch between the two.
         part = build_part('casefiles', within_ms=999)
         self._show(self.version, part)
 
@@ -103,7 +106,7 @@
 
     @rule(revision=st.integers(1, 9), listed=st.integers(1, len(NAMES)))
     def come_back(self, revision: int, listed: int) -> None:
-        """Let the platform come back from an older copy."""
+        """Let the platform come back from an older copy of its list."""
         self.era += 1
         self._list(revision, listed)
 
@@ -113,18 +116,18 @@
 
     @rule(choice=st.integers(0, 5))
     def end_server(self, choice: int) -> None:
-        """Let a server end under the one request that does that."""
+        """Let a server end while it runs the harmful request."""
         name = self._pick(choice)
-        known = self._find_suspects(name).records.get(DEADLY, NOTHING_KNOWN)
-        suspicion = Suspicion(DEADLY, known.clearings, known.ends + 1)
+        known = self._find_suspects(name).records.get(HARMFUL, NOTHING_KNOWN)
+        suspicion = Suspicion(HARMFUL, known.clearings, known.ends + 1)
         self.network.tell(name, EndsNoted((suspicion,)))
 
     @rule(choice=st.integers(0, 5))
     def answer(self, choice: int) -> None:
-        """Let a server answer the request after all."""
+        """Let a server answer the harmful request."""
         name = self._pick(choice)
-        if self._find_suspects(name).get_snapshot().find(DEADLY).ends:
-            self.network.tell(name, RequestAnswered(DEADLY))
+        if self._find_suspects(name).get_snapshot().find(HARMFUL).ends:
+            self.network.tell(name, RequestAnswered(HARMFUL))
 
     @rule(down=st.booleans())
     def toggle_source(self, down: bool) -> None:
@@ -171,10 +174,10 @@
         self.network.now += PAUSE_SECONDS
         self.network.wake(self._pick(choice), late_by=PAUSE_SECONDS)
 
-    @precondition(lambda self: self.has_staying(but=1))
+    @precondition(lambda self: self.has_active_nodes_beyond(count=1))
     @rule(choice=st.integers(0, 5))
     def leave(self, choice: int) -> None:
-        """Let a node leave; where none stays nobody reads the platform."""
+        """Let a node leave unless it is the last, which has to read."""
         self.network.tell(self._pick(choice), Leave())
 
     @rule()
@@ -194,7 +197,7 @@
             assert check_parts(held.blobs).is_ok()
 
     def teardown(self) -> None:
-        """With the faults over, a new version reaches every node."""
+        """Check that every node gets a new version after all failures end."""
         self.network.heal()
         self.network.source.down = False
         for instance in self.network.nodes:
@@ -203,16 +206,16 @@
         self.publish(services=2, within_ms=150)
         self.network.settle(rounds=90)
         assert self.network.is_converged()
-        rounds_left = ROUNDS_TO_AGREE
+        rounds_left = AGREEMENT_ROUNDS
         while rounds_left:
             self.network.pass_round()
             rounds_left -= 1
-        # What is held against the request, where it is grave.
-        sums = {
+        # All nodes agree on the restricted requests.
+        checksums = {
             self._find_suspects(name).compute_checksum()
             for name in self.network.nodes
         }
-        assert len(sums) == 1
+        assert len(checksums) == 1
 
     def _find_suspects(self, name: InstanceId) -> SuspectTable:
         state = self.network.nodes[name].state
--- a/wagtaildale/distribution/tests/networks.py
+++ b/wagtaildale/distribution/tests/networks.py
@@ -1,4 +1,4 @@
-"""Builders of small fleets for the tests of distribution."""
+"""Builders of small fleets for tests of distribution."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from wagtaildale.document.model import Document
 
 NAMES = tuple('abcdefgh')
-LOOK_SECONDS = 0.2
+ROUND_SECONDS = 0.2
 
 
 def build_network(
@@ -22,7 +22,7 @@
     data_centres: tuple[str, ...] = ('derby',),
     tuning: Tuning | None = None,
 ) -> FakeNetwork:
-    """Build a fleet that holds version 1."""
+    """Build a fleet whose nodes hold version 1 of the configuration."""
     network = FakeNetwork(
         NAMES[:count],
         data_centres=data_centres,
@@ -35,18 +35,18 @@
 
 
 def assert_held(network: FakeNetwork, version: int) -> None:
-    """Assert that every node holds a version."""
+    """Assert that every node holds a version of the configuration."""
     held = {name: read_version(node) for name, node in network.nodes.items()}
     assert set(held.values()) == {version}, held
 
 
 def read_version(node: FakeNode) -> int:
-    """Read which configuration a node holds."""
+    """Return the version of the configuration that a node holds."""
     return node.state.stores[Kind.configuration].held.version
 
 
 def offer(network: FakeNetwork, document: Document) -> None:
-    """Show a document to every node at once, and let it spread."""
+    """Let every node read a document at the same time, and let it spread."""
     network.source.show(document)
     for instance in network.nodes:
         network.read_source(instance)
--- a/wagtaildale/distribution/tests/test_appointments.py
+++ b/wagtaildale/distribution/tests/test_appointments.py
@@ -1,11 +1,11 @@
-"""Tests of who watches the platform."""
+"""Tests of which nodes watch the platform."""
 
 from __future__ import annotations
 
 import pytest
 
 from wagtaildale.distribution.tests.networks import (
-    LOOK_SECONDS,
+    ROUND_SECONDS,
     build_network,
     read_version,
 )
@@ -20,11 +20,11 @@
 A = InstanceId('a')
 
 
-def test_all_readers_killed_at_once() -> None:
-    """A change is published and nobody reads it.
+def test_spare_readers_replace_readers_that_die_at_once() -> None:
+    """A change is never read if all readers die when it is published.
 
-    Every reader dies at the moment of the change; the next ranks appoint
-    themselves when the news has grown stale, and step down again.
+    The next ranks appoint themselves when the last confirmation is stale, and
+    step down after the readers have restarted.
     """
     network = build_network(8, tuning=Tuning(readers=2, spare_readers=4))
     readers = find_topology(network.nodes[A].state.members).readers[:2]
@@ -57,39 +57,39 @@
 
 @pytest.mark.parametrize('fast', ['a', 'b', 'c', 'd'])
 def test_node_on_a_slow_line_leaves_reading_to_others(fast: str) -> None:
-    """Calls through a node wait for seconds while it reads the platform.
+    """Calls wait for seconds behind reads on a line of 3.5 Mbit/s.
 
-    Its line carries 3.5 Mbit/s and each version of 1,500 routes is 400 KB
-    there. Another node of the data centre has twenty times that, and is the
-    only reader soon after the start, whatever its rank.
+    Each version of 1,500 routes is 400 KB there. The node whose line has
+    twenty times that bandwidth becomes the only reader of the data centre soon
+    after the start, whatever its rank.
     """
     network = build_slow_network(InstanceId(fast))
-    for _look in range(30):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(30):
+        network.pass_round(seconds=ROUND_SECONDS)
     assert list_readers(network) == [fast]
 
 
-def test_slow_lines_read_when_the_fast_one_is_gone() -> None:
-    """The one node on a fast line dies, and changes stay unread."""
+def test_nodes_on_slow_lines_read_after_the_fast_one_dies() -> None:
+    """Changes are never read after the only node on a fast line dies."""
     network = build_slow_network(A)
-    for _look in range(30):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(30):
+        network.pass_round(seconds=ROUND_SECONDS)
     network.nodes[A].running = False
     network.source.show(build_configuration(2))
-    for _look in range(10):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(10):
+        network.pass_round(seconds=ROUND_SECONDS)
     assert {
         read_version(network.nodes[InstanceId(name)]) for name in 'bcd'
     } == {2}
 
 
-def test_reader_does_not_step_down_for_its_own_word() -> None:
-    """Nobody reads the platform for seconds, and a stopped server is called.
+def test_reader_does_not_step_down_for_its_own_confirmation() -> None:
+    """No node reads for seconds, and a stopped server is called.
 
-    A node starts again whose rank is better than the reader's, so that the
-    reader's own rank is one worse than it was. Peers still tell of what the
-    reader confirmed under the rank it had before. It takes that for the word
-    of a better reader and steps down, though it is the only one.
+    A node with a better rank than the reader restarts, so that the rank of the
+    reader becomes worse by one. Peers still report what the reader confirmed
+    under its previous rank. It takes that for a better reader's confirmation
+    and steps down, although it is the only reader.
     """
     best, _slow, fast, _other = rank_instances(
         'reader',
@@ -100,10 +100,10 @@
     network.nodes[best].running = False
     listed = [each for each in network.records if each.instance != best]
     network.source.show(build_instances(*listed, version=2))
-    for _look in range(30):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(30):
+        network.pass_round(seconds=ROUND_SECONDS)
     assert list_readers(network) == [fast]
     network.source.show(build_instances(*network.records, version=3))
-    for _look in range(5):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(5):
+        network.pass_round(seconds=ROUND_SECONDS)
         assert fast in list_readers(network)
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of distribution's decisions while nodes and lines fail."""
+"""Tests of the decisions of distribution while nodes and lines fail."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 def test_partition_of_an_hour_heals() -> None:
-    """After a partition one side routes by the old version for ever.
+    """After a partition one side keeps routing by the old version.
 
-    A data centre is cut off for an hour with no platform on its side; each
-    side takes the other for dead and would never ask it again. Once the cut
-    is mended the cut-off side hears the news from the others.
+    A data centre is cut off for an hour without a platform. Each side
+    considers the other dead and would never contact it again. After the
+    partition the cut-off side receives the new version from the other.
     """
     network = build_network(6, data_centres=('derby', 'coventry'))
     sides = find_sides(network)
@@ -58,10 +58,10 @@
 
 
 def test_paused_node_wakes_during_a_change() -> None:
-    """A frozen process wakes and acts on an old view of the world.
+    """A process that was paused for 30 seconds acts on an outdated view.
 
-    It slept 30 seconds while a version was published; on waking it sends
-    nothing of before, blames nobody, and is brought up to date.
+    A version was published during the pause. On waking, the node drops its
+    pending pushes, suspects no peer, and receives the new version.
     """
     network = build_network()
     network.nodes[B].paused = True
@@ -73,14 +73,14 @@
     network.settle()
     assert_held(network, 2)
     away = network.nodes[B].state.members.list_away()
-    assert not away, 'it blames the others for its own sleep'
+    assert not away, 'the node suspects peers for its own pause'
 
 
-def test_push_goes_past_a_dead_inner_node() -> None:
-    """A branch of the push tree stays behind.
+def test_push_bypasses_a_dead_inner_node() -> None:
+    """A branch of the push tree keeps the old version.
 
-    An inner node is dead and nobody knows it yet; its parent sends to the
-    dead node's children when the push is not seen.
+    An inner node has died undetected. Its parent pushes to the dead node's
+    children if the push is not acknowledged.
     """
     network = build_network(8, tuning=Tuning(fan_out=1, readers=1))
     order = find_topology(network.nodes[A].state.members).tree
@@ -102,7 +102,7 @@
     assert set(held.values()) == {2}, held
 
 
-def test_dead_node_is_found_and_returns() -> None:
+def test_dead_node_is_detected_and_returns() -> None:
     network = build_network()
     network.nodes[B].running = False
     for _second in range(20):
@@ -115,9 +115,9 @@
 
 
 def test_false_suspicion_is_refuted() -> None:
-    """A slow node is taken for dead and gets no more work.
+    """A paused node is considered dead and receives no more work.
 
-    It was paused, not dead; when it hears what is said it refutes it.
+    When it learns of the suspicion it refutes it.
     """
     network = build_network()
     network.nodes[B].paused = True
@@ -131,7 +131,7 @@
         assert not node.state.members.list_away()
 
 
-def test_leaving_is_known_at_once() -> None:
+def test_leaving_node_is_known_to_all_immediately() -> None:
     network = build_network(8)
     network.tell(B, messages.Leave())
     network.flush()
@@ -140,14 +140,14 @@
             assert B in node.state.members.list_away(), name
 
 
-def test_list_drops_an_instance() -> None:
+def test_instance_removed_from_the_list_is_dropped() -> None:
     network = build_network(3)
     network.source.show(build_instances(*network.records[:2], version=2))
     network.settle()
     assert InstanceId('c') not in network.nodes[A].state.members.records
 
 
-def test_swap_is_answered_once() -> None:
+def test_reply_to_a_swap_gets_no_reply() -> None:
     network = build_network(2)
     body = network.nodes[B].state.make_swap(network.now, is_reply=True)
     network.flying.clear()
@@ -155,11 +155,11 @@
     assert not network.flying
 
 
-def test_version_that_was_pulled_goes_to_the_root() -> None:
-    """After a cut is mended a data centre catches up node by node.
+def test_pulled_version_is_pushed_to_the_root() -> None:
+    """After a partition, the nodes of a data centre catch up one by one.
 
-    Whoever is first to pull the version tells the root of its tree, which
-    tells all.
+    The first node that pulls the version pushes it to the root of its tree,
+    from which it reaches all nodes.
     """
     network = build_network(8, tuning=Tuning(fan_out=2))
     tree = find_topology(network.nodes[A].state.members).tree
@@ -177,10 +177,9 @@
 
 
 def test_reader_dies_between_reading_and_pushing() -> None:
-    """A change is read by one node, which dies with it.
+    """A change is lost if the node that read it dies before it pushes.
 
-    The readers of the data centre read the same change at the same time;
-    the death of one loses nothing.
+    The other readers of the data centre read the same change.
     """
     network = build_network(6)
     readers = find_topology(network.nodes[A].state.members).readers
@@ -193,7 +192,7 @@
 
 
 def test_partition_with_a_platform_on_each_side() -> None:
-    """Both sides of a cut go on taking changes, and agree after it."""
+    """Both sides of a partition apply changes, and agree after it."""
     network = build_network(6, data_centres=('derby', 'coventry'))
     sides = find_sides(network)
     for one in sides[0]:
--- a/wagtaildale/distribution/tests/test_delays.py
+++ b/wagtaildale/distribution/tests/test_delays.py
@@ -1,4 +1,4 @@
-"""Tests of messages that were held up on their way."""
+"""Tests of messages that were delayed between nodes."""
 
 from __future__ import annotations
 
@@ -14,17 +14,16 @@
 PROCESS = (A, Incarnation(1))
 APPLY_SECONDS = 2.0
 ROUNDS = 3
-HELD_SECONDS = 6.0
-FAST = 0.002
+DELAY_SECONDS = 6.0
+FAST_SECONDS = 0.002
 
 
-def test_news_that_was_held_up_is_as_old_as_it_is() -> None:
-    """A node that was cut off goes by an old list for seconds more.
+def test_delayed_confirmation_does_not_count_as_new() -> None:
+    """A node that was cut off uses an old list for some more seconds.
 
-    While it is cut off, the reader of its data centre goes on saying "the
-    platform has just confirmed this". When the cut is mended all of it
-    comes at once, and the node takes the platform's word for new though it
-    is seconds old, and reads nothing itself.
+    While it is cut off, the reader of its data centre goes on sending
+    confirmations. After the cut they all arrive at once. If the node takes
+    them as new although they are seconds old, it does not read by itself.
     """
     network = FakeNetwork(
         ('a', 'b'),
@@ -39,27 +38,30 @@
     network.read_source(reader)
     sent_at = network.now
     assert any(each.to == other for each in network.flying)
-    network.now += HELD_SECONDS
+    network.now += DELAY_SECONDS
     network.flush()
     fresh = network.nodes[other].state.freshness[Kind.configuration]
     assert fresh.confirmed_at <= sent_at
 
 
 @pytest.mark.parametrize('offset', [-5000, 0, 5000])
-def test_clocks_need_no_common_zero(offset: float) -> None:
+def test_steady_clocks_of_nodes_may_differ(offset: float) -> None:
     delays = Delays()
     for second in range(5):
         sent = float(second)
-        delay = delays.measure(PROCESS, sent=sent + offset, now=sent + FAST)
-        assert delay == pytest.approx(0, abs=FAST)
+        delay = delays.measure(
+            PROCESS, sent=sent + offset, now=sent + FAST_SECONDS
+        )
+        assert delay == pytest.approx(0, abs=FAST_SECONDS)
     late = delays.measure(PROCESS, sent=5 + offset, now=5 + 3.0)
-    assert late == pytest.approx(3.0, abs=2 * FAST)
+    assert late == pytest.approx(3.0, abs=2 * FAST_SECONDS)
 
 
-def test_suspended_sender_is_late_for_some_seconds_only() -> None:
-    """A machine is suspended, and its steady clock stands still meanwhile.
+def test_suspended_sender_seems_delayed_only_for_the_window() -> None:
+    """The steady clock of a machine stops while the machine is suspended.
 
-    All it says then looks late by that; it would never count as fresh.
+    Its later messages all seem delayed by that time, so that its
+    confirmations would never count as new.
     """
     delays = Delays()
     delays.measure(PROCESS, sent=100.0, now=100.0)
@@ -72,7 +74,7 @@
     assert last[-1] == 0
 
 
-def test_restarted_sender_begins_anew() -> None:
+def test_restarted_sender_has_no_earlier_offset() -> None:
     delays = Delays()
     delays.measure(PROCESS, sent=100.0, now=100.0)
     again = (A, Incarnation(2))
@@ -80,11 +82,11 @@
     assert list(delays.senders) == [again]
 
 
-def test_slow_line_is_no_delay() -> None:
-    """Nodes on slow lines read the platform, and their lines grow slower.
+def test_queueing_on_a_slow_line_is_not_a_delay() -> None:
+    """Nodes on slow lines read the platform, which slows the lines further.
 
-    A message that waits behind a large one is some tenths of a second late;
-    that does not make the platform's word old.
+    A message that waits behind a large one is some tenths of a second late.
+    That must not make the confirmation in it stale.
     """
     delays = Delays()
     delays.measure(PROCESS, sent=100.0, now=100.0)
--- a/wagtaildale/distribution/tests/test_handover.py
+++ b/wagtaildale/distribution/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Tests of who watches the platform after a reader has stopped or died."""
+"""Tests of which nodes watch after a reader has stopped or died."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 
 NODES: Final = 32
 START_SECONDS: Final = 8.0
-STOP_EVERY: Final = 0.8
-LIST_EVERY: Final = 0.5
+STOP_INTERVAL_SECONDS: Final = 0.8
+LIST_INTERVAL_SECONDS: Final = 0.5
 SERIES_SECONDS: Final = 6.0
-# Nodes of ten whose lines are too slow to read on.
+# Nodes of ten whose lines are too slow for reads.
 SLOW_OF_TEN: Final = 9
 SOME_SLOW_OF_TEN: Final = 3
-# Two of each data centre are on fast lines.
+# Two nodes of each data centre are on fast lines.
 FAST_NUMBERS: Final = frozenset((0, 1, 2, 3))
 SLOW_NAMES: Final = tuple(
     f'n{number:02}' for number in range(NODES) if number not in FAST_NUMBERS
 )
-# Each of two readers tells two nodes of the other data centre, of which one
-# may tell the first of its push tree.
+# Each of two readers pushes to two nodes of the other data centre, one of which
+# may push to the root of its push tree.
 COPIES_ACROSS: Final = 2 * (ROOTS_TOLD + 1)
-# A planned stop is known beforehand; its reader is replaced at the next look.
+# A planned stop is announced, so the reader is replaced at the next review.
 HANDOVER_SECONDS: Final = 0.5
-# How much longer than its time a watch without an answer is waited for.
+# How long a reader waits for a watch after the time that the platform holds it.
 READ_SECONDS: Final = 0.5
 
 
 def build_fleet(seed: int, *, slow_of_ten: int = 0) -> WatchedFleet:
-    """Build a fleet that has run for a while."""
+    """Build a fleet that has run for ``START_SECONDS``."""
     random.seed(seed)
     lines = random.Random(seed)
     slow = tuple(
@@ -63,27 +63,28 @@
     """Stop the readers of both data centres one after the other.
 
     Returns:
-        The longest that a near node lacked a list, seconds.
+        The longest time that a node of the near data centre lacked a list,
+        seconds.
     """
     shown: dict[Version, float] = {}
     longest = float(0)
     for step in range(round(SERIES_SECONDS / STEP_SECONDS)):
-        if step % round(STOP_EVERY / STEP_SECONDS) == 0:
+        if step % round(STOP_INTERVAL_SECONDS / STEP_SECONDS) == 0:
             stop_readers(fleet)
-        if step % round(LIST_EVERY / STEP_SECONDS) == 0:
-            shown[fleet.list_leaving(fleet.near[-1])] = fleet.network.now
+        if step % round(LIST_INTERVAL_SECONDS / STEP_SECONDS) == 0:
+            shown[fleet.publish_leaving(fleet.near[-1])] = fleet.network.now
         fleet.pass_time(STEP_SECONDS)
         lags = [
             fleet.network.now - since
             for version, since in shown.items()
-            if fleet.list_behind(version)
+            if fleet.list_outdated(version)
         ]
         longest = max(longest, *lags, 0)
     return longest
 
 
 def stop_readers(fleet: WatchedFleet) -> None:
-    """Begin the planned stop of every node that watches the platform."""
+    """Begin the planned stop of all nodes that watch the platform."""
     for reader in fleet.watchers:
         fleet.leave(reader)
 
@@ -92,11 +93,11 @@
 def test_reader_that_stops_among_several_is_replaced_at_once(
     seed: int,
 ) -> None:
-    """A data centre waits for a reader that has long stepped down.
+    """A data centre waits for a reader that has already stepped down.
 
-    Several read for a moment after a stop; those that went on stopped as
-    well, and the last word that the others had was that of one which gave
-    way. Or all that are left ranked before the one that stopped.
+    Several nodes read for a moment after a stop. Those that continued stopped
+    as well, and the last confirmation at the others was from one that had
+    stepped down. Or all remaining nodes ranked before the one that stopped.
     """
     fleet = build_fleet(seed, slow_of_ten=SOME_SLOW_OF_TEN)
     assert stop_in_series(fleet) < 2 * HANDOVER_SECONDS
@@ -106,17 +107,17 @@
 def test_list_is_in_time_while_readers_stop_one_after_the_other(
     seed: int,
 ) -> None:
-    """A booking reaches a server 2.5 s after it has said that it leaves.
+    """A request reaches a server 2.5 s after it announced that it leaves.
 
-    Its owner has the list too late. Ten nodes had been stopped two seconds
-    before, the reader of the data centre among them, and none took its place
+    Its owner received the list too late. Ten nodes had stopped two seconds
+    before, the reader of the data centre among them, and no node replaced it
     while readers of other data centres confirmed in time:
 
         24.0 s  coventry-17  node-leaving
         26.4 s  coventry-17  reader-stepped-down rank 0
         28.9 s  coventry-16  reader-appointed rank 8
 
-    Lists came by digests alone, one a second from another data centre.
+    Lists arrived by digests alone, one a second from another data centre.
     """
     fleet = build_fleet(seed, slow_of_ten=SLOW_OF_TEN)
     assert stop_in_series(fleet) < DRAIN_SECONDS
@@ -124,23 +125,23 @@
 
 @pytest.mark.parametrize('slow_of_ten', [0, 5, SLOW_OF_TEN])
 def test_reader_that_stops_is_replaced_at_once(slow_of_ten: int) -> None:
-    """A data centre hears nothing of the list while its reader stops.
+    """A data centre receives no lists while its reader stops.
 
-    The reader steps down in that moment. All others still ranked it first
-    and waited until its last word was long overdue; one that took over gave
-    way again to what it had confirmed before.
+    The reader steps down at once. All others still ranked it first and waited
+    until its next confirmation was long overdue. A node that took over stepped
+    down again for what the reader had confirmed before.
     """
     fleet = build_fleet(1, slow_of_ten=slow_of_ten)
     for reader in fleet.list_near_watchers():
         fleet.leave(reader)
     fleet.pass_time(STEP_SECONDS)
-    version = fleet.list_leaving(fleet.near[-1])
+    version = fleet.publish_leaving(fleet.near[-1])
     assert fleet.measure_spread(version) < HANDOVER_SECONDS
 
 
 @pytest.mark.parametrize('slow_of_ten', [0, SOME_SLOW_OF_TEN, 5])
 def test_reader_that_stops_has_a_successor(slow_of_ten: int) -> None:
-    """A data centre hangs on readers of others while its own one stops."""
+    """A data centre depends on readers of others after its own one stops."""
     fleet = build_fleet(1, slow_of_ten=slow_of_ten)
     before = fleet.list_near_watchers()
     for reader in before:
@@ -151,9 +152,9 @@
 
 @pytest.mark.parametrize('slow_of_ten', [0, 5, SLOW_OF_TEN])
 def test_reader_that_dies_is_replaced_in_time(slow_of_ten: int) -> None:
-    """A data centre has no reader for good after its own has died.
+    """A data centre never has a reader again after its own has died.
 
-    Word from readers of other data centres passed for that of its own.
+    Confirmations by readers of other data centres counted as its own.
     """
     fleet = build_fleet(2, slow_of_ten=slow_of_ten)
     for reader in fleet.list_near_watchers():
@@ -166,33 +167,34 @@
 def test_each_data_centre_has_one_reader(seed: int) -> None:
     """A data centre whose best-ranked nodes have slow lines has no reader.
 
-    Nobody is first there, and those behind them heard from other data
-    centres in time. Its lists were 1.36 s late at every node:
+    No node was a regular reader there, and the spare ones received timely
+    confirmations from other data centres. Lists were 1.36 s late at every
+    node:
 
         instances-applied origin=10.1.0.38 reader=10.2.0.8 confirmed_ms_ago=1805
     """
     fleet = build_fleet(seed, slow_of_ten=SLOW_OF_TEN)
-    for _look in range(20):
-        fleet.pass_time(LIST_EVERY)
+    for _round in range(20):
+        fleet.pass_time(LIST_INTERVAL_SECONDS)
         assert len(fleet.list_near_watchers()) == 1
 
 
-def test_change_that_stays_alone_calls_no_further_reader() -> None:
-    """Six nodes read the platform after each change beside their reader."""
+def test_single_change_appoints_no_further_reader() -> None:
+    """Six nodes besides the reader read the platform after each change."""
     fleet = build_fleet(1)
     reader = fleet.list_near_watchers()
-    fleet.list_leaving(fleet.near[-1])
-    for _look in range(12):
-        fleet.pass_time(LIST_EVERY / 2)
+    fleet.publish_leaving(fleet.near[-1])
+    for _round in range(12):
+        fleet.pass_time(LIST_INTERVAL_SECONDS / 2)
         assert fleet.list_near_watchers() == reader
 
 
 def test_fleet_that_starts_unlisted_reads_with_a_few_nodes() -> None:
-    """A whole fleet starts, and sixty nodes read the platform at once.
+    """Sixty nodes read the platform at once when a whole fleet starts.
 
-    Instances are listed one after the other. Nodes that are not, and those
-    that hear of readers whose instances are not, took themselves for the
-    only ones of their data centre.
+    Instances are listed one after the other. Nodes whose instances are not
+    listed, and those that only know of readers which are not listed, behaved
+    as the only nodes of their data centre.
     """
     fleet = WatchedFleet(NODES, slow=SLOW_NAMES)
     records = fleet.network.records
@@ -201,30 +203,31 @@
     for count in range(NODES):
         listing = build_instances(*records[:count], version=count + 1)
         fleet.network.source.show(listing)
-        fleet.pass_time(LIST_EVERY)
+        fleet.pass_time(LIST_INTERVAL_SECONDS)
         most = max(most, len(fleet.watchers))
     assert most <= 2 * len(FAST_NUMBERS)
 
 
-def test_change_goes_to_each_node_once() -> None:
+def test_change_is_pushed_to_each_node_once() -> None:
     """Calls on slow lines wait behind copies of each new version.
 
-    A reader pushed a change into the tree and in the same moment told its
-    whole data centre of it. Each node then asked the reader for what was on
-    its way to it, and pushed it to root and children once more.
+    A reader pushed a change into the tree and at the same time sent its
+    confirmation to the whole data centre. Each node then requested from the
+    reader the version that was already on its way, and pushed it to the root
+    and its children once more.
     """
     fleet = build_fleet(1)
     before = fleet.network.sent[Push]
-    fleet.list_leaving(fleet.near[-1])
-    fleet.pass_time(LIST_EVERY)
+    fleet.publish_leaving(fleet.near[-1])
+    fleet.pass_time(LIST_INTERVAL_SECONDS)
     assert fleet.network.sent[Push] - before <= NODES + COPIES_ACROSS
 
 
-def test_suspected_node_is_told_of_lists() -> None:
-    """A node that works is 4 s behind with the list, and its server is called.
+def test_suspected_node_receives_lists() -> None:
+    """A running node has an outdated list for 4 s, and its server is called.
 
-    It answered too late while its machine was slow, and its data centre
-    suspects it. Nobody sends a suspect anything, so that it cannot refute:
+    It replied too late while its machine was slow, and its data centre
+    suspects it. Suspects were sent nothing, so it could not refute that:
 
         21.07 s  leicester-a-7   peer-suspected 10.1.0.32
         24.97 s  leicester-a-4   instances-applied version=165
@@ -234,18 +237,20 @@
     reader = fleet.list_near_watchers()
     for name in fleet.near:
         if name not in reader:
-            # The reader waits for nothing further, and no digest is near.
-            fleet.pass_time(LIST_EVERY)
+            # By now the reader is done with the last change, so that it reads
+            # the next one immediately. No digest is due soon.
+            fleet.pass_time(LIST_INTERVAL_SECONDS)
             suspect_node(fleet.network, name)
-            version = fleet.list_leaving(fleet.near[-1])
+            version = fleet.publish_leaving(fleet.near[-1])
             assert fleet.measure_spread(version) < HANDOVER_SECONDS
 
 
-def test_slow_lines_do_not_all_read_when_the_fast_ones_stop() -> None:
-    """Calls wait for a second behind reads of everything, on sixteen lines.
+def test_not_all_slow_nodes_read_when_the_fast_ones_stop() -> None:
+    """Calls on sixteen lines wait for a second behind full reads.
 
-    The last fast line of a data centre stops, and every node on a slow one
-    reads the platform at once. Each breaks off, half read, after 0.5 s:
+    The last node on a fast line of a data centre stops, and every node on a
+    slow line reads the platform at once. Each read times out halfway, after
+    0.5 s:
 
         19.45 s  leicester-a-2   reader-stepped-down
         19.65 s  leicester-a-17  reader-appointed rank 18
@@ -258,37 +263,37 @@
         name = InstanceId(f'n{number:02}')
         if name in fleet.near:
             fleet.leave(name)
-    for _look in range(round(START_SECONDS / LIST_EVERY)):
-        version = fleet.list_leaving(fleet.near[-1])
+    for _round in range(round(START_SECONDS / LIST_INTERVAL_SECONDS)):
+        version = fleet.publish_leaving(fleet.near[-1])
         assert fleet.measure_spread(version) < 2 * HANDOVER_SECONDS
         assert len(fleet.list_near_watchers()) <= 2
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_list_comes_from_elsewhere_while_a_watch_hears_nothing(
+def test_list_comes_from_other_readers_while_a_watch_is_stuck(
     seed: int,
 ) -> None:
-    """A server is called seconds after it has said that it leaves.
+    """A server is called seconds after it announced that it leaves.
 
-    The watch of its data centre's reader stands and hears nothing.
+    The watch of its data centre's reader stays open without any result.
     """
     fleet = build_fleet(seed)
     for reader in fleet.list_near_watchers():
-        fleet.deaf[reader] = inf
-    version = fleet.list_leaving(fleet.near[-1])
+        fleet.stuck_until[reader] = inf
+    version = fleet.publish_leaving(fleet.near[-1])
     assert fleet.measure_spread(version) < HANDOVER_SECONDS
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_list_is_in_time_when_no_watch_hears_of_it(seed: int) -> None:
-    """A server is called too long after it has said that it leaves.
+def test_list_is_in_time_when_all_watches_are_stuck(seed: int) -> None:
+    """A server is called too long after it announced that it leaves.
 
-    All watches that stand hear nothing; each is given up after its time.
+    All open watches stay without any result, and each one times out.
     """
     fleet = build_fleet(seed)
     tuning = make_tuning(apply_seconds=DRAIN_SECONDS)
     silent = tuning.watch_seconds + READ_SECONDS + tuning.backoff_seconds
     for reader in fleet.watchers:
-        fleet.deaf[reader] = fleet.network.now + silent
-    version = fleet.list_leaving(fleet.near[-1])
+        fleet.stuck_until[reader] = fleet.network.now + silent
+    version = fleet.publish_leaving(fleet.near[-1])
     assert fleet.measure_spread(version) < DRAIN_SECONDS
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -1,4 +1,4 @@
-"""Tests of how a new node becomes ready."""
+"""Tests of how a joining node becomes ready."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from wagtaildale.distribution import messages
 from wagtaildale.distribution.task import find_wait
 from wagtaildale.distribution.tests.networks import (
-    LOOK_SECONDS,
+    ROUND_SECONDS,
     NAMES,
     assert_held,
     build_network,
@@ -21,13 +21,13 @@
 from wagtaildale.types import InstanceId, Kind, NodeState
 
 B = InstanceId('b')
-LOOKS_TO_JOIN = 5
+ROUNDS_TO_JOIN = 5
 
 
 def test_source_down_does_not_keep_a_node_from_joining() -> None:
-    """A replaced instance serves nobody while the platform is down.
+    """A restarted node serves no calls while the platform is down.
 
-    Its peers hold the version; it takes it from them and is ready.
+    It gets the version from its peers and becomes ready.
     """
     network = build_network()
     network.source.down = True
@@ -38,10 +38,10 @@
 
 
 def test_stale_source_does_not_make_a_node_ready() -> None:
-    """A new node settles for yesterday's routes.
+    """A new node becomes ready with outdated routes.
 
-    The platform shows an old version; the node asks its peers as well and
-    is ready with theirs.
+    The platform has an old version. The node also asks its peers and becomes
+    ready with theirs.
     """
     network = build_network()
     offer(network, build_configuration(4))
@@ -53,8 +53,8 @@
     assert network.nodes[B].state.members.state is NodeState.ready
 
 
-def test_half_of_the_fleet_restarts() -> None:
-    """Half of all nodes are killed and come back in a storm of reads."""
+def test_restart_of_half_the_fleet_causes_few_reads() -> None:
+    """Half of all nodes restart at once and all read from the platform."""
     network = build_network(8)
     before = network.source.reads['blobs']
     for name in NAMES[::2]:
@@ -64,32 +64,31 @@
     assert network.source.reads['blobs'] - before <= 3
 
 
-def test_restarted_node_asks_seeds_while_the_store_is_down() -> None:
-    """A node beside a backend server is killed while the store is down.
+def test_restarted_node_joins_by_seeds_while_the_platform_is_down() -> None:
+    """A node restarts without any documents while the platform is down.
 
-    It comes back with nothing, and on a platform whose reads are priced it
-    would ask the store alone. A seed that lives holds both documents.
+    On a platform whose reads are paid for, it must not depend on the platform
+    alone: a running seed holds both documents.
     """
     network = build_network(tuning=make_tuning(apply_seconds=2.0))
     network.source.down = True
     network.restart(B)
-    for _look in range(LOOKS_TO_JOIN):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(ROUNDS_TO_JOIN):
+        network.pass_round(seconds=ROUND_SECONDS)
     assert read_version(network.nodes[B]) == 1
     assert network.nodes[B].state.members.state is NodeState.ready
 
 
 def test_fleet_that_starts_at_once_does_not_wait_for_empty_seeds() -> None:
-    """The whole fleet is killed at one moment and comes back together.
+    """The whole fleet restarts at once, and its seeds hold no documents.
 
-    Its seeds hold nothing either. Each node turns to the store by itself
-    and takes callers as soon as the store has answered.
+    Each node reads from the platform and becomes ready with its answer.
     """
     network = build_network(tuning=make_tuning(apply_seconds=2.0))
     for name in tuple(network.nodes):
         network.restart(name)
-    for _look in range(LOOKS_TO_JOIN):
-        network.pass_round(seconds=LOOK_SECONDS)
+    for _round in range(ROUNDS_TO_JOIN):
+        network.pass_round(seconds=ROUND_SECONDS)
     states = {node.state.members.state for node in network.nodes.values()}
     assert states == {NodeState.ready}
 
@@ -98,27 +97,27 @@
 def test_fleet_that_starts_at_once_is_ready_in_a_quarter_second(
     seed: int,
 ) -> None:
-    """After a loss of power every caller is refused for over half a second.
+    """After a power loss, callers are refused for over half a second.
 
-    All processes are up, but each looks after joining at the slow pace at
-    which readers are looked after, and asks empty seeds first. Now it looks
-    every 50 ms, and turns to the store after 0.1 s. Where all first reads
-    happen to be late, whom the list makes a reader reads on at once, and not
-    with the next look.
+    All processes run, but each checked its progress only at the interval of
+    the reader review, and asked seeds that hold nothing first. A joining node
+    has to check every 50 ms and to read from the platform after 0.1 s. If all
+    first reads happen to be late, a node that the list makes a reader reads
+    immediately instead of at its next check.
     """
     random.seed(seed)
     network = build_network(tuning=make_tuning(apply_seconds=2.0))
     for name in tuple(network.nodes):
         network.restart(name)
     network.pass_round(seconds=0)
-    for _look in range(5):
+    for _round in range(5):
         network.pass_round(seconds=0.05)
     states = {node.state.members.state for node in network.nodes.values()}
     assert states == {NodeState.ready}
 
 
-def test_joining_node_wakes_by_itself() -> None:
-    """A node that is up sends its first question at the next slow tick."""
+def test_joining_node_does_not_wait_for_a_timer() -> None:
+    """A new node sends its first message only at the next slow timer tick."""
     network = build_network(tuning=make_tuning(apply_seconds=2.0))
     network.restart(B)
     state = network.nodes[B].state
@@ -127,23 +126,23 @@
     assert find_wait(state, now=network.now) <= 0.05
 
 
-def test_fleet_that_starts_in_an_outage_does_not_storm_the_platform() -> None:
-    """All machines lose power while the platform is down as well.
+def test_fleet_that_starts_in_an_outage_does_not_flood_the_platform() -> None:
+    """All machines restart after a power loss while the platform is down.
 
-    For ten seconds every node asked it again as fast as it looked, ten times
-    a second and more, and each of these calls is paid for.
+    For ten seconds every node read at each of its checks, ten times a second
+    or more, and each of these reads is paid for.
     """
     network = build_network(tuning=make_tuning(apply_seconds=2.0))
     network.source.down = True
     for name in tuple(network.nodes):
         network.restart(name)
     before = network.source.reads[Kind.configuration.name]
-    for _look in range(200):
+    for _round in range(200):
         network.pass_round(seconds=0.05)
     asked = network.source.reads[Kind.configuration.name] - before
     assert asked <= 35 * len(network.nodes)
     network.source.down = False
-    for _look in range(20):
+    for _round in range(20):
         network.pass_round(seconds=0.05)
     states = {node.state.members.state for node in network.nodes.values()}
     assert states == {NodeState.ready}
--- a/wagtaildale/distribution/tests/test_lapses.py
+++ b/wagtaildale/distribution/tests/test_lapses.py
@@ -1,4 +1,4 @@
-"""Tests of instances that the platform forgets while it is away."""
+"""Tests of instances whose list entries lapse during a platform outage."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 NAMES = tuple(InstanceId(name) for name in 'abcd')
 A = NAMES[0]
 D = NAMES[-1]
-AWAY_SECONDS = 8
+OUTAGE_SECONDS = 8
 SERVICE = ServiceName('casefiles')
 
 
@@ -36,11 +36,11 @@
     *gone: InstanceId,
     version: int = 2,
 ) -> Document:
-    left = [each for each in network.records if each.instance not in gone]
-    return build_instances(*left, version=version)
+    remaining = [each for each in network.records if each.instance not in gone]
+    return build_instances(*remaining, version=version)
 
 
-def stay_away(network: FakeNetwork, *, seconds: int) -> None:
+def simulate_outage(network: FakeNetwork, *, seconds: int) -> None:
     network.source.down = True
     for _second in range(seconds):
         network.pass_round()
@@ -51,15 +51,15 @@
     return set(network.nodes[name].state.members.records)
 
 
-def test_entries_that_lapsed_while_the_platform_was_away() -> None:
+def test_instances_whose_entries_lapsed_stay_in_use() -> None:
     """Every request to a service is refused for two seconds.
 
-    The platform is away for some seconds and the entries of live instances
-    lapse. Its first list after that lacks them, and they are listed again
-    within about two seconds. Until then they stay in use at every node.
+    Entries of live instances lapse during a platform outage of some seconds.
+    The first list afterwards lacks them, and they are listed again within about
+    two seconds. Until then they have to stay in use at every node.
     """
     network = build_network()
-    stay_away(network, seconds=AWAY_SECONDS)
+    simulate_outage(network, seconds=OUTAGE_SECONDS)
     network.source.show(list_without(network, *NAMES[1:]))
     network.settle()
     for name in network.nodes:
@@ -70,14 +70,14 @@
     assert list_known(network, A) == set(NAMES)
 
 
-def test_instance_that_stays_missing_is_gone() -> None:
-    """Requests go to an instance that crashed while the platform was away.
+def test_instance_that_stays_unlisted_is_released() -> None:
+    """Requests go to an instance that crashed during a platform outage.
 
-    It is not listed again within two seconds of the platform's return, so
-    it is then let go.
+    It is not listed again within two seconds after the outage, so it is no
+    longer used then.
     """
     network = build_network()
-    stay_away(network, seconds=AWAY_SECONDS)
+    simulate_outage(network, seconds=OUTAGE_SECONDS)
     network.source.show(list_without(network, D))
     network.pass_round(seconds=0.1)
     assert D in list_known(network, A)
@@ -86,10 +86,10 @@
     assert D not in list_known(network, A)
 
 
-def test_instance_that_is_taken_off_the_list_is_gone_at_once() -> None:
-    """A server that leaves gets new work for seconds.
+def test_instance_removed_from_the_list_is_not_retained() -> None:
+    """A server that leaves receives new work for seconds.
 
-    The platform was there all the while, so whoever is off its list has
+    There was no platform outage, so an instance that is no longer listed has
     left.
     """
     network = build_network()
@@ -99,11 +99,11 @@
     assert D not in list_known(network, A)
 
 
-def test_leaving_instance_is_not_kept() -> None:
-    """A server that leaves gets new work after an outage.
+def test_leaving_instance_is_not_retained() -> None:
+    """A server that leaves receives new work after an outage.
 
-    It said that it was leaving, and then the platform was away. Off the
-    list it is gone.
+    It announced that it leaves before the outage, so it is not retained when
+    it is no longer listed.
     """
     network = build_network()
     network.records[-1] = structs.replace(
@@ -112,19 +112,19 @@
     )
     network.source.show(build_instances(*network.records, version=2))
     network.settle()
-    stay_away(network, seconds=AWAY_SECONDS)
+    simulate_outage(network, seconds=OUTAGE_SECONDS)
     network.source.show(list_without(network, D, version=3))
     network.settle()
     assert D not in list_known(network, A)
 
 
-def test_replaced_instance_is_not_kept() -> None:
-    """Requests go to a server whose place another one has taken.
+def test_replaced_instance_is_not_retained() -> None:
+    """Requests go to a server that was replaced by another.
 
-    While the platform was away an instance was replaced on its host.
+    An instance was replaced at its node during a platform outage.
     """
     network = build_network()
-    stay_away(network, seconds=AWAY_SECONDS)
+    simulate_outage(network, seconds=OUTAGE_SECONDS)
     successor = structs.replace(
         network.records[-1],
         instance=InstanceId('e'),
@@ -140,14 +140,14 @@
     return [each.instance for each in view.current.upstreams[SERVICE]]
 
 
-def test_calls_never_see_the_list_without_those_kept() -> None:
-    """A request is refused though its server is kept in use.
+def test_calls_never_use_the_list_without_retained_instances() -> None:
+    """A request is refused although its server is retained.
 
-    Calls run beside the task that swaps lists: those kept are swapped in
-    before the list that lacks them.
+    Calls run concurrently with the task that applies lists, so the retained
+    instances have to be applied before the list that lacks them.
     """
     network = build_network()
-    stay_away(network, seconds=AWAY_SECONDS)
+    simulate_outage(network, seconds=OUTAGE_SECONDS)
     shorter = list_without(network, D)
     node = network.nodes[A]
     network.source.show(shorter)
@@ -164,7 +164,7 @@
     assert node.running
 
 
-def test_view_has_the_kept_beside_the_listed() -> None:
+def test_view_has_retained_and_listed_instances() -> None:
     view = ViewHolder()
     first, second = build_records()
     view.take_instances(build_instances(first, second))
--- a/wagtaildale/distribution/tests/test_returns.py
+++ b/wagtaildale/distribution/tests/test_returns.py
@@ -62,10 +62,10 @@
     ]
 
 
-def test_server_that_leaves_stays_so_after_the_return(
+def test_leaving_server_stays_leaving_after_the_return(
     network: FakeNetwork,
 ) -> None:
-    """The copy names a server as ready that had said that it leaves."""
+    """The copy lists a server as ready that had announced that it leaves."""
     live = network.records
     show_list(network, live, era=1, revision=COPY_REVISION)
     show_list(network, mark_leaving(live), era=1, revision=LATE_REVISION)
@@ -73,10 +73,10 @@
     assert list_states(network) == {ListedState.leaving}
 
 
-def test_server_that_is_gone_gets_no_work_after_the_return(
+def test_removed_server_receives_no_work_after_the_return(
     network: FakeNetwork,
 ) -> None:
-    """The copy names a server as ready that had been taken off the list."""
+    """The copy lists a server as ready that had been removed from the list."""
     live = network.records
     gone = [record for record in live if record.instance != D]
     show_list(network, live, era=1, revision=COPY_REVISION)
@@ -85,8 +85,8 @@
     assert list_states(network) == {ListedState.leaving}
 
 
-def test_server_that_the_copy_lacks_stays_in_use(network: FakeNetwork) -> None:
-    """A service is short of servers until they have written anew."""
+def test_server_missing_in_the_copy_stays_in_use(network: FakeNetwork) -> None:
+    """A service lacks servers until they have renewed their entries."""
     live = network.records
     older = [record for record in live if record.instance != D]
     show_list(network, live, era=1, revision=LATE_REVISION)
@@ -94,11 +94,11 @@
     assert list_states(network) == {ListedState.live}
 
 
-def test_server_that_was_cut_off_comes_back(network: FakeNetwork) -> None:
-    """A server that lives is kept from work for ever after a return.
+def test_server_that_was_cut_off_is_used_again(network: FakeNetwork) -> None:
+    """A live server never receives work again after a return.
 
-    It was off the list while it was cut off from the platform. An entry that
-    outlives the time after which entries lapse is its own.
+    It was not listed while it was cut off from the platform. An entry that is
+    still there after the time in which entries lapse was renewed by the server.
     """
     live = network.records
     gone = [record for record in live if record.instance != D]
@@ -109,10 +109,10 @@
     assert list_states(network) == {ListedState.live}
 
 
-def test_server_that_starts_again_under_its_id_is_used(
+def test_server_that_restarts_under_its_id_is_used(
     network: FakeNetwork,
 ) -> None:
-    """A server is taken for the one that left under the same id."""
+    """A server is mistaken for the one that left under the same id."""
     live = network.records
     show_list(network, mark_leaving(live), era=1, revision=LATE_REVISION)
     anew = [structs.replace(record, born=1) for record in live]
@@ -120,10 +120,10 @@
     assert list_states(network) == {ListedState.live}
 
 
-def test_server_that_the_copy_lacks_and_is_gone_is_let_go(
+def test_ended_server_missing_in_the_copy_is_released(
     network: FakeNetwork,
 ) -> None:
-    """Requests go on to a server that ended as the platform was away."""
+    """Requests still go to a server that ended during the outage."""
     older = [record for record in network.records if record.instance != D]
     show_list(network, older, era=2, revision=COPY_REVISION)
     assert list_states(network) == {ListedState.live}
@@ -131,21 +131,21 @@
     assert list_states(network) == {None}
 
 
-def test_calls_go_by_who_is_held(network: FakeNetwork) -> None:
-    """A node knows that a server left, and its calls go there."""
+def test_view_excludes_departed_instances(network: FakeNetwork) -> None:
+    """A node sends calls to a server that it knows to have left."""
     view = ViewHolder()
     listed = build_instances(*network.records)
     view.take_instances(listed)
-    held = mark_leaving(network.records)[3]
-    view.take_lapsed((), held=(held,))
+    departed = mark_leaving(network.records)[3]
+    view.take_lapsed((), held=(departed,))
     view.take_instances(listed)
     assert view.current.is_away(view.current.records[D])
     view.take_lapsed(())
     assert not view.current.is_away(view.current.records[D])
 
 
-def test_return_is_in_the_log(network: FakeNetwork) -> None:
-    """Operators see a list change everywhere, and not why."""
+def test_return_is_logged(network: FakeNetwork) -> None:
+    """Operators see a list change at all nodes without the reason."""
     version = make_version(Era(2), revision=COPY_REVISION)
     document = build_instances(*network.records, version=version)
     state = network.nodes[InstanceId('a')].state
--- a/wagtaildale/distribution/tests/test_sockets.py
+++ b/wagtaildale/distribution/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""Tests of the sockets between nodes, over loopback."""
+"""Tests of the sockets between nodes over loopback."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 HERE = 'tcp://127.0.8.1:8082'
 THERE = 'tcp://127.0.8.2:8082'
-PATIENCE = 5.0
-SILENCE = 0.3
+TIMEOUT_SECONDS = 5.0
+SILENCE_SECONDS = 0.3
 SENDER = InstanceId('sender')
 
 
@@ -27,8 +27,8 @@
     return KeyPair(public=public, secret=secret)
 
 
-class Ends:
-    """Two nodes' sockets."""
+class SocketPair:
+    """Sockets of two nodes."""
 
     def __init__(
         self,
@@ -55,92 +55,98 @@
 
 
 @pytest.fixture
-def plain() -> Iterator[Ends]:
-    ends = Ends((), ())
-    yield ends
-    ends.close()
-
-
-def test_answer_goes_back_by_the_same_connection(plain: Ends) -> None:
-    received = plain.send(b'question', seconds=PATIENCE)[0]
-    plain.there.note_route(SENDER, received.route)
-    assert plain.there.answer(SENDER, b'answer')
-    frames = [each.frame for each in plain.here.wait(PATIENCE)]
+def unencrypted() -> Iterator[SocketPair]:
+    sockets = SocketPair((), ())
+    yield sockets
+    sockets.close()
+
+
+def test_reply_uses_the_connection_of_the_message(
+    unencrypted: SocketPair,
+) -> None:
+    received = unencrypted.send(b'question', seconds=TIMEOUT_SECONDS)[0]
+    unencrypted.there.note_route(SENDER, received.route)
+    assert unencrypted.there.answer(SENDER, b'answer')
+    frames = [each.frame for each in unencrypted.here.wait(TIMEOUT_SECONDS)]
     assert frames == [b'answer']
-    assert plain.here.sent_bytes == len(b'question')
+    assert unencrypted.here.sent_bytes == len(b'question')
 
 
-def test_new_node_asks_the_seed_that_answered_it(plain: Ends) -> None:
-    """New servers' nodes stay without routes while the platform is away.
+def test_new_node_requests_versions_from_the_seed_that_replied(
+    unencrypted: SocketPair,
+) -> None:
+    """Nodes of new servers have no routes while the platform is down.
 
-    A new node asks a seed for its digest and hears of a version. It has no
-    list that would name the seed's address, and yet it must ask the seed
-    for that version: by the connection on which the seed answered.
+    A new node learns of a version from a seed's digest. It has no list with
+    the seed's address yet, so it has to request the version over the
+    connection on which the seed replied.
     """
-    question = plain.send(b'digest?', seconds=PATIENCE)[0]
-    plain.there.note_route(SENDER, question.route)
-    plain.there.answer(SENDER, b'digest')
-    digest = plain.here.wait(PATIENCE)[0]
-    plain.here.note_route(SENDER, digest.route)
-    assert plain.here.answer(SENDER, b'pull')
-    frames = [each.frame for each in plain.there.wait(PATIENCE)]
+    question = unencrypted.send(b'digest?', seconds=TIMEOUT_SECONDS)[0]
+    unencrypted.there.note_route(SENDER, question.route)
+    unencrypted.there.answer(SENDER, b'digest')
+    digest = unencrypted.here.wait(TIMEOUT_SECONDS)[0]
+    unencrypted.here.note_route(SENDER, digest.route)
+    assert unencrypted.here.answer(SENDER, b'pull')
+    frames = [each.frame for each in unencrypted.there.wait(TIMEOUT_SECONDS)]
     assert frames == [b'pull']
 
 
-def test_unknown_instance_cannot_be_answered(plain: Ends) -> None:
-    assert not plain.here.answer(SENDER, b'x')
+def test_unknown_instance_has_no_route(unencrypted: SocketPair) -> None:
+    assert not unencrypted.here.answer(SENDER, b'x')
 
 
-def test_address_in_use(plain: Ends) -> None:
+def test_address_in_use_is_reported(unencrypted: SocketPair) -> None:
     other = NodeSockets()
     fault = other.bind(HERE).unwrap_err()
     assert fault.code == 5001
     other.close()
 
 
-def test_keyed_peers_talk() -> None:
+def test_peers_with_keys_exchange_messages() -> None:
     pair = build_pair()
-    ends = Ends((pair,), (pair,))
-    assert ends.send(b'x', seconds=PATIENCE)[0].frame == b'x'
-    ends.close()
+    sockets = SocketPair((pair,), (pair,))
+    assert sockets.send(b'x', seconds=TIMEOUT_SECONDS)[0].frame == b'x'
+    sockets.close()
 
 
 @pytest.mark.parametrize('keyed', [True, False])
-def test_stranger_is_refused_and_counted(keyed: bool) -> None:
-    """Somebody else feeds a node a configuration.
+def test_peer_without_an_accepted_key_is_refused_and_counted(
+    keyed: bool,
+) -> None:
+    """An outsider sends a node a configuration.
 
-    A stranger with no key, or with one of its own and the fleet's public
-    key, connects: none of its messages is read.
+    None of its messages may be read, whether it has no key, or a key of its
+    own and the public key of the fleet.
     """
     pair = build_pair()
-    stranger = KeyPair(public=pair.public, secret=pair.secret)
-    mine = build_pair()
-    keys = (mine, stranger) if keyed else ()
-    ends = Ends(keys, (pair,))
-    assert not ends.send(b'x', seconds=SILENCE)
+    claimed = KeyPair(public=pair.public, secret=pair.secret)
+    own = build_pair()
+    keys = (own, claimed) if keyed else ()
+    sockets = SocketPair(keys, (pair,))
+    assert not sockets.send(b'x', seconds=SILENCE_SECONDS)
     if keyed:
-        refuse_until_counted(ends)
-        assert ends.there.refused_peers
-    ends.close()
+        send_until_refused(sockets)
+        assert sockets.there.refused_peers
+    sockets.close()
 
 
-def refuse_until_counted(ends: Ends) -> None:
-    deadline = time.monotonic() + PATIENCE
-    while not ends.there.refused_peers and time.monotonic() < deadline:
-        assert not ends.send(b'x', seconds=0.05)
+def send_until_refused(sockets: SocketPair) -> None:
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while not sockets.there.refused_peers and time.monotonic() < deadline:
+        assert not sockets.send(b'x', seconds=0.05)
 
 
-def test_rotation_with_two_keys_valid() -> None:
-    """A key is rotated and half of the fleet no longer hears the other.
+def test_nodes_communicate_during_a_key_rotation() -> None:
+    """During a key rotation half of the fleet cannot reach the other half.
 
-    One node has the new key first, the other still the old one; after some
-    silence the sender takes the other key.
+    One node has the new key first, the other still the old one. After some
+    messages without a reply the sender tries the other key.
     """
     old, new = build_pair(), build_pair()
-    ends = Ends((new, old), (old, new))
-    deadline = time.monotonic() + PATIENCE
+    sockets = SocketPair((new, old), (old, new))
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     received_frames: list[ReceivedFrame] = []
     while not received_frames and time.monotonic() < deadline:
-        received_frames = ends.send(b'x', seconds=0.2)
+        received_frames = sockets.send(b'x', seconds=0.2)
     assert received_frames
-    ends.close()
+    sockets.close()
--- a/wagtaildale/distribution/tests/test_sources.py
+++ b/wagtaildale/distribution/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Tests of what a node says of its platform."""
+"""Tests of the reports on a failing platform."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 A = InstanceId('a')
 
 
-def test_platform_that_fails_is_said_to_once() -> None:
-    """The platform is down for a night and the log is full of it."""
+def test_platform_outage_is_reported_once() -> None:
+    """Each failed read is logged while the platform is down for a night."""
     network = build_network(1)
     failed = messages.SourceFailed(
         kind=Kind.configuration,
         code=Code.source_unreachable,
         detail='down',
     )
-    said: list[Code] = []
+    reported: list[Code] = []
     for _read in range(3):
         network.tell(A, failed)
-        said.extend(list_source_changes(network))
+        reported.extend(list_source_changes(network))
     answered = messages.SourceConfirmed(
         kind=Kind.configuration,
         version=Version(1),
     )
     network.tell(A, answered)
-    said.extend(list_source_changes(network))
-    assert said == [Code.source_unreachable, Code.ok]
+    reported.extend(list_source_changes(network))
+    assert reported == [Code.source_unreachable, Code.ok]
 
 
 def list_source_changes(network: FakeNetwork) -> list[Code]:
@@ -40,7 +40,7 @@
     ]
 
 
-def test_missing_part_is_said() -> None:
+def test_missing_part_is_reported() -> None:
     network = build_network(1)
     read = messages.SourceBlobs(
         kind=Kind.configuration,
--- a/wagtaildale/distribution/tests/test_suspicions.py
+++ b/wagtaildale/distribution/tests/test_suspicions.py
@@ -1,4 +1,4 @@
-"""Tests of word of requests under which servers end."""
+"""Tests of how suspicions of requests spread between nodes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return made
 
 
-def tell_ends(network: FakeNetwork, node: InstanceId, ends: int) -> None:
+def report_ends(network: FakeNetwork, node: InstanceId, ends: int) -> None:
     suspicion = build_suspicion(ends=ends)
     network.tell(node, EndsNoted((suspicion,)))
 
@@ -51,19 +51,19 @@
 
 
 @pytest.mark.parametrize('ends', [1, 2, 3])
-def test_all_nodes_hear_of_an_end_at_once(
+def test_end_is_known_to_all_nodes_immediately(
     network: FakeNetwork,
     ends: int,
 ) -> None:
-    """A request comes to another machine, which has not heard of it."""
-    tell_ends(network, A, ends)
+    """A suspected request is retried at a node that knows nothing of it."""
+    report_ends(network, A, ends)
     network.flush()
     assert set(list_ends(network)) == {ends}
 
 
-def test_word_outlives_who_told_it(network: FakeNetwork) -> None:
-    """The node that saw the end is started anew, and so are others."""
-    tell_ends(network, A, 3)
+def test_suspicion_outlives_the_node_that_sent_it(network: FakeNetwork) -> None:
+    """The node that observed the end restarts, and so do others."""
+    report_ends(network, A, 3)
     network.flush()
     for name in list(network.nodes)[:4]:
         network.restart(name)
@@ -71,12 +71,14 @@
     assert set(list_ends(network)) == {3}
 
 
-def test_node_that_was_cut_off_hears_of_it(network: FakeNetwork) -> None:
-    """A request comes to a node that could not be told."""
+def test_node_that_was_cut_off_receives_suspicions(
+    network: FakeNetwork,
+) -> None:
+    """A suspected request is sent to a node that could not be informed."""
     others = [name for name in network.nodes if name != B]
     for other in others:
         network.cut(B, other)
-    tell_ends(network, A, 3)
+    report_ends(network, A, 3)
     network.flush()
     network.heal()
     pass_time(network)
@@ -84,29 +86,29 @@
 
 
 def test_answer_clears_a_request_everywhere(network: FakeNetwork) -> None:
-    """An innocent request is refused after it was answered elsewhere."""
-    tell_ends(network, A, 3)
+    """A harmless request is refused after it was answered at another node."""
+    report_ends(network, A, 3)
     network.flush()
     network.tell(B, RequestAnswered(FINGERPRINT))
     network.flush()
     assert set(list_ends(network)) == {0}
 
 
-def test_answer_that_nobody_was_told_of_counts(network: FakeNetwork) -> None:
-    """A popular request is blamed for ends between which it was answered."""
-    tell_ends(network, A, 1)
+def test_clearing_that_was_not_sent_counts(network: FakeNetwork) -> None:
+    """A popular request is blamed for ends although it was answered between."""
+    report_ends(network, A, 1)
     network.flush()
     network.tell(B, RequestAnswered(FINGERPRINT))
     network.flush()
-    tell_ends(network, A, 2)
+    report_ends(network, A, 2)
     network.flush()
     pass_time(network)
     assert set(list_ends(network)) == {0}
 
 
-def test_quiet_fleet_tells_nothing(network: FakeNetwork) -> None:
-    """Control bytes grow with what is known by all."""
-    tell_ends(network, A, 3)
+def test_unchanged_suspicions_are_not_sent_again(network: FakeNetwork) -> None:
+    """Control traffic grows with the suspicions that all nodes have."""
+    report_ends(network, A, 3)
     pass_time(network)
     network.sent.clear()
     pass_time(network)
@@ -114,9 +116,9 @@
     assert 'SuspicionsSent' not in kinds
 
 
-def test_calls_go_by_what_was_forgotten(network: FakeNetwork) -> None:
-    """A request is held against its caller after it was forgotten."""
-    tell_ends(network, A, 1)
+def test_calls_learn_of_expired_suspicions(network: FakeNetwork) -> None:
+    """A request is still restricted after its record has expired."""
+    report_ends(network, A, 1)
     network.flush()
     network.now += SUSPECT_SECONDS + 1
     network.tick(A)
--- a/wagtaildale/distribution/tests/test_swaps.py
+++ b/wagtaildale/distribution/tests/test_swaps.py
@@ -1,4 +1,4 @@
-"""Tests of whom a node swaps digests with."""
+"""Tests of the choice of peers for swaps, and of missing replies."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wagtaildale.types import InstanceId
 
 
-def test_silent_neighbour_does_not_hold_up_the_others() -> None:
-    """A node hears nothing for three seconds, and refutes nothing.
+def test_silent_neighbour_does_not_prevent_swaps_with_others() -> None:
+    """A node receives nothing for three seconds and cannot refute suspicions.
 
-    One of its neighbours has just been stopped. It asked that one again and
-    again, and none of the others, until it gave it up.
+    One of its neighbours has just stopped. The node retried only that one
+    until it gave it up.
     """
     network = build_network(8)
     state = network.nodes[InstanceId('a')].state
@@ -23,17 +23,17 @@
     state.pending_replies = {silent: network.now}
     network.now += 2 * REPLY_TIMEOUT_SECONDS
     effects = swap_digests(state, now=network.now)
-    asked = {effect.to for effect in effects if isinstance(effect, Send)}
-    assert silent in asked
-    assert len(asked) > 1
+    receivers = {effect.to for effect in effects if isinstance(effect, Send)}
+    assert silent in receivers
+    assert len(receivers) > 1
 
 
-def test_misses_with_an_answer_between_raise_no_suspicion() -> None:
-    """Working nodes are suspected a thousand times in half a minute.
+def test_missing_replies_with_a_reply_between_raise_no_suspicion() -> None:
+    """Running nodes are suspected a thousand times in half a minute.
 
-    Each had once answered late and did so again much later. What was held
-    against it was never let go by its answers in between, and it heard of no
-    list while it was suspected.
+    Each had replied late once and did so again much later. The replies in
+    between did not reset the first miss, and a suspected node received no
+    lists.
     """
     network = build_network(8)
     own = InstanceId('a')
@@ -46,11 +46,11 @@
     assert note_missed(members, peer=peer, now=network.now + 1)
 
 
-def test_two_documents_unseen_at_once_are_one_miss() -> None:
-    """A node on a slow machine makes suspects of all that it passes news to.
+def test_two_pushes_unacknowledged_at_once_are_one_miss() -> None:
+    """A node on a slow machine suspects all nodes that it pushes to.
 
-    A version and a list went out to its children together, and the answers to
-    both came late together:
+    A version and a list were pushed to its children together, and the
+    acknowledgements of both were late together:
 
         21.39 s  push-unseen version=33 subject=10.1.0.35
         21.39 s  peer-suspected subject=10.1.0.35
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which the distribution task takes what has come."""
+"""Tests of the order in which the distribution task processes messages."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class ReplySockets:
-    """Gives one reply, then ends the task; sends nowhere."""
+    """Returns one received reply, then ends the task; sends nothing."""
 
     def __init__(self, frame: bytes) -> None:
         self.task: DistributionTask | None = None
         self._frame = frame
 
     def watch_inbox(self, inbox: Inbox[Any]) -> None:
-        """The task does not wait here."""
+        """Do nothing, since the task does not wait here."""
 
     def wait(self, seconds: float) -> list[ReceivedFrame]:
         assert self.task is not None
@@ -45,13 +45,13 @@
         return [ReceivedFrame(self._frame, 'route')]
 
     def note_route(self, instance: InstanceId, route: bytes | str) -> None:
-        """Nothing is answered."""
+        """Do nothing, since no reply is sent."""
 
     def answer(self, instance: InstanceId, frame: bytes) -> bool:
         return True
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, since no socket is open."""
 
 
 def make_task(
@@ -77,11 +77,11 @@
     return task
 
 
-def test_reply_that_has_come_is_no_missing_one() -> None:
-    """A node on a slow machine suspects others whose replies it has.
+def test_received_reply_is_not_counted_as_missing() -> None:
+    """A node on a slow machine suspects peers whose replies have arrived.
 
-    A reply and the timer of the next digest come in one turn. The timer was
-    looked at first, and found the reply missing.
+    A reply and the timer of the next digest are processed in the same step. If
+    the timer comes first, it finds the reply missing.
     """
     network = build_network(8)
     own = InstanceId('a')
--- a/wagtaildale/distribution/tests/test_version_origins.py
+++ b/wagtaildale/distribution/tests/test_version_origins.py
@@ -1,4 +1,4 @@
-"""Tests of what the log tells of the way on which a version came."""
+"""Tests of the origin that is logged for an applied version."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def list_origins(network: FakeNetwork) -> dict[str, str | None]:
-    """List who gave each node its last version."""
+    """Map each node to the origin of its last version."""
     return {
         name: effect.origin
         for name, node in network.nodes.items()
@@ -23,8 +23,8 @@
     }
 
 
-def test_list_read_at_the_platform_is_told_from_one_of_a_peer() -> None:
-    """A list is late at one node, and no log says where it stayed."""
+def test_origin_distinguishes_the_platform_from_a_peer() -> None:
+    """A list is late at one node, and no log shows where it was delayed."""
     network = build_network()
     reader = next(name for name in network.nodes if not network.is_idle(name))
     listing = build_instances(*network.records[:-1], version=2)
--- a/wagtaildale/distribution/tests/test_versions.py
+++ b/wagtaildale/distribution/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Tests of which version a node takes, each fault with its story."""
+"""Tests of which versions nodes apply, and which they refuse."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 def test_older_version_is_ignored() -> None:
-    """Routes of yesterday come back.
+    """Outdated routes come into force again.
 
-    The platform answers from a stale copy after a newer version is in
-    force; every reader reads it, and none may move back.
+    The platform answers from a stale copy after a newer version is in force.
+    Every reader reads it, and none may apply it.
     """
     network = build_network()
     offer(network, build_configuration(5))
@@ -47,10 +47,10 @@
 
 
 def test_dangling_route_is_refused_whole() -> None:
-    """Calls end at a service that is not there.
+    """Calls are routed to a service that does not exist.
 
-    A version whose route names a missing service is published. No node
-    applies any part of it, and the next good version is taken.
+    A version is published whose route names a missing service. No node may
+    apply any part of it, and all apply the next valid version.
     """
     network = build_network()
     bad = make_document(
@@ -69,9 +69,9 @@
 
 
 def test_refused_version_is_not_fetched_again() -> None:
-    """A bad version makes the whole fleet read it for ever.
+    """The whole fleet reads an invalid version again and again.
 
-    It is offered again by every watch; its parts are read once only.
+    Every watch offers it again, but its parts have to be read only once.
     """
     network = build_network(1)
     blobs = {'casefiles': build_part('casefiles', routed_to='gone')}
@@ -83,11 +83,11 @@
     assert network.source.reads['blobs'] == reads
 
 
-def test_number_used_twice() -> None:
+def test_version_number_used_twice_does_not_split_the_fleet() -> None:
     """Two halves of the fleet route differently under one version number.
 
-    A publisher uses a number again for other content; whoever holds the
-    first keeps it, and the next number is taken by all.
+    A publisher reuses a number for other content. Nodes keep the first
+    content, and all apply the next number.
     """
     network = build_network()
     offer(network, build_configuration(1, within_ms=999))
@@ -99,11 +99,11 @@
     assert_held(network, 2)
 
 
-def test_updates_crossed() -> None:
-    """Version 3 comes before version 2, which must not undo it.
+def test_updates_may_arrive_out_of_order() -> None:
+    """Version 2 arrives after version 3 and must not replace it.
 
-    Pushes cross in flight: a node gets the later delta first, without its
-    base, then the earlier one.
+    A node receives the later delta first, without its base, and then the
+    earlier one.
     """
     network = build_network(2)
     versions = [build_configuration(number) for number in (1, 2, 3)]
@@ -126,7 +126,7 @@
 
 
 def test_corrupt_delta_changes_nothing() -> None:
-    """A part is damaged on its way, and calls go by a route nobody wrote."""
+    """A part is corrupted in transit, and calls use a route never published."""
     network = build_network(2)
     target = build_configuration(2, within_ms=5)
     delta = make_delta(build_configuration(1), target=target)
@@ -138,10 +138,10 @@
 
 
 def test_missing_part_keeps_old_version_in_force() -> None:
-    """A manifest names a part that the platform does not have.
+    """A manifest names a part that the platform lacks.
 
-    Nobody can give the part; the version in force stays whole until the
-    part appears.
+    No peer has the part either. The previous version has to stay in force as a
+    whole until the part is available.
     """
     network = build_network(3)
     document = build_configuration(2, within_ms=77)
@@ -157,10 +157,10 @@
 
 
 def test_parts_of_two_versions_are_never_mixed() -> None:
-    """Half of the routes are of today and half of yesterday.
+    """Half of the routes in force are new and half are outdated.
 
-    While the parts of version 2 are being read, version 3 is published;
-    parts are asked for by content, so what is applied is 2 or 3 whole.
+    Version 3 is published while the parts of version 2 are being read. Parts
+    are requested by content hash, so either version is applied as a whole.
     """
     network = build_network(1)
     second = build_configuration(2, services=('casefiles', 'intake'))
--- a/wagtaildale/distribution/tests/test_wire.py
+++ b/wagtaildale/distribution/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Tests of messages between nodes as bytes."""
+"""Tests of encoding and decoding messages between nodes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize('count', [0, 1, 20])
-def test_round_trip(count: int) -> None:
+def test_decoded_message_equals_the_original(count: int) -> None:
     envelope = build_envelope(*(count * [build_part()]))
     frame = encode_envelope(envelope)
     assert assert_ok(decode_envelope(frame)) == envelope
@@ -53,12 +53,12 @@
     'frame',
     [b'', b'\x78', b'\x78\x9c\x00', zlib.compress(b'x'), b'\x94\xa1b\x90\x07'],
 )
-def test_what_is_no_message_is_refused(frame: bytes) -> None:
+def test_malformed_frame_is_refused(frame: bytes) -> None:
     assert assert_err(decode_envelope(frame)).code is Code.message_malformed
 
 
-def test_small_frame_cannot_fill_the_memory() -> None:
-    """A stranger's frame of some kilobytes becomes gigabytes."""
+def test_small_frame_cannot_exhaust_the_memory() -> None:
+    """A frame of some kilobytes is decompressed to gigabytes."""
     bomb = zlib.compress(bytes(MAX_MESSAGE_BYTES * 2))
     assert assert_err(decode_envelope(bomb)).code is Code.message_malformed
 
@@ -80,10 +80,10 @@
         {'nodes': ('n' * 300,)},
     ],
 )
-def test_suspicion_that_makes_no_sense_is_refused(
+def test_suspicion_with_invalid_fields_is_refused(
     wrong: dict[str, object],
 ) -> None:
-    """A node says that a million servers ended under a request."""
+    """A faulty node reports that a million servers ended under a request."""
     suspicion = structs.replace(build_suspicion(), **wrong)
     body = SuspicionsSent((suspicion,))
     envelope = Envelope(InstanceId('b'), (SENDER,), 7, body)
--- a/wagtaildale/distribution/tests/watched_fleet.py
+++ b/wagtaildale/distribution/tests/watched_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in small steps of time, with watches that the platform holds."""
+"""Simulates a fleet in small time steps, with watches at the platform."""
 
 from __future__ import annotations
 
@@ -32,22 +32,23 @@
 SLOW_MBPS: Final = 5
 NEAR: Final = 'derby'
 FAR: Final = 'coventry'
-LONGEST_SECONDS: Final = 10.0
+MAX_SPREAD_SECONDS: Final = 10.0
 
 
 class WatchedFleet:
-    """Nodes in two data centres; each strikes its timers at its own moments.
+    """Nodes in two data centres, whose timers fire at different times.
 
-    A watch returns with the next step after a change, or after its time with
-    a confirmation; a reader that was told of a change waits a little before
-    it asks again.
+    A watch returns in the next step after a change, or with a confirmation
+    when its time is up. After a change, a reader waits a little before it reads
+    again.
 
     Attributes:
-        network: the nodes; the even ones are near.
-        near: the nodes of the near data centre, best rank for reading first.
-        read_share: of the time that a first read takes on a slow line; 0
-            for reads that take none.
-        deaf: nodes whose watches hear nothing, until when.
+        network: network of the nodes; those with even numbers are near.
+        near: nodes of the near data centre, best rank as a reader first.
+        read_share: duration of a first read as a share of the time of a full
+            read on the node's line; 0 for instant reads.
+        stuck_until: nodes whose watches return nothing, and until when,
+            seconds.
     """
 
     def __init__(self, count: int, *, slow: tuple[str, ...] = ()) -> None:
@@ -63,11 +64,11 @@
             instances=map(InstanceId, names[::2]),
         )
         self.read_share = float(0)
-        self.deaf: dict[InstanceId, float] = {}
+        self.stuck_until: dict[InstanceId, float] = {}
         self._steps = 0
-        self._asked: dict[InstanceId, float] = {}
-        self._gathers_until: dict[InstanceId, float] = {}
-        self._known: dict[InstanceId, tuple[Version, ...]] = {}
+        self._watch_began: dict[InstanceId, float] = {}
+        self._next_read_at: dict[InstanceId, float] = {}
+        self._versions_read: dict[InstanceId, tuple[Version, ...]] = {}
         for name, node in self.network.nodes.items():
             mbps = SLOW_MBPS if name in slow else FAST_MBPS
             node.state.tuning = make_tuning(
@@ -89,14 +90,14 @@
         return [name for name in self.watchers if name in self.near]
 
     def leave(self, instance: InstanceId) -> None:
-        """Let a node begin its planned stop."""
+        """Begin the planned stop of a node."""
         self.network.tell(instance, messages.Leave())
 
-    def list_leaving(self, instance: InstanceId) -> Version:
-        """Let the platform take a server's word that it leaves.
+    def publish_leaving(self, instance: InstanceId) -> Version:
+        """Mark a server as leaving in the platform's list.
 
         Returns:
-            The version of the list that tells so.
+            Version of the new list.
         """
         version = Version(_find_shown(self.network, Kind.instances).version + 1)
         self.network.records = [
@@ -108,23 +109,27 @@
         return version
 
     def measure_spread(self, version: Version) -> float:
-        """Let time pass until the near nodes hold a list; give the seconds."""
-        begun = self.network.now
-        while self.network.now - begun < LONGEST_SECONDS:
-            if not self.list_behind(version):
+        """Let time pass until all near nodes hold a list.
+
+        Returns:
+            Seconds that it took, ``MAX_SPREAD_SECONDS`` at most.
+        """
+        started_at = self.network.now
+        while self.network.now - started_at < MAX_SPREAD_SECONDS:
+            if not self.list_outdated(version):
                 break
             self.pass_time(STEP_SECONDS)
-        return self.network.now - begun
+        return self.network.now - started_at
 
-    def list_behind(self, version: Version) -> list[InstanceId]:
-        """List the near nodes that take work and lack a list."""
+    def list_outdated(self, version: Version) -> list[InstanceId]:
+        """List the near nodes that are ready and lack a version of the list."""
         nodes = self.network.nodes
         return [
             name
             for name in self.near
             if nodes[name].running
             and nodes[name].state.members.state is NodeState.ready
-            and _read_index(nodes[name]) < version
+            and _read_list_version(nodes[name]) < version
         ]
 
     def pass_time(self, seconds: float) -> None:
@@ -136,19 +141,19 @@
         self._steps += 1
         self.network.now += STEP_SECONDS
         for number, name in enumerate(self.network.nodes):
-            self._strike(number, name)
+            self._fire_timers(number, name)
             self._watch(name)
         self.network.flush()
 
-    def _strike(self, number: int, name: InstanceId) -> None:
+    def _fire_timers(self, number: int, name: InstanceId) -> None:
         tuning = self.network.nodes[name].state.tuning
-        struck = {
+        intervals = {
             TimerName.rank: tuning.look_seconds,
             TimerName.digest: tuning.swap_seconds,
         }
-        for timer, seconds in struck.items():
-            every = round(seconds / STEP_SECONDS)
-            if (self._steps + number) % every == 0:
+        for timer, seconds in intervals.items():
+            steps = round(seconds / STEP_SECONDS)
+            if (self._steps + number) % steps == 0:
                 tick = Tick(name=timer, now=self.network.now)
                 self.network.tell(name, tick)
         self.network.tell(name, messages.DeadlineReached())
@@ -157,34 +162,34 @@
         node = self.network.nodes[name]
         now = self.network.now
         tuning = node.state.tuning
-        if now < self.deaf.get(name, 0):
+        if now < self.stuck_until.get(name, 0):
             return
         if not (node.watching and node.running):
-            self._known.pop(name, None)
-            self._asked.pop(name, None)
-            self._gathers_until.pop(name, None)
+            self._versions_read.pop(name, None)
+            self._watch_began.pop(name, None)
+            self._next_read_at.pop(name, None)
             return
-        # The first read brings everything, over the node's line.
-        first = now + self.read_share * tuning.read_seconds
-        self._gathers_until.setdefault(name, first)
-        asked = self._asked.setdefault(name, now)
+        # The first read transfers everything over the node's line.
+        first_read_at = now + self.read_share * tuning.read_seconds
+        self._next_read_at.setdefault(name, first_read_at)
+        began = self._watch_began.setdefault(name, now)
         shown = [_find_shown(self.network, kind) for kind in reversed(Kind)]
         versions = tuple(document.version for document in shown)
-        is_ready = now >= self._gathers_until[name]
-        if is_ready and self._known.get(name) != versions:
-            self._known[name] = versions
-            self._asked[name] = now
-            self._gathers_until[name] = now + tuning.gather_seconds
+        is_ready = now >= self._next_read_at[name]
+        if is_ready and self._versions_read.get(name) != versions:
+            self._versions_read[name] = versions
+            self._watch_began[name] = now
+            self._next_read_at[name] = now + tuning.gather_seconds
             for document in shown:
                 self.network.tell(name, _read(document))
-        elif now - asked >= tuning.watch_seconds:
-            self._asked[name] = now
+        elif now - began >= tuning.watch_seconds:
+            self._watch_began[name] = now
             for document in shown:
                 self.network.tell(name, _confirm(document))
 
 
 def suspect_node(network: FakeNetwork, instance: InstanceId) -> None:
-    """Let all other nodes suspect one."""
+    """Make all other nodes suspect an instance."""
     members = network.nodes[instance].state.members
     suspicion = structs.replace(members.tell_own(), state=NodeState.suspect)
     for name, node in network.nodes.items():
@@ -197,7 +202,7 @@
     return network.source.shown[kind]
 
 
-def _read_index(node: FakeNode) -> Version:
+def _read_list_version(node: FakeNode) -> Version:
     return node.state.stores[Kind.instances].held.version
 
 
