--- a/wagtaildale/distribution/authentication.py
+++ b/wagtaildale/distribution/authentication.py
@@ -70,10 +70,10 @@
         self.socket.close()
 
     def _authenticate(self, request: ZapRequest) -> tuple[bytes, ...]:
-        good = request.mechanism == CURVE
-        verdict = ACCEPTED
-        if not good or request.credential not in self._accepted:
+        is_encrypted = request.mechanism == CURVE
+        status = ACCEPTED
+        if not is_encrypted or request.credential not in self._accepted:
             self.refused += 1
-            verdict = REFUSED
-        head = (ZAP_VERSION, request.request_id, verdict)
+            status = REFUSED
+        head = (ZAP_VERSION, request.request_id, status)
         return (*head, b'', b'', b'')
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -88,8 +88,8 @@
         _note_freshness(context, holding)
         _clear_push(context, holding.kind, holding.version)
         if holding.version > state.stores[holding.kind].held.version:
-            ask = request_delta(state, kind=holding.kind, peer=context.sender)
-            effects.append(ask)
+            pull = request_delta(state, kind=holding.kind, peer=context.sender)
+            effects.append(pull)
     state.pending_replies.pop(context.sender, None)
     if body.suspects is not None:
         effects.extend(
@@ -127,8 +127,8 @@
         from_tree=not body.bypasses_tree,
     )
     _note_freshness(context, body.holding)
-    seen = PushSeen(kind, body.delta.version)
-    return [Send(to=context.sender, body=seen), *effects]
+    acknowledgement = PushSeen(kind, body.delta.version)
+    return [Send(to=context.sender, body=acknowledgement), *effects]
 
 
 @decide_body.register
--- a/wagtaildale/distribution/delays.py
+++ b/wagtaildale/distribution/delays.py
@@ -50,12 +50,12 @@
             Seconds; 0 for the first message of a sender, and for a message
             that was not delayed.
         """
-        seen = self.senders.get(sender)
-        if seen is None:
+        offset = self.senders.get(sender)
+        if offset is None:
             self._forget_restarted(sender)
-            seen = MinimumOffset(window=WINDOW_SECONDS, since=now)
-            self.senders[sender] = seen
-        delay = seen.measure_excess(now - sent, now=now)
+            offset = MinimumOffset(window=WINDOW_SECONDS, since=now)
+            self.senders[sender] = offset
+        delay = offset.measure_excess(now - sent, now=now)
         return delay if delay > MIN_DELAY_SECONDS else 0
 
     def _forget_restarted(self, sender: SenderProcess) -> None:
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -132,14 +132,14 @@
     # Only appointed readers read parts from the platform immediately, so that
     # many new nodes do not all read every part at once. The others receive the
     # parts from readers, and read them after a while if no peer has sent them.
-    waited = now - state.joining.started_at > PEER_WAIT_SECONDS
+    is_overdue = now - state.joining.started_at > PEER_WAIT_SECONDS
     readers = find_topology(state.members).readers
     read = ReadBlobs(
         kind=outcome.kind,
         digests=outcome.digests,
         is_first_reader=state.appointed and state.find_own_rank(readers) == 0,
     )
-    return [read] if state.appointed or waited else []
+    return [read] if state.appointed or is_overdue else []
 
 
 def request_delta(
--- a/wagtaildale/distribution/joining.py
+++ b/wagtaildale/distribution/joining.py
@@ -49,10 +49,11 @@
     """
     swap = state.make_swap(now)
     topology = find_topology(state.members)
-    told = dict.fromkeys((*topology.neighbours, *topology.tree))
-    told.pop(state.members.own.instance, None)
+    receivers = dict.fromkeys((*topology.neighbours, *topology.tree))
+    receivers.pop(state.members.own.instance, None)
     return [
-        Send(to=peer, body=swap) for peer in tuple(told)[:MAX_ANNOUNCED_PEERS]
+        Send(to=peer, body=swap)
+        for peer in tuple(receivers)[:MAX_ANNOUNCED_PEERS]
     ]
 
 
@@ -70,9 +71,9 @@
         MIN_PEER_REPLIES, max(1, len(state.seeds))
     ):
         return True
-    asked = len(joining.confirmed_kinds) == len(state.stores)
+    is_confirmed = len(joining.confirmed_kinds) == len(state.stores)
     # A node without seeds does not wait for peers. Those that the list names
     # receive its first digest and reply if they have later versions.
-    patience = state.tuning.alone_seconds if state.seeds else 0
-    alone = now - joining.started_at > patience
-    return alone and (asked or bool(joining.replied_peers))
+    timeout = state.tuning.alone_seconds if state.seeds else 0
+    is_alone = now - joining.started_at > timeout
+    return is_alone and (is_confirmed or bool(joining.replied_peers))
--- a/wagtaildale/distribution/lapses.py
+++ b/wagtaildale/distribution/lapses.py
@@ -86,8 +86,8 @@
     last = state.freshness[kind].confirmed_at
     if kind is not Kind.instances or last == NEVER:
         return
-    silent = confirmed_at - max(last, state.joining.started_at)
-    if silent > state.tuning.lapse_seconds:
+    outage_seconds = confirmed_at - max(last, state.joining.started_at)
+    if outage_seconds > state.tuning.lapse_seconds:
         state.lapses.retain_until = now + RELIST_SECONDS
 
 
@@ -114,12 +114,12 @@
     known: dict[InstanceId, InstanceRecord],
     listed: dict[InstanceId, InstanceRecord],
 ) -> dict[InstanceId, InstanceRecord]:
-    places = {record.node_id for record in listed.values()}
+    occupied = {record.node_id for record in listed.values()}
     return {
         name: record
         for name, record in known.items()
         # An instance whose node has another instance now was replaced.
-        if record.node_id not in places and record.state is ListedState.live
+        if record.node_id not in occupied and record.state is ListedState.live
     }
 
 
--- a/wagtaildale/distribution/readers.py
+++ b/wagtaildale/distribution/readers.py
@@ -99,8 +99,8 @@
         sent_at: when the peer sent it, seconds on this node's clock.
         now: current time, seconds.
     """
-    behind = holding.version < state.stores[holding.kind].held.version
-    if behind:
+    is_older = holding.version < state.stores[holding.kind].held.version
+    if is_older:
         return
     fresh = state.freshness[holding.kind]
     confirmed_at = find_confirmed_at(holding, sent_at=sent_at)
@@ -116,10 +116,10 @@
         fresh.reader = holding.reader
         fresh.data_centre = holding.data_centre
     if _is_local(state, holding):
-        stops = (
+        is_stopping = (
             sender == holding.reader and sender in state.members.list_leaving()
         )
-        _note_local(state, holding, confirmed_at, stops=stops)
+        _note_local(state, holding, confirmed_at, is_stopping=is_stopping)
 
 
 def _is_local(state: DistributionState, holding: Holding) -> bool:
@@ -139,10 +139,10 @@
     holding: Holding,
     confirmed_at: float,
     *,
-    stops: bool,
+    is_stopping: bool,
 ) -> None:
     fresh = state.freshness[holding.kind]
-    if confirmed_at > fresh.local_confirmed_at or stops:
+    if confirmed_at > fresh.local_confirmed_at or is_stopping:
         fresh.local_confirmed_at = max(confirmed_at, fresh.local_confirmed_at)
         fresh.local_rank = holding.rank
         fresh.local_reader = holding.reader
@@ -181,16 +181,16 @@
     if state.members.state is not NodeState.joining or state.appointed:
         return []
     # Without seeds in the settings there is no peer to ask first.
-    patience = state.tuning.read_seconds
+    timeout = state.tuning.read_seconds
     if state.seeds:
-        patience += state.tuning.ask_peers_seconds
-    if now - joining.started_at < patience:
+        timeout += state.tuning.ask_peers_seconds
+    if now - joining.started_at < timeout:
         return []
     if now < joining.next_read_at:
         return []
-    first = joining.next_read_at < joining.started_at
+    is_first_time = joining.next_read_at < joining.started_at
     joining.next_read_at = now + random.uniform(0, _find_spread(state))
-    if first and state.seeds:
+    if is_first_time and state.seeds:
         return []
     joining.read_count += 1
     return [
--- a/wagtaildale/distribution/suspicions.py
+++ b/wagtaildale/distribution/suspicions.py
@@ -199,8 +199,8 @@
         learned=learned,
         origin=origin,
     )
-    names = [suspicion.fingerprint for suspicion in learned]
-    return [changed, *_send_suspicions(state, names, peers, now=now)]
+    fingerprints = [suspicion.fingerprint for suspicion in learned]
+    return [changed, *_send_suspicions(state, fingerprints, peers, now=now)]
 
 
 def _send_suspicions(
--- a/wagtaildale/distribution/tests/test_delays.py
+++ b/wagtaildale/distribution/tests/test_delays.py
@@ -77,9 +77,9 @@
 def test_restarted_sender_has_no_earlier_offset() -> None:
     delays = Delays()
     delays.measure(PROCESS, sent=100.0, now=100.0)
-    again = (A, Incarnation(2))
-    assert delays.measure(again, sent=1.0, now=101.0) == 0
-    assert list(delays.senders) == [again]
+    restarted = (A, Incarnation(2))
+    assert delays.measure(restarted, sent=1.0, now=101.0) == 0
+    assert list(delays.senders) == [restarted]
 
 
 def test_queueing_on_a_slow_line_is_not_a_delay() -> None:
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -139,8 +139,8 @@
     before = network.source.reads[Kind.configuration.name]
     for _round in range(200):
         network.pass_round(seconds=0.05)
-    asked = network.source.reads[Kind.configuration.name] - before
-    assert asked <= 35 * len(network.nodes)
+    reads = network.source.reads[Kind.configuration.name] - before
+    assert reads <= 35 * len(network.nodes)
     network.source.down = False
     for _round in range(20):
         network.pass_round(seconds=0.05)
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -69,9 +69,9 @@
         suspects=SuspectsHolder(inbox.put),
         states=[],
     )
-    faked = cast('NodeSockets', sockets)
+    fake_sockets = cast('NodeSockets', sockets)
     task = DistributionTask(
-        state, sockets=faked, inbox=inbox, dependencies=dependencies
+        state, sockets=fake_sockets, inbox=inbox, dependencies=dependencies
     )
     sockets.task = task
     return task
--- a/wagtaildale/distribution/tests/test_versions.py
+++ b/wagtaildale/distribution/tests/test_versions.py
@@ -160,7 +160,7 @@
     """Half of the routes in force are new and half are outdated.
 
     Version 3 is published while the parts of version 2 are being read. Parts
-    are requested by content hash, so either version is applied as a whole.
+    are requested by content hash, so version 2 or 3 is applied as a whole.
     """
     network = build_network(1)
     second = build_configuration(2, services=('casefiles', 'intake'))
