--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -86,7 +86,7 @@
     holdings = body.holdings if state.tuning.passes_on else ()
     for holding in holdings:
         _note_freshness(context, holding)
-        _clear_push(context, holding.kind, holding.version)
+        _acknowledge_push(context, holding.kind, holding.version)
         if holding.version > state.stores[holding.kind].held.version:
             pull = request_delta(state, kind=holding.kind, peer=context.sender)
             effects.append(pull)
@@ -101,7 +101,7 @@
             ),
         )
     if body.is_reply:
-        _note_joining(context)
+        _note_reply(context)
     else:
         reply = state.make_swap(context.now, is_reply=True)
         effects.append(Send(to=context.sender, body=reply))
@@ -133,7 +133,7 @@
 
 @decide_body.register
 def _decide_seen(body: PushSeen, context: Context) -> list[Effect]:
-    _clear_push(context, body.kind, body.version)
+    _acknowledge_push(context, body.kind, body.version)
     return []
 
 
@@ -208,14 +208,14 @@
     )
 
 
-def _clear_push(context: Context, kind: Kind, version: Version) -> None:
+def _acknowledge_push(context: Context, kind: Kind, version: Version) -> None:
     key = (context.sender, kind)
     push = context.state.pushes.get(key)
     if push is not None and push.version <= version:
         context.state.pushes.pop(key)
 
 
-def _note_joining(context: Context) -> None:
+def _note_reply(context: Context) -> None:
     state = context.state
     if state.members.state is NodeState.joining:
         state.joining.replied_peers.add(context.sender)
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -127,7 +127,7 @@
 
 
 @decide.register
-def _decide_woke(
+def _decide_woke_late(
     message: WokeLate,
     state: DistributionState,
     *,
@@ -142,7 +142,7 @@
 
 
 @decide.register
-def _decide_wake(
+def _decide_deadline(
     message: messages.DeadlineReached,
     state: DistributionState,
     *,
@@ -179,17 +179,17 @@
             *(each for each in effects if not _reads_blobs(each)),
             *handle_offer(state, kind=kind, offer=offer, now=now),
         ]
-    shared: list[messages.Effect] = []
+    forwarded: list[messages.Effect] = []
     if any(isinstance(each, messages.DocumentUpdated) for each in effects):
         schedule_confirmation(state, now=now)
         if kind is Kind.instances and pushes_to_others(state):
-            shared = push_to_data_centres(state, kind=kind, now=now)
+            forwarded = push_to_data_centres(state, kind=kind, now=now)
     elif kind is Kind.configuration:
-        shared = _send_unless_scheduled(state, now=now)
+        forwarded = _send_unless_scheduled(state, now=now)
     if state.members.state is NodeState.joining:
         # The first list determines whether this node is a reader.
-        shared.extend(review_appointment(state, now=now))
-    return [*recovered, *effects, *shared, *review_ready(state, now=now)]
+        forwarded.extend(review_appointment(state, now=now))
+    return [*recovered, *effects, *forwarded, *review_ready(state, now=now)]
 
 
 @decide.register
@@ -201,10 +201,10 @@
 ) -> list[messages.Effect]:
     if message.version >= state.stores[message.kind].held.version:
         note_confirmed(state, kind=message.kind, now=now)
-    shared = _clear_failure(state, message.kind)
+    forwarded = _clear_failure(state, message.kind)
     if message.kind is Kind.configuration:
-        shared.extend(_send_unless_scheduled(state, now=now))
-    return [*shared, *review_ready(state, now=now)]
+        forwarded.extend(_send_unless_scheduled(state, now=now))
+    return [*forwarded, *review_ready(state, now=now)]
 
 
 @decide.register
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -10,7 +10,7 @@
     Effect,
     DocumentUpdated,
     ReadBlobs,
-    Refused,
+    VersionRefused,
     Send,
 )
 from wagtaildale.distribution.lapses import update_list
@@ -106,7 +106,7 @@
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
-    return [Refused(rejected=outcome)]
+    return [VersionRefused(rejected=outcome)]
 
 
 @_handle_outcome.register
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -105,10 +105,10 @@
 
 
 @execute.register
-def _move(effect: messages.DocumentUpdated, sender: Sender) -> None:
+def _update_document(effect: messages.DocumentUpdated, sender: Sender) -> None:
     document = effect.document
     dependencies = sender.dependencies
-    if not _may_move(effect, dependencies):
+    if not _check_invariants(effect, dependencies):
         return
     if document.kind is Kind.configuration:
         dependencies.view.take_configuration(document)
@@ -159,7 +159,9 @@
 
 
 @execute.register
-def _note_return(effect: messages.PlatformReturned, sender: Sender) -> None:
+def _record_platform_return(
+    effect: messages.PlatformReturned, sender: Sender
+) -> None:
     sender.dependencies.recorder.record(
         EventKind.platform_returned,
         version=effect.revision,
@@ -167,25 +169,25 @@
     )
 
 
-def _may_move(
+def _check_invariants(
     effect: messages.DocumentUpdated, dependencies: TaskDependencies
 ) -> bool:
     document = effect.document
-    moves = f'{effect.before.version} to {document.version}'
+    transition = f'{effect.before.version} to {document.version}'
     rises = dependencies.invariants.hold(
         Invariant.version_rises,
         holds=document.version > effect.before.version,
-        detail=moves,
+        detail=transition,
     )
     whole = dependencies.invariants.hold(
         Invariant.version_whole,
         holds=document.entries.keys() == document.blobs.keys(),
-        detail=moves,
+        detail=transition,
     )
     resources = dependencies.invariants.hold(
         Invariant.route_has_resource,
         holds=CHECKS[document.kind](document).is_ok(),
-        detail=moves,
+        detail=transition,
     )
     return rises and whole and resources
 
@@ -196,13 +198,13 @@
     sender: Sender,
 ) -> None:
     sender.dependencies.view.take_away(sender.state.members.list_away())
-    for changes in effect.changes:
-        kind = PEER_EVENTS.get(changes.news.state)
-        if kind is None and changes.before in AWAY:
+    for change in effect.changes:
+        kind = PEER_EVENTS.get(change.news.state)
+        if kind is None and change.before in AWAY:
             kind = EventKind.peer_refuted
         if kind is not None:
             sender.dependencies.recorder.record(
-                kind, subject=changes.news.instance
+                kind, subject=change.news.instance
             )
 
 
@@ -222,7 +224,7 @@
 
 
 @execute.register
-def _refuse(effect: messages.Refused, sender: Sender) -> None:
+def _record_refusal(effect: messages.VersionRefused, sender: Sender) -> None:
     rejected = effect.rejected
     kind = EventKind.version_ignored
     if rejected.fresh:
@@ -269,7 +271,7 @@
 
 
 @execute.register
-def _note_behind(effect: messages.PeerBehind, sender: Sender) -> None:
+def _record_unseen_push(effect: messages.PeerBehind, sender: Sender) -> None:
     sender.dependencies.recorder.record(
         EventKind.push_unseen,
         version=effect.version,
@@ -278,7 +280,9 @@
 
 
 @execute.register
-def _refuse_entry(effect: messages.EntryRefused, sender: Sender) -> None:
+def _record_entry_refusal(
+    effect: messages.EntryRefused, sender: Sender
+) -> None:
     sender.dependencies.recorder.record(
         EventKind.entry_refused,
         code=effect.code,
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -186,7 +186,7 @@
     state: NodeState
 
 
-class Refused(Struct, frozen=True, kw_only=True):
+class VersionRefused(Struct, frozen=True, kw_only=True):
     """An offered version was rejected."""
 
     rejected: Rejected
@@ -239,7 +239,7 @@
     | PlatformReturned
     | FleetChanged
     | StateChanged
-    | Refused
+    | VersionRefused
     | PeerBehind
     | SourceChanged
     | EntryRefused
--- a/wagtaildale/distribution/staleness.py
+++ b/wagtaildale/distribution/staleness.py
@@ -84,14 +84,15 @@
 def _find_confirmed_at(state: DistributionState) -> float:
     confirmed = [fresh.confirmed_at for fresh in state.freshness.values()]
     if state.tuning.reads_last:
-        # For a node on a slow line a confirmation by any reader counts: it
+        # For a node on a slow line, a confirmation by any reader counts: it
         # shows that some node reads and passes versions on. Otherwise, when
         # the nodes on fast lines are briefly gone, all nodes on slow lines
         # would read, and calls there would wait behind a full read.
         return max(*confirmed, state.joining.started_at)
     if state.listed_at is None:
-        # When a whole fleet starts, instances are not listed yet, and every
-        # node would become the reader of a seemingly empty data centre.
+        # While the instance of this node is not listed, a confirmation by any
+        # reader counts. Otherwise, when a whole fleet starts, every node would
+        # become the reader of a data centre that seems to have no other nodes.
         return max(min(confirmed), state.joining.started_at)
     return max(_find_last_confirmed(state).local_confirmed_at, state.listed_at)
 
--- a/wagtaildale/distribution/swaps.py
+++ b/wagtaildale/distribution/swaps.py
@@ -30,14 +30,14 @@
     Returns:
         Messages to send, and the peers that are suspected for missing replies.
     """
-    late = _list_late(state, now)
+    unanswered = _list_unanswered(state, now)
     changes: list[NewsTaken] = []
-    for silent in late:
+    for silent in unanswered:
         state.pending_replies.pop(silent)
         changes.extend(note_missed(state.members, peer=silent, now=now))
     body = state.make_swap(now)
     sends: list[Effect] = [
-        Send(to=peer, body=body) for peer in _pick_peers(state, late)
+        Send(to=peer, body=body) for peer in _pick_peers(state, unanswered)
     ]
     for sent in sends:
         if isinstance(sent, Send):
@@ -45,7 +45,7 @@
     return [*make_fleet_change(changes), *sends, *ask_seeds(state, now=now)]
 
 
-def _list_late(state: DistributionState, now: float) -> list[InstanceId]:
+def _list_unanswered(state: DistributionState, now: float) -> list[InstanceId]:
     return [
         peer
         for peer, since in state.pending_replies.items()
@@ -55,10 +55,10 @@
 
 def _pick_peers(
     state: DistributionState,
-    late: list[InstanceId],
+    unanswered: list[InstanceId],
 ) -> list[InstanceId]:
     neighbours = find_topology(state.members).neighbours
-    peers = [peer for peer in late if peer in neighbours]
+    peers = [peer for peer in unanswered if peer in neighbours]
     state.swap_count += 1
     if state.swap_count % AWAY_RETRY_SWAPS == 0:
         # After a partition each side considers the other dead and sends it
@@ -92,8 +92,8 @@
     Returns:
         Digests to send to some of the seeds.
     """
-    alone = not find_topology(state.members).neighbours
-    if not alone and state.members.state is not NodeState.joining:
+    is_alone = not find_topology(state.members).neighbours
+    if not is_alone and state.members.state is not NodeState.joining:
         return []
     count = min(MAX_SEEDS_ASKED, len(state.seeds))
     body = state.make_swap(now)
--- a/wagtaildale/distribution/task.py
+++ b/wagtaildale/distribution/task.py
@@ -84,7 +84,7 @@
         while self._running:
             self._step()
         for message in self._inbox.take_all():
-            self._take(message)
+            self._process(message)
         self.sockets.close()
 
     def stop(self) -> None:
@@ -123,15 +123,15 @@
         received_frames = self.sockets.wait(seconds)
         now = read_clock()
         if now - expected > LATE_SECONDS:
-            self._take(WokeLate(now=now, late_by=now - expected))
+            self._process(WokeLate(now=now, late_by=now - expected))
         # Received messages come before timers. On a slow machine, a timer that
         # is processed first would suspect peers whose replies have arrived.
         for received in received_frames:
             self._receive(received)
         for message in self._inbox.take_all():
-            self._take(message)
+            self._process(message)
         if find_wait(self.state, now=read_clock()) == 0:
-            self._take(messages.DeadlineReached())
+            self._process(messages.DeadlineReached())
 
     def _receive(self, received: ReceivedFrame) -> None:
         decoded = decode_envelope(received.frame)
@@ -150,9 +150,9 @@
         self.counts.messages_in += 1
         self.sockets.note_route(envelope.sender, received.route)
         self.dependencies.recorder.clock.observe(envelope.stamp)
-        self._take(messages.Received(envelope=envelope))
+        self._process(messages.Received(envelope=envelope))
 
-    def _take(self, message: object) -> None:
+    def _process(self, message: object) -> None:
         if isinstance(message, WokeLate):
             detail = f'{message.late_by:.1f} s'
             self.dependencies.recorder.record(
