--- /dev/null
+++ b/wagtaildale/distribution/confirmations.py
@@ -0,0 +1,102 @@
+"""Sends a reader's confirmations to the other nodes of its data centre."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final
+
+from wagtaildale.distribution.appointments import is_primary_reader
+from wagtaildale.distribution.messages import Send
+from wagtaildale.distribution.readers import set_own_reader
+from wagtaildale.membership.state import find_topology
+
+if TYPE_CHECKING:
+    from wagtaildale.distribution.messages import Effect
+    from wagtaildale.distribution.state import DistributionState
+
+# A change passes down the push tree within this time, even over slow lines.
+CONFIRMATION_DELAY_SECONDS: Final = 0.2
+
+
+def claim_confirmations(state: DistributionState) -> None:
+    """Set a stopping reader as the one that last confirmed all documents.
+
+    Several nodes may read for a moment, and those that continue may stop one
+    after the other. Without this, all others would wait for a reader that has
+    already stepped down.
+
+    Args:
+        state: state of the node before it leaves; updated in place.
+    """
+    if not state.appointed:
+        return
+    for fresh in state.freshness.values():
+        set_own_reader(state, fresh)
+
+
+def schedule_confirmation(state: DistributionState, *, now: float) -> None:
+    """Schedule the confirmation of a change for after it has spread.
+
+    If the confirmation were sent while the change goes down the push tree,
+    each node would request the version that is already on its way to it and
+    push it once more, and on slow lines calls would wait behind the copies.
+
+    Args:
+        state: state of the node; updated in place.
+        now: current time, seconds.
+    """
+    if state.confirmation_due_at is None:
+        state.confirmation_due_at = now + CONFIRMATION_DELAY_SECONDS
+
+
+def send_due_confirmation(
+    state: DistributionState, *, now: float
+) -> list[Effect]:
+    """Send the scheduled confirmation if it is due.
+
+    Args:
+        state: state of the node; updated in place.
+        now: current time, seconds.
+
+    Returns:
+        Messages to send, if any.
+    """
+    if state.confirmation_due_at is None or now < state.confirmation_due_at:
+        return []
+    return send_confirmation(state, now=now)
+
+
+def send_confirmation(
+    state: DistributionState,
+    *,
+    now: float,
+) -> list[Effect]:
+    """Send a confirmation by the platform to the spare readers.
+
+    If all readers die at once, the next ranks would notice only through the
+    growing age that digests carry from node to node. Since each confirmation
+    is sent directly, its absence is noticed within two watches.
+
+    Args:
+        state: state of the node; updated in place.
+        now: current time, seconds.
+
+    Returns:
+        Messages to send, if this node is an appointed reader.
+    """
+    state.confirmation_due_at = None
+    if not state.appointed or not state.tuning.passes_on:
+        return []
+    own = state.members.own.instance
+    readers = find_topology(state.members).readers
+    # A spare reader that reads in place of nodes on slow lines informs those
+    # nodes too.
+    first = state.tuning.readers if is_primary_reader(state) else 0
+    spares = readers[first : first + state.tuning.spare_readers]
+    # Suspects are informed too. A running node may be suspected for a late
+    # reply. If it received nothing, it could neither refute the suspicion,
+    # which each message includes, nor learn that its server leaves.
+    suspects = state.members.list_suspects()
+    body = state.make_swap(now, is_reply=True)
+    return [
+        Send(to=peer, body=body) for peer in (*spares, *suspects) if peer != own
+    ]
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -1,4 +1,4 @@
-"""Decides on offers of documents: take, push on, ask for more."""
+"""Decides on offered document versions: apply, push, or request more."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from wagtaildale.distribution.messages import (
     Effect,
-    Moved,
+    DocumentUpdated,
     ReadBlobs,
-    Refused,
+    VersionRefused,
     Send,
 )
-from wagtaildale.distribution.lapses import take_list
-from wagtaildale.distribution.pushes import push_on
+from wagtaildale.distribution.lapses import update_list
+from wagtaildale.distribution.pushes import push_version
 from wagtaildale.distribution.state import DistributionState
 from wagtaildale.distribution.wire import BlobPull, Pull
 from wagtaildale.document.decisions import decide_offer
@@ -37,10 +37,10 @@
 
     Offer = DeltaOffered | OutlineOffered | BlobsOffered
 
-PATIENCE_SECONDS: Final = 5.0
+PEER_WAIT_SECONDS: Final = 5.0
 
 
-def take_offer(
+def handle_offer(
     state: DistributionState,
     *,
     kind: Kind,
@@ -48,79 +48,80 @@
     now: float,
     from_tree: bool = False,
 ) -> list[Effect]:
-    """Offer a version to its store and carry on from what comes of it.
+    """Offer a version to its store and decide on the outcomes.
 
     Args:
-        state: the node; moved forward in place.
-        kind: which document.
-        offer: the version.
-        now: seconds.
-        from_tree: whether the push tree brought it, so that the tree's
-            root need not be told.
+        state: state of the node; updated in place.
+        kind: kind of the document.
+        offer: version or part of one.
+        now: current time, seconds.
+        from_tree: whether the version came down the push tree, so that it
+            need not be pushed to the root of the tree.
 
     Returns:
-        What to do.
+        Effects to execute.
     """
     effects: list[Effect] = []
     for outcome in decide_offer(offer, state.stores[kind]):
-        effects.extend(_follow(outcome, state, now))
+        effects.extend(_handle_outcome(outcome, state, now))
         if isinstance(outcome, Applied):
             effects.extend(
-                push_on(state, kind=kind, now=now, from_tree=from_tree),
+                push_version(state, kind=kind, now=now, from_tree=from_tree),
             )
     return effects
 
 
 @singledispatch
-def _follow(
+def _handle_outcome(
     outcome: object,
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
-    raise TypeError(f'got {outcome!r}, expected an effect of a store')
+    raise TypeError(f'got {outcome!r}, expected an outcome of a store')
 
 
-@_follow.register
-def _follow_applied(
+@_handle_outcome.register
+def _handle_applied(
     outcome: Applied,
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
     document = outcome.document
-    kept: list[Effect] = []
+    changes: list[Effect] = []
     if document.kind is Kind.instances:
-        # Before the list itself: calls never see it without those kept.
-        kept = take_list(state, document=document, now=now)
-    moved = Moved(
+        # These come before the list itself, so that calls never use the list
+        # without its exceptions.
+        changes = update_list(state, document=document, now=now)
+    updated = DocumentUpdated(
         before=outcome.before,
         document=document,
         origin=outcome.origin,
     )
-    return [*kept, moved]
+    return [*changes, updated]
 
 
-@_follow.register
-def _follow_rejected(
+@_handle_outcome.register
+def _handle_rejected(
     outcome: Rejected,
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
-    return [Refused(rejected=outcome)]
+    return [VersionRefused(rejected=outcome)]
 
 
-@_follow.register
-def _follow_outline_wanted(
+@_handle_outcome.register
+def _handle_outline_wanted(
     outcome: OutlineWanted,
     state: DistributionState,
     now: float,
 ) -> list[Effect]:
     if outcome.origin is None:
         return []
-    return [ask_for_delta(state, kind=outcome.kind, peer=outcome.origin)]
+    return [request_delta(state, kind=outcome.kind, peer=outcome.origin)]
 
 
-@_follow.register
-def _follow_blobs_wanted(
+@_handle_outcome.register
+def _handle_blobs_wanted(
     outcome: BlobsWanted,
     state: DistributionState,
     now: float,
@@ -128,34 +129,34 @@
     if outcome.origin is not None:
         body = BlobPull(outcome.kind, outcome.digests)
         return [Send(to=outcome.origin, body=body)]
-    # Failure: a herd of new nodes reads every part from the platform. Only
-    # appointed readers do so at once; the others get the parts from them,
-    # and turn to the platform when nobody has brought them for a while.
-    waited = now - state.joining.started_at > PATIENCE_SECONDS
+    # Only appointed readers read parts from the platform immediately, so that
+    # many new nodes do not all read every part at once. The others receive the
+    # parts from readers, and read them after a while if no peer has sent them.
+    is_overdue = now - state.joining.started_at > PEER_WAIT_SECONDS
     readers = find_topology(state.members).readers
     read = ReadBlobs(
         kind=outcome.kind,
         digests=outcome.digests,
-        foremost=state.appointed and state.find_own_rank(readers) == 0,
+        is_first_reader=state.appointed and state.find_own_rank(readers) == 0,
     )
-    return [read] if state.appointed or waited else []
+    return [read] if state.appointed or is_overdue else []
 
 
-def ask_for_delta(
+def request_delta(
     state: DistributionState,
     *,
     kind: Kind,
     peer: InstanceId,
 ) -> Send:
-    """Ask a peer for what leads from the held version to its own.
+    """Request the delta from this node's version to that of a peer.
 
     Args:
-        state: the node.
-        kind: which document.
-        peer: who is asked.
+        state: state of the node.
+        kind: kind of the document.
+        peer: instance that receives the request.
 
     Returns:
-        The message.
+        The message to send.
     """
     held = state.stores[kind].held
     return Send(to=peer, body=Pull(kind, held.version, held.digest))
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -1,4 +1,4 @@
-"""Carries out what was decided: send, swap the view, record."""
+"""Executes effects: sends messages, updates the routing view, logs events."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Final, Protocol
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.around import Surroundings
+from wagtaildale.distribution.dependencies import TaskDependencies
 from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.distribution.state import (
     MILLISECONDS,
@@ -23,8 +23,8 @@
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import InstanceId, Kind, NodeState
 
-PLATFORM: Final = 'platform'
-OWN: Final = 'own'
+PLATFORM_ORIGIN: Final = 'platform'
+OWN_ORIGIN: Final = 'own'
 PEER_EVENTS: Final = MappingProxyType(
     {
         NodeState.suspect: EventKind.peer_suspected,
@@ -35,107 +35,107 @@
 
 
 class Sender(Protocol):
-    """The task whose effects are carried out."""
+    """The task that executes effects."""
 
     state: DistributionState
-    around: Surroundings
+    dependencies: TaskDependencies
 
     def send(self, instance: InstanceId, body: Body) -> None:
         """Send a message to an instance.
 
         Args:
-            instance: the receiver.
-            body: what to say.
+            instance: receiving instance.
+            body: body of the message.
         """
 
     def send_seed(self, address: str, body: Body) -> None:
-        """Send a message to whoever listens at an address.
+        """Send a message to an address whose instance is unknown.
 
         Args:
-            address: from the settings.
-            body: what to say.
+            address: address of a seed, from the settings.
+            body: body of the message.
         """
 
 
 @singledispatch
-def carry_out(effect: object, sender: Sender) -> None:
-    """Carry out one effect of a decision.
+def execute(effect: object, sender: Sender) -> None:
+    """Execute one effect of a decision.
 
     Args:
-        effect: what was decided.
-        sender: whose sockets and surroundings are used.
+        effect: effect to execute.
+        sender: task that provides sockets and dependencies.
 
     Raises:
-        TypeError: for an effect that this task does not know.
+        TypeError: for an effect of an unknown type.
     """
     raise TypeError(f'got {effect!r}, expected an effect')
 
 
-@carry_out.register
+@execute.register
 def _send(effect: messages.Send, sender: Sender) -> None:
     sender.send(effect.to, effect.body)
 
 
-@carry_out.register
+@execute.register
 def _send_seed(effect: messages.SendSeed, sender: Sender) -> None:
     sender.send_seed(effect.address, effect.body)
 
 
-@carry_out.register
+@execute.register
 def _watch(effect: messages.Watch, sender: Sender) -> None:
-    sender.around.watches[effect.kind].put(effect)
+    sender.dependencies.watches[effect.kind].put(effect)
     kind = EventKind.reader_stepped_down
     if effect.appointed:
         kind = EventKind.reader_appointed
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         kind,
         subject=effect.kind.name,
         detail=f'rank {effect.rank}',
     )
 
 
-@carry_out.register
+@execute.register
 def _read_source(effect: messages.ReadSource, sender: Sender) -> None:
-    sender.around.fetches.put(effect)
+    sender.dependencies.fetches.put(effect)
 
 
-@carry_out.register
+@execute.register
 def _read_blobs(effect: messages.ReadBlobs, sender: Sender) -> None:
-    sender.around.fetches.put(effect)
+    sender.dependencies.fetches.put(effect)
 
 
-@carry_out.register
-def _move(effect: messages.Moved, sender: Sender) -> None:
+@execute.register
+def _update_document(effect: messages.DocumentUpdated, sender: Sender) -> None:
     document = effect.document
-    around = sender.around
-    if not _may_move(effect, around):
+    dependencies = sender.dependencies
+    if not _check_invariants(effect, dependencies):
         return
     if document.kind is Kind.configuration:
-        around.view.take_configuration(document)
+        dependencies.view.take_configuration(document)
         kind = EventKind.version_applied
     else:
-        around.view.take_instances(document)
-        around.view.take_away(sender.state.members.list_away())
+        dependencies.view.take_instances(document)
+        dependencies.view.take_away(sender.state.members.list_away())
         kind = EventKind.instances_applied
-    around.recorder.record(
+    dependencies.recorder.record(
         kind,
         version=document.version,
         subject=document.digest.hex(),
-        inputs=_describe_way(effect, sender.state),
+        inputs=_describe_origin(effect, sender.state),
     )
 
 
-def _describe_way(
-    effect: messages.Moved,
+def _describe_origin(
+    effect: messages.DocumentUpdated,
     state: DistributionState,
 ) -> Inputs:
-    """Describe by whom and how late a version came here.
+    """Describe the origin and the age of a version for the log.
 
-    A list that comes late is told apart in the log from one that was read
-    late at the platform, and from one that stayed on its way.
+    This distinguishes a list that was read late from the platform from one
+    that was delayed between nodes.
     """
     fresh = state.freshness[effect.document.kind]
-    inputs: Inputs = {'origin': effect.origin or PLATFORM}
+    inputs: Inputs = {'origin': effect.origin or PLATFORM_ORIGIN}
     if fresh.confirmed_at != NEVER:
         age = read_clock() - fresh.confirmed_at
         inputs['reader'] = fresh.reader
@@ -143,85 +143,93 @@
     return inputs
 
 
-@carry_out.register
+@execute.register
 def _change_lapsed(effect: messages.LapsedChanged, sender: Sender) -> None:
-    around = sender.around
-    around.view.take_lapsed(effect.kept, held=effect.held)
-    around.view.take_away(sender.state.members.list_away())
-    around.recorder.record(
+    dependencies = sender.dependencies
+    dependencies.view.take_lapsed(effect.retained, held=effect.departed)
+    dependencies.view.take_away(sender.state.members.list_away())
+    dependencies.recorder.record(
         EventKind.lapsed_changed,
-        version=around.view.current.list_index,
-        detail=' '.join(record.instance for record in effect.kept),
-        inputs={'held': ' '.join(record.instance for record in effect.held)},
+        version=dependencies.view.current.list_index,
+        detail=' '.join(record.instance for record in effect.retained),
+        inputs={
+            'held': ' '.join(record.instance for record in effect.departed)
+        },
     )
 
 
-@carry_out.register
-def _note_return(effect: messages.PlatformReturned, sender: Sender) -> None:
-    sender.around.recorder.record(
+@execute.register
+def _record_platform_return(
+    effect: messages.PlatformReturned, sender: Sender
+) -> None:
+    sender.dependencies.recorder.record(
         EventKind.platform_returned,
         version=effect.revision,
         inputs={'era': effect.era},
     )
 
 
-def _may_move(effect: messages.Moved, around: Surroundings) -> bool:
+def _check_invariants(
+    effect: messages.DocumentUpdated, dependencies: TaskDependencies
+) -> bool:
     document = effect.document
-    moves = f'{effect.before.version} to {document.version}'
-    rises = around.invariants.hold(
+    transition = f'{effect.before.version} to {document.version}'
+    rises = dependencies.invariants.hold(
         Invariant.version_rises,
         holds=document.version > effect.before.version,
-        detail=moves,
+        detail=transition,
     )
-    whole = around.invariants.hold(
+    whole = dependencies.invariants.hold(
         Invariant.version_whole,
         holds=document.entries.keys() == document.blobs.keys(),
-        detail=moves,
+        detail=transition,
     )
-    resources = around.invariants.hold(
+    resources = dependencies.invariants.hold(
         Invariant.route_has_resource,
         holds=CHECKS[document.kind](document).is_ok(),
-        detail=moves,
+        detail=transition,
     )
     return rises and whole and resources
 
 
-@carry_out.register
+@execute.register
 def _change_fleet(
     effect: messages.FleetChanged,
     sender: Sender,
 ) -> None:
-    sender.around.view.take_away(sender.state.members.list_away())
-    for taken in effect.taken:
-        kind = PEER_EVENTS.get(taken.news.state)
-        if kind is None and taken.before in AWAY:
+    sender.dependencies.view.take_away(sender.state.members.list_away())
+    for change in effect.changes:
+        kind = PEER_EVENTS.get(change.news.state)
+        if kind is None and change.before in AWAY:
             kind = EventKind.peer_refuted
         if kind is not None:
-            sender.around.recorder.record(kind, subject=taken.news.instance)
+            sender.dependencies.recorder.record(
+                kind, subject=change.news.instance
+            )
 
 
-@carry_out.register
+@execute.register
 def _change_state(
     effect: messages.StateChanged,
     sender: Sender,
 ) -> None:
-    sender.around.states.append(effect.state)
+    sender.dependencies.states.append(effect.state)
     kind = EventKind.node_leaving
     if effect.state is NodeState.ready:
         kind = EventKind.node_ready
     away = sender.state.members.list_away()
-    sender.around.view.take_away(away)
+    sender.dependencies.view.take_away(away)
     held = sender.state.stores[Kind.configuration].held
-    sender.around.recorder.record(kind, version=held.version)
+    sender.dependencies.recorder.record(kind, version=held.version)
 
 
-@carry_out.register
-def _refuse(effect: messages.Refused, sender: Sender) -> None:
+@execute.register
+def _record_refusal(effect: messages.VersionRefused, sender: Sender) -> None:
     rejected = effect.rejected
     kind = EventKind.version_ignored
     if rejected.fresh:
         kind = EventKind.version_refused
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         kind,
         code=rejected.fault.code,
         version=rejected.version,
@@ -230,12 +238,12 @@
     )
 
 
-@carry_out.register
+@execute.register
 def _change_source(effect: messages.SourceChanged, sender: Sender) -> None:
     kind = EventKind.source_failed
     if effect.code is Code.ok:
         kind = EventKind.source_recovered
-    sender.around.recorder.record(
+    sender.dependencies.recorder.record(
         kind,
         code=effect.code,
         subject=effect.kind.name,
@@ -243,34 +251,39 @@
     )
 
 
-@carry_out.register
+@execute.register
 def _change_suspects(effect: messages.SuspectsChanged, sender: Sender) -> None:
-    sender.around.suspects.publish(effect.suspects)
+    sender.dependencies.suspects.publish(effect.suspects)
     for suspicion in effect.learned:
         kind = EventKind.request_suspected
         if suspicion.ends == 0:
             kind = EventKind.request_cleared
         elif suspicion.ends < TRIAL_ENDS:
             continue
-        sender.around.recorder.record(
+        sender.dependencies.recorder.record(
             kind,
             subject=suspicion.fingerprint.hex(),
-            inputs={'ends': suspicion.ends, 'origin': effect.origin or OWN},
+            inputs={
+                'ends': suspicion.ends,
+                'origin': effect.origin or OWN_ORIGIN,
+            },
         )
 
 
-@carry_out.register
-def _note_behind(effect: messages.PeerBehind, sender: Sender) -> None:
-    sender.around.recorder.record(
+@execute.register
+def _record_unseen_push(effect: messages.PeerBehind, sender: Sender) -> None:
+    sender.dependencies.recorder.record(
         EventKind.push_unseen,
         version=effect.version,
         subject=effect.peer,
     )
 
 
-@carry_out.register
-def _refuse_entry(effect: messages.EntryRefused, sender: Sender) -> None:
-    sender.around.recorder.record(
+@execute.register
+def _record_entry_refusal(
+    effect: messages.EntryRefused, sender: Sender
+) -> None:
+    sender.dependencies.recorder.record(
         EventKind.entry_refused,
         code=effect.code,
         subject=effect.kind.name,
--- a/wagtaildale/distribution/joining.py
+++ b/wagtaildale/distribution/joining.py
@@ -1,4 +1,4 @@
-"""When a new node may call itself ready."""
+"""Decides when a joining node becomes ready."""
 
 from __future__ import annotations
 
@@ -11,61 +11,69 @@
 if TYPE_CHECKING:
     from wagtaildale.distribution.state import DistributionState
 
-PEERS_TO_HEAR: Final = 2
-TOLD_AT_ONCE: Final = 8
+MIN_PEER_REPLIES: Final = 2
+MAX_ANNOUNCED_PEERS: Final = 8
 
 
 def review_ready(state: DistributionState, *, now: float) -> list[Effect]:
     """Decide whether a joining node has become ready.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        The change of state, if there is one.
+        The change of state and its announcement, if the node became ready.
     """
     if state.members.state is not NodeState.joining or not _is_ready(
         state, now
     ):
         return []
     state.members.state = NodeState.ready
-    return [StateChanged(state=NodeState.ready), *announce(state, now=now)]
+    return [
+        StateChanged(state=NodeState.ready),
+        *announce_state(state, now=now),
+    ]
 
 
-def announce(state: DistributionState, *, now: float) -> list[Effect]:
-    """Tell some others at once what this node's state is.
+def announce_state(state: DistributionState, *, now: float) -> list[Effect]:
+    """Send this node's state to some other nodes immediately.
 
     Args:
-        state: the node.
-        now: seconds.
+        state: state of the node.
+        now: current time, seconds.
 
     Returns:
-        Messages to neighbours and to some of the data centre, who pass it
-        on.
+        Messages to neighbours and to some nodes of the data centre, which
+        spread it.
     """
     swap = state.make_swap(now)
     topology = find_topology(state.members)
-    told = dict.fromkeys((*topology.neighbours, *topology.tree))
-    told.pop(state.members.own.instance, None)
-    return [Send(to=peer, body=swap) for peer in tuple(told)[:TOLD_AT_ONCE]]
+    receivers = dict.fromkeys((*topology.neighbours, *topology.tree))
+    receivers.pop(state.members.own.instance, None)
+    return [
+        Send(to=peer, body=swap)
+        for peer in tuple(receivers)[:MAX_ANNOUNCED_PEERS]
+    ]
 
 
 def _is_ready(state: DistributionState, now: float) -> bool:
-    # Failure: a new node settles for a stale platform, shown by routes from
-    # yesterday. It is ready only when peers have answered too, or when for
-    # a while there was nobody but the platform to ask.
+    # The platform may be stale and give outdated routes. So a node becomes
+    # ready only after peers have replied too, or after a while without peers
+    # that could reply.
     stores = state.stores.values()
     if any(store.held.version == NO_VERSION for store in stores):
         return False
     if any(store.pending is not None for store in stores):
         return False
     joining = state.joining
-    if len(joining.peers) >= min(PEERS_TO_HEAR, max(1, len(state.seeds))):
+    if len(joining.replied_peers) >= min(
+        MIN_PEER_REPLIES, max(1, len(state.seeds))
+    ):
         return True
-    asked = len(joining.source) == len(state.stores)
-    # A node without seeds can ask nobody: the peers that the list names get
-    # its first digest, and whoever knows better answers that.
-    patience = state.tuning.alone_seconds if state.seeds else 0
-    alone = now - joining.started_at > patience
-    return alone and (asked or bool(joining.peers))
+    is_confirmed = len(joining.confirmed_kinds) == len(state.stores)
+    # A node without seeds does not wait for peers. Those that the list names
+    # receive its first digest and reply if they have later versions.
+    timeout = state.tuning.alone_seconds if state.seeds else 0
+    is_alone = now - joining.started_at > timeout
+    return is_alone and (is_confirmed or bool(joining.replied_peers))
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -1,4 +1,4 @@
-"""The push tree: who is sent a new version, and again when it was lost."""
+"""Pushes new versions down the push tree and resends lost pushes."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from msgspec import structs
 
 from wagtaildale.distribution.messages import PeerBehind, Send
-from wagtaildale.distribution.state import DistributionState, PushOut
-from wagtaildale.distribution.swaps import tell_fleet
+from wagtaildale.distribution.state import DistributionState, PendingPush
+from wagtaildale.distribution.swaps import make_fleet_change
 from wagtaildale.distribution.wire import Push, Swap
 from wagtaildale.document.model import make_delta
 from wagtaildale.membership.decisions import note_missed
@@ -23,28 +23,28 @@
     from wagtaildale.document.model import Delta
     from wagtaildale.types import InstanceId, Kind
 
-INLINE_BYTES: Final = 65_536
-PUSH_TRIES: Final = 2
+MAX_INLINE_BYTES: Final = 65_536
+MAX_PUSH_ATTEMPTS: Final = 2
 
 
-def push_on(
+def push_version(
     state: DistributionState,
     *,
     kind: Kind,
     now: float,
     from_tree: bool,
 ) -> list[Effect]:
-    """Pass a version that was just taken on to this node's children.
+    """Push a version that was just applied to this node's children.
 
     Args:
-        state: the node; notes what was sent.
-        kind: which document.
-        now: seconds.
-        from_tree: whether the push tree brought it; otherwise the root of
-            the data centre's tree is told too.
+        state: state of the node; records the pending pushes.
+        kind: kind of the document.
+        now: current time, seconds.
+        from_tree: whether the version came down the push tree; otherwise it
+            is also pushed to the root of the data centre's tree.
 
     Returns:
-        What to send.
+        Messages to send.
     """
     if not state.tuning.passes_on:
         return []
@@ -59,60 +59,61 @@
     ]
 
 
-def push_across(
+def push_to_data_centres(
     state: DistributionState,
     *,
     kind: Kind,
     now: float,
 ) -> list[Effect]:
-    """Pass a version that was read at the platform to other data centres.
+    """Push a version that was read from the platform to other data centres.
 
-    Failure guarded here: the readers of a data centre stop, or only nodes on
-    slow lines are left there, and lists come by digests from elsewhere, one
-    a second: an owner learns seconds late that its server leaves. With each
-    reader telling all data centres, one reader in the fleet is enough.
+    Since each reader pushes to all data centres, one reader in the fleet is
+    enough. Otherwise, when the readers of a data centre stop or only nodes on
+    slow lines are left there, lists would arrive by digests from other data
+    centres, one a second, and an owner would learn seconds late that its
+    server leaves.
 
     Args:
-        state: the node; notes what was sent.
-        kind: which document.
-        now: seconds.
+        state: state of the node; records the pending pushes.
+        kind: kind of the document.
+        now: current time, seconds.
 
     Returns:
-        What to send.
+        Messages to send.
     """
     if not state.tuning.passes_on:
         return []
     return [
-        _mark_past_tree(_push_to(state, root, kind, now))
+        _mark_bypassing(_push_to(state, root, kind, now))
         for root in find_topology(state.members).roots
     ]
 
 
 def resend_pushes(state: DistributionState, *, now: float) -> list[Effect]:
-    """Send again what was not seen, and serve past a peer that is gone.
+    """Resend unacknowledged pushes, and bypass peers that do not reply.
 
-    Failure guarded here: an inner node of the push tree dies or loses a
-    message, which shows as a whole branch that stays behind until digests
-    are swapped. A push that was not seen is sent again, then the receiver's
-    children are served in its place. The guard holds since every push is
-    answered, and since taking one twice does no harm.
+    When an inner node of the push tree dies or a message is lost, the whole
+    branch would keep its old version until digests are swapped. So a push
+    without an acknowledgement is sent again, and after that this node pushes
+    to the receiver's children itself. Every push is acknowledged, and applying
+    one twice does no harm.
 
     Args:
-        state: the node; moved forward in place.
-        now: seconds.
+        state: state of the node; updated in place.
+        now: current time, seconds.
 
     Returns:
-        What to send.
+        Messages to send.
     """
     effects: list[Effect] = []
     due = [key for key, push in state.pushes.items() if push.due <= now]
     for peer, kind in due:
         push = state.pushes.pop((peer, kind))
-        if push.tries < PUSH_TRIES:
-            effects.append(_push_to(state, peer, kind, now, push.tries + 1))
+        if push.attempts < MAX_PUSH_ATTEMPTS:
+            effects.append(_push_to(state, peer, kind, now, push.attempts + 1))
             continue
-        taken = note_missed(state.members, peer=peer, now=now)
-        effects.extend(tell_fleet(taken))
+        changes = note_missed(state.members, peer=peer, now=now)
+        effects.extend(make_fleet_change(changes))
         effects.append(PeerBehind(peer=peer, version=push.version))
         effects.extend(
             _push_to(state, child, kind, now)
@@ -141,26 +142,26 @@
     peer: InstanceId,
     kind: Kind,
     now: float,
-    tries: int = 1,
+    attempts: int = 1,
 ) -> Send:
     store = state.stores[kind]
-    state.pushes[(peer, kind)] = PushOut(
+    state.pushes[(peer, kind)] = PendingPush(
         version=store.held.version,
         due=now + state.tuning.resend_seconds,
-        tries=tries,
+        attempts=attempts,
     )
     holding = state.describe_holding(kind, now)
     base = store.history[0]
     delta = make_delta(base, target=store.held)
-    if _measure(delta) > INLINE_BYTES:
+    if _measure(delta) > MAX_INLINE_BYTES:
         return Send(to=peer, body=Swap((holding,), is_reply=False))
     return Send(to=peer, body=Push(delta, holding))
 
 
-def _mark_past_tree(send: Send) -> Send:
+def _mark_bypassing(send: Send) -> Send:
     if not isinstance(send.body, Push):
         return send
-    return Send(to=send.to, body=structs.replace(send.body, is_past_tree=True))
+    return Send(to=send.to, body=structs.replace(send.body, bypasses_tree=True))
 
 
 def _measure(delta: Delta) -> int:
--- a/wagtaildale/distribution/swaps.py
+++ b/wagtaildale/distribution/swaps.py
@@ -1,4 +1,4 @@
-"""Swaps of digests between neighbours: anti-entropy and heartbeat in one."""
+"""Swaps digests with neighbours, as both anti-entropy and heartbeat."""
 
 from __future__ import annotations
 
@@ -15,60 +15,61 @@
     from wagtaildale.distribution.state import DistributionState
     from wagtaildale.membership.decisions import NewsTaken
 
-REPLY_SECONDS: Final = 0.9
-RETRY_AWAY_EVERY: Final = 8
-PEERS_TO_ASK: Final = 2
+REPLY_TIMEOUT_SECONDS: Final = 0.9
+AWAY_RETRY_SWAPS: Final = 8
+MAX_SEEDS_ASKED: Final = 2
 
 
 def swap_digests(state: DistributionState, *, now: float) -> list[Effect]:
-    """Send this node's digest to the neighbour whose turn it is.
+    """Send this node's digest to the next neighbour in turn.
 
     Args:
-        state: the node; notes who owes a reply.
-        now: seconds.
+        state: state of the node; records the pending replies.
+        now: current time, seconds.
 
     Returns:
-        What to send, and whom the missing replies made suspect.
+        Messages to send, and the peers that are suspected for missing replies.
     """
-    late = _list_late(state, now)
-    taken: list[NewsTaken] = []
-    for silent in late:
-        state.awaiting.pop(silent)
-        taken.extend(note_missed(state.members, peer=silent, now=now))
+    unanswered = _list_unanswered(state, now)
+    changes: list[NewsTaken] = []
+    for silent in unanswered:
+        state.pending_replies.pop(silent)
+        changes.extend(note_missed(state.members, peer=silent, now=now))
     body = state.make_swap(now)
     sends: list[Effect] = [
-        Send(to=peer, body=body) for peer in _pick_peers(state, late)
+        Send(to=peer, body=body) for peer in _pick_peers(state, unanswered)
     ]
     for sent in sends:
         if isinstance(sent, Send):
-            state.awaiting[sent.to] = now
-    return [*tell_fleet(taken), *sends, *ask_seeds(state, now=now)]
+            state.pending_replies[sent.to] = now
+    return [*make_fleet_change(changes), *sends, *ask_seeds(state, now=now)]
 
 
-def _list_late(state: DistributionState, now: float) -> list[InstanceId]:
+def _list_unanswered(state: DistributionState, now: float) -> list[InstanceId]:
     return [
         peer
-        for peer, since in state.awaiting.items()
-        if now - since > REPLY_SECONDS
+        for peer, since in state.pending_replies.items()
+        if now - since > REPLY_TIMEOUT_SECONDS
     ]
 
 
 def _pick_peers(
     state: DistributionState,
-    late: list[InstanceId],
+    unanswered: list[InstanceId],
 ) -> list[InstanceId]:
     neighbours = find_topology(state.members).neighbours
-    peers = [peer for peer in late if peer in neighbours]
-    state.turn += 1
-    if state.turn % RETRY_AWAY_EVERY == 0:
-        # Failure: after a partition each side holds the other for dead and
-        # asks nobody there, so nothing would ever heal it.
+    peers = [peer for peer in unanswered if peer in neighbours]
+    state.swap_count += 1
+    if state.swap_count % AWAY_RETRY_SWAPS == 0:
+        # After a partition each side considers the other dead and sends it
+        # nothing, so without these attempts the sides would never reconnect.
         peers.extend(_pick_away(state))
-    # Failure: a node asks nobody but a neighbour that has just ended, and
-    # neither hears of lists nor of what is said of itself until it gives up.
+    # Another neighbour is always included. A node that retries only one that
+    # has just ended would receive no lists and could not refute suspicions of
+    # itself until it gives that neighbour up.
     others = [peer for peer in neighbours if peer not in peers]
     if others:
-        peers.append(others[state.turn % len(others)])
+        peers.append(others[state.swap_count % len(others)])
     return peers
 
 
@@ -82,19 +83,19 @@
 
 
 def ask_seeds(state: DistributionState, *, now: float) -> list[Effect]:
-    """Ask the seeds what they hold, while this node knows nobody better.
+    """Swap digests with seeds while this node is joining or has no neighbours.
 
     Args:
-        state: the node.
-        now: seconds.
+        state: state of the node.
+        now: current time, seconds.
 
     Returns:
-        Digests to some seeds.
+        Digests to send to some of the seeds.
     """
-    alone = not find_topology(state.members).neighbours
-    if not alone and state.members.state is not NodeState.joining:
+    is_alone = not find_topology(state.members).neighbours
+    if not is_alone and state.members.state is not NodeState.joining:
         return []
-    count = min(PEERS_TO_ASK, len(state.seeds))
+    count = min(MAX_SEEDS_ASKED, len(state.seeds))
     body = state.make_swap(now)
     return [
         SendSeed(address=address, body=body)
@@ -102,13 +103,13 @@
     ]
 
 
-def tell_fleet(taken: list[NewsTaken]) -> list[Effect]:
-    """Say that news changed the view of the fleet.
+def make_fleet_change(changes: list[NewsTaken]) -> list[Effect]:
+    """Make the effect of membership news that changed the view of the fleet.
 
     Args:
-        taken: the news, perhaps none.
+        changes: accepted news; may be empty.
 
     Returns:
-        One effect, or none.
+        One effect, or none if there is no news.
     """
-    return [FleetChanged(taken=tuple(taken))] if taken else []
+    return [FleetChanged(changes=tuple(changes))] if changes else []
--- a/wagtaildale/distribution/task.py
+++ b/wagtaildale/distribution/task.py
@@ -1,4 +1,4 @@
-"""The distribution task: it alone touches the sockets and the state."""
+"""Runs the distribution task, the only user of its sockets and state."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from result import Err
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.around import Counts, Surroundings
+from wagtaildale.distribution.dependencies import Counts, TaskDependencies
 from wagtaildale.distribution.decisions import decide
-from wagtaildale.distribution.effects import carry_out
+from wagtaildale.distribution.effects import execute
 from wagtaildale.distribution.state import MILLISECONDS
 from wagtaildale.distribution.wire import (
     Envelope,
@@ -24,36 +24,36 @@
 from wagtaildale.types import InstanceId, NodeState
 
 if TYPE_CHECKING:
-    from wagtaildale.distribution.sockets import Arrival, NodeSockets
+    from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
     from wagtaildale.distribution.state import DistributionState
     from wagtaildale.distribution.wire import Body
     from wagtaildale.timers.inbox import Inbox
 
-LONGEST_WAIT: Final = 1.0
-ANYBODY: Final = InstanceId('')
+MAX_WAIT_SECONDS: Final = 1.0
+ANY_INSTANCE: Final = InstanceId('')
 
 
 def find_wait(state: DistributionState, *, now: float) -> float:
     """Find how long the task may wait for messages.
 
     Args:
-        state: the node.
-        now: seconds.
+        state: state of the node.
+        now: current time, seconds.
 
     Returns:
-        Seconds until a push is due again or, while the node is joining, it
-        is to look again; a second at most.
+        Seconds until the next deadline: of a push, of a confirmation or, while
+        the node is joining, of its next check; at most one second.
     """
     due = [push.due for push in state.pushes.values()]
-    if state.share_due is not None:
-        due.append(state.share_due)
+    if state.confirmation_due_at is not None:
+        due.append(state.confirmation_due_at)
     if state.members.state is NodeState.joining:
-        due.append(state.joining.next_look)
-    return min(LONGEST_WAIT, max(0, min(due, default=now + 1) - now))
+        due.append(state.joining.next_check_at)
+    return min(MAX_WAIT_SECONDS, max(0, min(due, default=now + 1) - now))
 
 
 class DistributionTask:
-    """Takes messages, decides, and carries the effects out."""
+    """Receives messages, decides on them, and executes the effects."""
 
     def __init__(
         self,
@@ -61,18 +61,18 @@
         *,
         sockets: NodeSockets,
         inbox: Inbox[Any],
-        around: Surroundings,
+        dependencies: TaskDependencies,
     ) -> None:
-        """Prepare; ``run`` does the work.
+        """Prepare the task, which ``run`` executes.
 
         Args:
-            state: of a new node.
-            sockets: bound already.
-            inbox: of this task.
-            around: the parts that it talks to.
+            state: state of a new node.
+            sockets: bound sockets.
+            inbox: inbox of this task.
+            dependencies: other parts of the node that it uses.
         """
         self.state = state
-        self.around = around
+        self.dependencies = dependencies
         self.counts = Counts()
         self.sockets = sockets
         self._inbox = inbox
@@ -80,11 +80,11 @@
         sockets.watch_inbox(inbox)
 
     def run(self) -> None:
-        """Work until stopped, then close the sockets."""
+        """Process messages until stopped, then close the sockets."""
         while self._running:
             self._step()
         for message in self._inbox.take_all():
-            self._take(message)
+            self._process(message)
         self.sockets.close()
 
     def stop(self) -> None:
@@ -95,8 +95,8 @@
         """Send a message to an instance.
 
         Args:
-            instance: the receiver.
-            body: what to say.
+            instance: receiving instance.
+            body: body of the message.
         """
         frame = self._encode(instance, body)
         record = self.state.members.records.get(instance)
@@ -108,70 +108,71 @@
         self.counts.unsent += 1
 
     def send_seed(self, address: str, body: Body) -> None:
-        """Send a message to whoever listens at an address.
+        """Send a message to an address whose instance is unknown.
 
         Args:
-            address: from the settings.
-            body: what to say.
+            address: address of a seed, from the settings.
+            body: body of the message.
         """
         self.counts.messages_out += 1
-        self.sockets.send(address, self._encode(ANYBODY, body))
+        self.sockets.send(address, self._encode(ANY_INSTANCE, body))
 
     def _step(self) -> None:
         seconds = find_wait(self.state, now=read_clock())
         expected = read_clock() + seconds
-        arrivals = self.sockets.wait(seconds)
+        received_frames = self.sockets.wait(seconds)
         now = read_clock()
         if now - expected > LATE_SECONDS:
-            self._take(WokeLate(now=now, late_by=now - expected))
-        # Failure: replies have come to a machine that is slow, its timers are
-        # looked at first, and those who sent the replies are blamed for them.
-        for arrival in arrivals:
-            self._receive(arrival)
+            self._process(WokeLate(now=now, late_by=now - expected))
+        # Received messages come before timers. On a slow machine, a timer that
+        # is processed first would suspect peers whose replies have arrived.
+        for received in received_frames:
+            self._receive(received)
         for message in self._inbox.take_all():
-            self._take(message)
+            self._process(message)
         if find_wait(self.state, now=read_clock()) == 0:
-            self._take(messages.Wake())
+            self._process(messages.DeadlineReached())
 
-    def _receive(self, arrival: Arrival) -> None:
-        decoded = decode_envelope(arrival.frame)
+    def _receive(self, received: ReceivedFrame) -> None:
+        decoded = decode_envelope(received.frame)
         if isinstance(decoded, Err):
             self.counts.malformed += 1
             fault = decoded.err_value
             self._record_refusal(fault.code, fault.got)
             return
         envelope = decoded.ok_value
-        # Failure: an address is reused by another instance, and messages
-        # for the old one reach the new one. Each message names whom it is
-        # for, so such a one is dropped here.
-        if envelope.to not in {ANYBODY, self.state.members.own.instance}:
+        # If an address is reused by another instance, messages for the previous
+        # one reach the new one. They name their receiver and are dropped here.
+        if envelope.to not in {ANY_INSTANCE, self.state.members.own.instance}:
             self.counts.misdirected += 1
             self._record_refusal(Code.message_misdirected, envelope.to)
             return
         self.counts.messages_in += 1
-        self.sockets.note_route(envelope.sender, arrival.route)
-        self.around.recorder.clock.observe(envelope.stamp)
-        self._take(messages.Received(envelope=envelope))
+        self.sockets.note_route(envelope.sender, received.route)
+        self.dependencies.recorder.clock.observe(envelope.stamp)
+        self._process(messages.Received(envelope=envelope))
 
-    def _take(self, message: object) -> None:
+    def _process(self, message: object) -> None:
         if isinstance(message, WokeLate):
             detail = f'{message.late_by:.1f} s'
-            self.around.recorder.record(EventKind.woke_late, detail=detail)
+            self.dependencies.recorder.record(
+                EventKind.woke_late, detail=detail
+            )
         for effect in decide(message, self.state, now=read_clock()):
-            carry_out(effect, self)
+            execute(effect, self)
 
     def _encode(self, to: InstanceId, body: Body) -> bytes:
         envelope = Envelope(
             to=to,
             news=pick_news(self.state.members, to=to),
-            stamp=self.around.recorder.clock.tick(),
+            stamp=self.dependencies.recorder.clock.tick(),
             body=body,
             sent_ms=round(read_clock() * MILLISECONDS),
         )
         return encode_envelope(envelope)
 
     def _record_refusal(self, code: Code, detail: str) -> None:
-        self.around.recorder.record(
+        self.dependencies.recorder.record(
             EventKind.message_refused,
             code=code,
             detail=detail,
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -1,12 +1,12 @@
-"""Tests of the order in which the distribution task takes what has come."""
+"""Tests of the order in which the distribution task processes messages."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Final, cast
 
-from wagtaildale.distribution.around import Surroundings
-from wagtaildale.distribution.sockets import Arrival, NodeSockets
-from wagtaildale.distribution.swaps import REPLY_SECONDS
+from wagtaildale.distribution.dependencies import TaskDependencies
+from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
+from wagtaildale.distribution.swaps import REPLY_TIMEOUT_SECONDS
 from wagtaildale.distribution.task import DistributionTask
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.distribution.wire import Swap, encode_envelope
@@ -30,28 +30,28 @@
 
 
 class ReplySockets:
-    """Gives one reply, then ends the task; sends nowhere."""
+    """Returns one received reply, then ends the task; sends nothing."""
 
     def __init__(self, frame: bytes) -> None:
         self.task: DistributionTask | None = None
         self._frame = frame
 
     def watch_inbox(self, inbox: Inbox[Any]) -> None:
-        """The task does not wait here."""
+        """Do nothing, since the task does not wait here."""
 
-    def wait(self, seconds: float) -> list[Arrival]:
+    def wait(self, seconds: float) -> list[ReceivedFrame]:
         assert self.task is not None
         self.task.stop()
-        return [Arrival(self._frame, 'route')]
+        return [ReceivedFrame(self._frame, 'route')]
 
     def note_route(self, instance: InstanceId, route: bytes | str) -> None:
-        """Nothing is answered."""
+        """Do nothing, since no reply is sent."""
 
     def answer(self, instance: InstanceId, frame: bytes) -> bool:
         return True
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing, since no socket is open."""
 
 
 def make_task(
@@ -60,7 +60,7 @@
     inbox: Inbox[Any],
 ) -> DistributionTask:
     recorder = build_recorder()
-    around = Surroundings(
+    dependencies = TaskDependencies(
         recorder=recorder,
         invariants=Invariants(recorder),
         view=ViewHolder(),
@@ -69,17 +69,19 @@
         suspects=SuspectsHolder(inbox.put),
         states=[],
     )
-    faked = cast('NodeSockets', sockets)
-    task = DistributionTask(state, sockets=faked, inbox=inbox, around=around)
+    fake_sockets = cast('NodeSockets', sockets)
+    task = DistributionTask(
+        state, sockets=fake_sockets, inbox=inbox, dependencies=dependencies
+    )
     sockets.task = task
     return task
 
 
-def test_reply_that_has_come_is_no_missing_one() -> None:
-    """A node on a slow machine suspects others whose replies it has.
+def test_received_reply_is_not_counted_as_missing() -> None:
+    """A node on a slow machine suspects peers whose replies have arrived.
 
-    A reply and the timer of the next digest come in one turn. The timer was
-    looked at first, and found the reply missing.
+    A reply and the timer of the next digest are processed in the same step. If
+    the timer comes first, it finds the reply missing.
     """
     network = build_network(8)
     own = InstanceId('a')
@@ -88,7 +90,7 @@
     reply = network.wrap(peer, to=own, body=Swap((), is_reply=True))
     now = read_clock()
     note_missed(state.members, peer=peer, now=now - EARLIER_SECONDS)
-    state.awaiting = {peer: now - 2 * REPLY_SECONDS}
+    state.pending_replies = {peer: now - 2 * REPLY_TIMEOUT_SECONDS}
     inbox: Inbox[Any] = Inbox()
     inbox.put(Tick(name=TimerName.digest, now=now))
     sockets = ReplySockets(encode_envelope(reply.envelope))
