--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -32,7 +32,7 @@
 from wagtaildale.document.state import StoreState, make_store
 from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.membership.news import News
-from wagtaildale.membership.topology import Place, compute_topology
+from wagtaildale.membership.topology import Member, compute_topology
 from wagtaildale.routing.table import RoutingTable
 from wagtaildale.testing.builders import (
     build_instances,
@@ -114,7 +114,7 @@
     parts = check_parts(configuration.held.blobs).unwrap()
     table = RoutingTable(parts)
     places = [
-        Place(InstanceId(f'i{number}'), _find_centre(number))
+        Member(InstanceId(f'i{number}'), _find_centre(number))
         for number in range(size.instances)
     ]
     change = _build_configuration(size, 2)
--- a/properties/test_attempts.py
+++ b/properties/test_attempts.py
@@ -16,7 +16,7 @@
 from wagtaildale.calls.budgets import RetryBudget
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.table import RETRIES_MOST
+from wagtaildale.routing.table import DEFAULT_RETRIES
 from wagtaildale.testing.builders import build_retry_share
 from wagtaildale.types import InstanceId, Outcome
 
@@ -76,7 +76,7 @@
 
     @invariant()
     def attempts_are_bounded(self) -> None:
-        assert self.sent <= RETRIES_MOST + 1
+        assert self.sent <= DEFAULT_RETRIES + 1
 
     @invariant()
     def budget_is_never_overdrawn(self) -> None:
--- a/wagtaildale/admin/reports.py
+++ b/wagtaildale/admin/reports.py
@@ -147,12 +147,12 @@
     record: InstanceRecord,
 ) -> str:
     statistics = node.calls.entry.parts.placement.statistics
-    if statistics.leavers.has(record):
+    if statistics.leaving_servers.has(record):
         return 'leaves'
     if record.instance in view.away:
         return 'away'
     now = read_clock()
-    room = statistics.limits.measure_room(record.instance, now=now)
+    room = statistics.limits.find_accepted_share(record.instance, now=now)
     return 'takes work' if room >= 1 else f'takes {room:.2f} of its work'
 
 
--- a/wagtaildale/admin/tests/test_pages.py
+++ b/wagtaildale/admin/tests/test_pages.py
@@ -29,7 +29,7 @@
 
 def build_view() -> ViewHolder:
     holder = ViewHolder()
-    holder.take_configuration(build_configuration(3))
+    holder.replace_configuration(build_configuration(3))
     return holder
 
 
--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -9,7 +9,7 @@
 
 from wagtaildale.calls.budgets import RetryBudget
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.table import RETRIES_MOST
+from wagtaildale.routing.table import DEFAULT_RETRIES
 from wagtaildale.suspects.records import TRIAL_ENDS
 from wagtaildale.types import InstanceId, Outcome
 
@@ -80,7 +80,7 @@
     idempotent: bool
     deadline: float
     budget: RetryBudget
-    retries_left: int = RETRIES_MOST
+    retries_left: int = DEFAULT_RETRIES
     refusals_left: int = REFUSALS_MOST
     tried: list[InstanceId] = field(default_factory=list)
     busy: list[InstanceId] = field(default_factory=list)
--- a/wagtaildale/calls/descriptions.py
+++ b/wagtaildale/calls/descriptions.py
@@ -13,7 +13,7 @@
     decode_rate,
     encode_rate,
 )
-from wagtaildale.routing.known_limits import NamedLimit
+from wagtaildale.routing.known_limits import ServerLimit
 from wagtaildale.routing.upstream import OwnerReport, UpstreamStatistics
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import ANY_INCARNATION
@@ -65,13 +65,13 @@
         slot_seconds=answer.slot_us / MICROSECONDS,
         run_seconds=answer.backend_us / MICROSECONDS,
         class_seconds=answer.class_us / MICROSECONDS,
-        class_usual=answer.class_usual_us / MICROSECONDS,
+        class_usual_seconds=answer.class_usual_us / MICROSECONDS,
         code=answer.code,
-        named=read_limit(answer),
+        server_limit=read_limit(answer),
     )
 
 
-def read_limit(told: AnswerFields | Load) -> NamedLimit | None:
+def read_limit(told: AnswerFields | Load) -> ServerLimit | None:
     """Read what an owner says that its backend server takes.
 
     Args:
@@ -82,7 +82,7 @@
     """
     if told.rate_milli == UNHEARD_RATE:
         return None
-    return NamedLimit(
+    return ServerLimit(
         per_second=decode_rate(told.rate_milli),
         share=told.share or ALL_PASS,
     )
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -9,7 +9,7 @@
 from wagtaildale.admission.messages import MIDDLE_RANK, TicketId
 from wagtaildale.admission.shares import LEAST_PARTS, PARTS, PassShare
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.leavers import Leaver
+from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.types import (
     ANY_INCARNATION,
     Incarnation,
@@ -147,7 +147,7 @@
     ends: int = 0
     rate_milli: int = UNHEARD_RATE
     share: PassShare | None = None
-    leaving: Leaver | None = None
+    leaving: LeavingServer | None = None
 
 
 def encode_rate(per_second: float | None) -> int:
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -20,7 +20,7 @@
     CallFields,
 )
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.leavers import Leaver
+from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.types import CallNumber, InstanceId
 
 LENGTH: Final = struct.Struct('>I')
@@ -182,7 +182,7 @@
     slowness_percent: int = 0
     rate_milli: int = UNHEARD_RATE
     share: PassShare | None = None
-    leaving: Leaver | None = None
+    leaving: LeavingServer | None = None
 
 
 class Leaving(Struct, frozen=True, array_like=True, tag=13, gc=False):
--- a/wagtaildale/calls/load_teller.py
+++ b/wagtaildale/calls/load_teller.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from wagtaildale.admission.gate import Gate
-    from wagtaildale.routing.leavers import Leaver
+    from wagtaildale.routing.leaving_servers import LeavingServer
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.types import InstanceId
 
@@ -45,7 +45,7 @@
         """
         self.listeners: list[Callable[[Load], None]] = []
         self._is_up = True
-        self._leaving: Leaver | None = None
+        self._leaving: LeavingServer | None = None
         self._gate = gate
         self._instance = instance
         self._recorder = recorder
@@ -58,7 +58,7 @@
         if demand.take_change(self._share_out(now), now=now) or percent:
             self._tell(self._describe_load(percent))
 
-    def tell_leaving(self, leaving: Leaver) -> None:
+    def tell_leaving(self, leaving: LeavingServer) -> None:
         """Tell that the backend server has said that it leaves.
 
         Args:
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.descriptions import read_limit
-from wagtaildale.routing.leavers import Leaver
+from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
 
@@ -54,7 +54,7 @@
         for instance in self._list_instances(address):
             self._note_load(instance, load)
 
-    def note_leaver(self, address: Address, leaver: Leaver) -> None:
+    def note_leaver(self, address: Address, leaver: LeavingServer) -> None:
         """Note that a backend server has said that it leaves.
 
         Failure guarded here: a node says so of servers that are not its own,
@@ -74,8 +74,8 @@
             )
             return
         if not leaver.born and record is not None:
-            leaver = Leaver(leaver.instance, record.born)
-        if self._statistics.leavers.note(leaver):
+            leaver = LeavingServer(leaver.instance, record.born)
+        if self._statistics.leaving_servers.note(leaver):
             self._recorder.record(
                 EventKind.upstream_leaving,
                 subject=leaver.instance,
@@ -106,7 +106,7 @@
     def _note_load(self, instance: InstanceId, load: Load) -> None:
         now = read_clock()
         statistics = self._statistics
-        statistics.note_watched(instance, is_up=load.is_up, now=now)
+        statistics.note_server_state(instance, is_up=load.is_up, now=now)
         statistics.limits.note(instance, read_limit(load), now=now)
         upstream = statistics.find(instance, now=now)
         upstream.note_load(
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -112,7 +112,7 @@
                     upstream.speed.find_slowness(read_clock()) * PERCENT,
                 ),
                 'load_age_ms': round(
-                    upstream.measure_age(read_clock()) * MILLISECONDS,
+                    upstream.measure_load_age(read_clock()) * MILLISECONDS,
                 ),
             },
         )
--- a/wagtaildale/calls/routed.py
+++ b/wagtaildale/calls/routed.py
@@ -21,7 +21,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.loop import Loop
 from wagtaildale.routing.placement import Placement
-from wagtaildale.routing.table import RETRIES_MOST, RouteMatch
+from wagtaildale.routing.table import DEFAULT_RETRIES, RouteMatch
 from wagtaildale.routing.view import FleetView, ViewHolder
 from wagtaildale.suspects.board import SuspectBoard
 from wagtaildale.telemetry.events import EventRecorder
@@ -117,7 +117,7 @@
     due: float
     idempotency_key: str = ''
     depth: int = 0
-    retries: int = RETRIES_MOST
+    retries: int = DEFAULT_RETRIES
 
 
 def route_call(parts: EntryParts, message: Message) -> Routed:
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from wagtaildale.routing.leavers import Leaver, Leavers
+from wagtaildale.routing.leaving_servers import LeavingServer, LeavingServers
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import ListedState
 
@@ -35,10 +35,10 @@
             find_record: gives what is listed of an instance.
             recorder: gets an event when the server says that it leaves.
         """
-        self.listeners: list[Callable[[Leaver], None]] = []
+        self.listeners: list[Callable[[LeavingServer], None]] = []
         self._find_record = find_record
         self._recorder = recorder
-        self._leavers = Leavers()
+        self._leavers = LeavingServers()
 
     def is_leaving(self, instance: InstanceId) -> bool:
         """Tell whether an instance leaves.
@@ -54,7 +54,7 @@
             return True
         return self.find_leaver(instance) is not None
 
-    def find_leaver(self, instance: InstanceId) -> Leaver | None:
+    def find_leaver(self, instance: InstanceId) -> LeavingServer | None:
         """Find whether an instance has said itself that it leaves.
 
         Args:
@@ -67,14 +67,18 @@
             return None
         record = self._find_record(instance)
         if record is None:
-            return Leaver(instance) if self._leavers.knows(instance) else None
+            return (
+                LeavingServer(instance)
+                if self._leavers.knows(instance)
+                else None
+            )
         if self._leavers.has(record):
-            return Leaver(instance, record.born)
+            return LeavingServer(instance, record.born)
         return None
 
     def note_started(self) -> None:
         """Learn that the server has ended; the next one has said nothing."""
-        self._leavers = Leavers()
+        self._leavers = LeavingServers()
 
     def note_said(self, instance: InstanceId) -> None:
         """Note that the server has said that it leaves.
@@ -83,7 +87,7 @@
             instance: that answered.
         """
         record = self._find_record(instance)
-        leaver = Leaver(instance, 0 if record is None else record.born)
+        leaver = LeavingServer(instance, 0 if record is None else record.born)
         if self._leavers.note(leaver):
             self._recorder.record(EventKind.server_leaving, subject=instance)
             for tell in self.listeners:
--- a/wagtaildale/calls/server_words.py
+++ b/wagtaildale/calls/server_words.py
@@ -22,7 +22,7 @@
     from wagtaildale.admission.gate import Gate
     from wagtaildale.calls.dialect import Dialect
     from wagtaildale.calls.parsing import Message
-    from wagtaildale.routing.leavers import Leaver
+    from wagtaildale.routing.leaving_servers import LeavingServer
     from wagtaildale.telemetry.events import EventRecorder
 
 DECIMAL: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
@@ -139,7 +139,7 @@
             )
         self._gate.note_server(ServerStarted())
 
-    def note_leaving(self, _leaver: Leaver) -> None:
+    def note_leaving(self, _leaver: LeavingServer) -> None:
         """Learn that the server leaves: whoever waits for it is refused.
 
         Args:
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -8,8 +8,8 @@
 
 from wagtaildale.calls.trials import refuse_suspect
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.placement import Placed
-from wagtaildale.routing.trials import list_places
+from wagtaildale.routing.placement import ChosenUpstream
+from wagtaildale.routing.suspected_requests import list_allowed_upstreams
 from wagtaildale.suspects.board import Judgement
 from wagtaildale.suspects.fingerprints import (
     Asked,
@@ -103,7 +103,7 @@
     *,
     suspect: Suspect,
     statistics: FleetStatistics,
-) -> Placed | None:
+) -> ChosenUpstream | None:
     """Place an attempt of a request that may not run at any server.
 
     Args:
@@ -127,7 +127,7 @@
             judgement,
             places=_find_last_node(view, attempts),
         )
-    places = list_places(
+    places = list_allowed_upstreams(
         view,
         routed.service,
         fingerprint=suspect.fingerprint,
@@ -140,7 +140,7 @@
         place
         for place in places
         if place.instance not in attempts.tried
-        and not statistics.leavers.has(place)
+        and not statistics.leaving_servers.has(place)
     ]
     up = [
         place
@@ -154,7 +154,7 @@
             ends=attempts.ends,
             wait_seconds=RETURN_SECONDS,
         )
-    return Placed(record=(up or untried)[0], is_only=True)
+    return ChosenUpstream(record=(up or untried)[0], is_only_candidate=True)
 
 
 def _find_last_node(
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -18,8 +18,8 @@
 from wagtaildale.calls.suspected_call import place_suspect
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.candidates import list_candidates
-from wagtaildale.routing.choice import Need
-from wagtaildale.routing.throttling import Throttled, find_need_rank
+from wagtaildale.routing.choice import RequestContext
+from wagtaildale.routing.throttling import Throttled, find_request_rank
 from wagtaildale.routing.upstream import UPSTREAM_FAULTS, UpstreamStatistics
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
@@ -33,7 +33,7 @@
     from wagtaildale.calls.routed import EntryParts, Routed
     from wagtaildale.calls.suspected_call import Suspect
     from wagtaildale.membership.records import InstanceRecord
-    from wagtaildale.routing.placement import Placed
+    from wagtaildale.routing.placement import ChosenUpstream
     from wagtaildale.routing.statistics import FleetStatistics
 
 # A service without a server gets one when the list changes; asking again in
@@ -116,7 +116,7 @@
         patient = (
             not attempts.refusals_left
             or record.instance in attempts.tried
-            or placed.is_only
+            or placed.is_only_candidate
         )
         attempts.tried.append(record.instance)
         upstream = self._statistics.find(
@@ -173,11 +173,11 @@
             self._parts.view.current,
             service=routed.service,
             tried=tried,
-            leavers=statistics.leavers,
+            leaving_servers=statistics.leaving_servers,
         )
         return any(
             record.instance not in tried
-            and not statistics.is_out(record.instance, now=now)
+            and not statistics.is_ejected(record.instance, now=now)
             and not statistics.limits.has(record.instance)
             for record in candidates
         )
@@ -226,7 +226,7 @@
         )
         self._statistics.limits.note(
             target.fields.instance,
-            report.named,
+            report.server_limit,
             now=now,
         )
         if target.upstream.note_answer(report, now=now):
@@ -277,7 +277,7 @@
         suspect: Suspect | None,
         *,
         spare: bool,
-    ) -> Placed | Throttled | None:
+    ) -> ChosenUpstream | Throttled | None:
         parts = self._parts
         view = parts.view.current
         if suspect is not None:
@@ -290,26 +290,26 @@
             )
             if placed is not None:
                 return placed
-        useless = attempts.list_useless()
+        excluded = attempts.list_useless()
         if routed.idempotency_key:
             return parts.placement.choose_by_key(
                 view,
                 routed.service,
                 key=routed.idempotency_key,
-                useless=useless,
+                excluded=excluded,
             )
         now = read_clock()
         return parts.placement.choose(
             view,
             routed.service,
-            useless=useless,
-            need=Need(
+            excluded=excluded,
+            request=RequestContext(
                 data_centre=parts.data_centre,
                 work_class=name_class(routed),
                 slack_seconds=routed.due - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
                 pass_rank=_find_need_rank(routed, self._statistics),
-                is_spare=spare,
+                is_hedge=spare,
                 was_limited=attempts.was_limited,
             ),
             now=now,
@@ -317,7 +317,7 @@
 
 
 def _find_need_rank(routed: Routed, statistics: FleetStatistics) -> int:
-    return find_need_rank(
+    return find_request_rank(
         routed.match.work_class.rank,
         work_class=name_class(routed),
         slack_seconds=routed.due - read_clock(),
--- a/wagtaildale/calls/tests/test_owner_listener.py
+++ b/wagtaildale/calls/tests/test_owner_listener.py
@@ -10,7 +10,7 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.frames import Load
 from wagtaildale.calls.owner_listener import OwnerListener
-from wagtaildale.routing.leavers import Leaver
+from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.telemetry.events import EventKind
@@ -40,7 +40,7 @@
             structs.replace(build_record(MINE, host=ADDRESS.host), born=7),
             build_record(OTHER, host='127.0.9.2'),
         )
-        self.view.take_instances(build_instances(*self.records))
+        self.view.replace_instances(build_instances(*self.records))
         self.listener = OwnerListener(
             self.view,
             statistics=self.statistics,
@@ -58,9 +58,11 @@
 
 def test_owner_speaks_for_its_own_server_alone(entry: Entry) -> None:
     """A node says that all servers leave, and a service has none."""
-    entry.hear(structs.replace(LOAD, leaving=Leaver(OTHER)))
-    entry.hear(structs.replace(LOAD, leaving=Leaver(MINE)))
-    leave = [entry.statistics.leavers.has(each) for each in entry.records]
+    entry.hear(structs.replace(LOAD, leaving=LeavingServer(OTHER)))
+    entry.hear(structs.replace(LOAD, leaving=LeavingServer(MINE)))
+    leave = [
+        entry.statistics.leaving_servers.has(each) for each in entry.records
+    ]
     assert leave == [True, False]
     kinds = [event.kind for event in entry.recorder.read_since(0)]
     assert kinds == [EventKind.message_refused, EventKind.upstream_leaving]
@@ -88,10 +90,10 @@
             LOAD,
             is_up=False,
             rate_milli=1000,
-            leaving=Leaver(MINE),
+            leaving=LeavingServer(MINE),
         ),
     )
     assert entry.statistics.limits.has(MINE)
     entry.hear(LOAD)
     assert not entry.statistics.limits.has(MINE)
-    assert not entry.statistics.leavers.has(entry.records[0])
+    assert not entry.statistics.leaving_servers.has(entry.records[0])
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -22,7 +22,7 @@
     wait_until,
 )
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.table import RETRIES_MOST
+from wagtaildale.routing.table import DEFAULT_RETRIES
 from wagtaildale.testing.builders import build_record, build_retry_share
 from wagtaildale.testing.mesh import BACKEND_PORT, MeshNode
 from wagtaildale.types import DataCentre, Incarnation, Outcome
@@ -65,9 +65,9 @@
     failure = CallFailed(Code.draining)
     granted = [
         attempts.may_retry(failure, now=1, replayable=True)
-        for _attempt in range(RETRIES_MOST + 1)
+        for _attempt in range(DEFAULT_RETRIES + 1)
     ]
-    assert granted == [*(RETRIES_MOST * (True,)), False]
+    assert granted == [*(DEFAULT_RETRIES * (True,)), False]
 
 
 def test_brownout_is_not_multiplied() -> None:
--- a/wagtaildale/calls/trials.py
+++ b/wagtaildale/calls/trials.py
@@ -9,7 +9,7 @@
 from wagtaildale.calls.server_ends import ServerEnds
 from wagtaildale.calls.turns import Turns
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.trials import list_places
+from wagtaildale.routing.suspected_requests import list_allowed_upstreams
 from wagtaildale.suspects.answered import AnsweredLately
 from wagtaildale.suspects.fingerprints import (
     Asked,
@@ -228,7 +228,7 @@
         if not judgement.places:
             # Its entry knows of an end that is not known here yet.
             return
-        places = list_places(
+        places = list_allowed_upstreams(
             self._view.current,
             ServiceName(fields.work_class.partition('/')[0]),
             fingerprint=fingerprint,
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -82,7 +82,7 @@
 ) -> list[messages.Effect]:
     envelope = message.envelope
     note_heard(state.members, peer=envelope.sender)
-    taken = merge_news(state.members, heard=envelope.news, now=now)
+    taken = merge_news(state.members, received=envelope.news, now=now)
     context = Context(
         state=state,
         sender=envelope.sender,
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -18,7 +18,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariant
 from wagtaildale.telemetry.events import EventKind, Inputs
-from wagtaildale.membership.news import AWAY
+from wagtaildale.membership.news import AWAY_STATES
 from wagtaildale.suspects.records import TRIAL_ENDS
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import InstanceId, Kind, NodeState
@@ -111,11 +111,11 @@
     if not _may_move(effect, around):
         return
     if document.kind is Kind.configuration:
-        around.view.take_configuration(document)
+        around.view.replace_configuration(document)
         kind = EventKind.version_applied
     else:
-        around.view.take_instances(document)
-        around.view.take_away(sender.state.members.list_away())
+        around.view.replace_instances(document)
+        around.view.replace_away(sender.state.members.list_away())
         kind = EventKind.instances_applied
     around.recorder.record(
         kind,
@@ -146,8 +146,8 @@
 @carry_out.register
 def _change_lapsed(effect: messages.LapsedChanged, sender: Sender) -> None:
     around = sender.around
-    around.view.take_lapsed(effect.kept, held=effect.held)
-    around.view.take_away(sender.state.members.list_away())
+    around.view.replace_lapsed(effect.kept, held=effect.held)
+    around.view.replace_away(sender.state.members.list_away())
     around.recorder.record(
         EventKind.lapsed_changed,
         version=around.view.current.list_index,
@@ -191,10 +191,10 @@
     effect: messages.FleetChanged,
     sender: Sender,
 ) -> None:
-    sender.around.view.take_away(sender.state.members.list_away())
+    sender.around.view.replace_away(sender.state.members.list_away())
     for taken in effect.taken:
         kind = PEER_EVENTS.get(taken.news.state)
-        if kind is None and taken.before in AWAY:
+        if kind is None and taken.before in AWAY_STATES:
             kind = EventKind.peer_refuted
         if kind is not None:
             sender.around.recorder.record(kind, subject=taken.news.instance)
@@ -210,7 +210,7 @@
     if effect.state is NodeState.ready:
         kind = EventKind.node_ready
     away = sender.state.members.list_away()
-    sender.around.view.take_away(away)
+    sender.around.view.replace_away(away)
     held = sender.state.stores[Kind.configuration].held
     sender.around.recorder.record(kind, version=held.version)
 
@@ -219,7 +219,7 @@
 def _refuse(effect: messages.Refused, sender: Sender) -> None:
     rejected = effect.rejected
     kind = EventKind.version_ignored
-    if rejected.fresh:
+    if rejected.is_first:
         kind = EventKind.version_refused
     sender.around.recorder.record(
         kind,
--- a/wagtaildale/distribution/lapses.py
+++ b/wagtaildale/distribution/lapses.py
@@ -17,7 +17,7 @@
 from wagtaildale.distribution.messages import LapsedChanged, PlatformReturned
 from wagtaildale.distribution.state import NEVER, DistributionState
 from wagtaildale.document.eras import find_era, find_revision
-from wagtaildale.membership.decisions import take_records
+from wagtaildale.membership.decisions import replace_records
 from wagtaildale.membership.records import InstanceRecord, decode_record
 from wagtaildale.types import InstanceId, Kind, ListedState, Version
 
@@ -151,7 +151,7 @@
     lapses.held = held
     known = {**kept, **lapses.listed, **held}
     records = {record.node_id: record for record in known.values()}
-    take_records(state.members, records=records)
+    replace_records(state.members, records=records)
     if not changed:
         return []
     return [
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -12,7 +12,7 @@
 from wagtaildale.distribution.swaps import tell_fleet
 from wagtaildale.distribution.wire import Push, Swap
 from wagtaildale.document.model import make_delta
-from wagtaildale.membership.decisions import note_missed
+from wagtaildale.membership.decisions import note_missed_reply
 from wagtaildale.membership.state import find_topology
 from wagtaildale.membership.topology import list_children
 
@@ -111,7 +111,7 @@
         if push.tries < PUSH_TRIES:
             effects.append(_push_to(state, peer, kind, now, push.tries + 1))
             continue
-        taken = note_missed(state.members, peer=peer, now=now)
+        taken = note_missed_reply(state.members, peer=peer, now=now)
         effects.extend(tell_fleet(taken))
         effects.append(PeerBehind(peer=peer, version=push.version))
         effects.extend(
--- a/wagtaildale/distribution/staleness.py
+++ b/wagtaildale/distribution/staleness.py
@@ -14,7 +14,7 @@
     DistributionState,
     Freshness,
 )
-from wagtaildale.membership.news import AWAY
+from wagtaildale.membership.news import AWAY_STATES
 from wagtaildale.membership.state import find_topology
 
 # Of the step between two ranks, where the last reader is known to be gone.
@@ -92,7 +92,7 @@
 def _find_gone(state: DistributionState, last: Freshness) -> float | None:
     """Find when this node heard that the last reader stops or is dead."""
     entry = state.members.entries.get(last.near_reader)
-    if entry is None or entry.news.state not in AWAY:
+    if entry is None or entry.news.state not in AWAY_STATES:
         return None
     return entry.since
 
--- a/wagtaildale/distribution/swaps.py
+++ b/wagtaildale/distribution/swaps.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.distribution.messages import FleetChanged, Send, SendSeed
-from wagtaildale.membership.decisions import note_missed
+from wagtaildale.membership.decisions import note_missed_reply
 from wagtaildale.membership.state import find_topology
 from wagtaildale.types import InstanceId, NodeState
 
@@ -34,7 +34,7 @@
     taken: list[NewsTaken] = []
     for silent in late:
         state.awaiting.pop(silent)
-        taken.extend(note_missed(state.members, peer=silent, now=now))
+        taken.extend(note_missed_reply(state.members, peer=silent, now=now))
     body = state.make_swap(now)
     sends: list[Effect] = [
         Send(to=peer, body=body) for peer in _pick_peers(state, late)
--- a/wagtaildale/distribution/tests/test_handover.py
+++ b/wagtaildale/distribution/tests/test_handover.py
@@ -16,7 +16,7 @@
 )
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.distribution.wire import Push
-from wagtaildale.membership.topology import ROOTS_TOLD
+from wagtaildale.membership.topology import ROOTS_PER_DATA_CENTRE
 from wagtaildale.testing.builders import build_instances
 from wagtaildale.types import InstanceId
 
@@ -38,7 +38,7 @@
 )
 # Each of two readers tells two nodes of the other data centre, of which one
 # may tell the first of its push tree.
-COPIES_ACROSS: Final = 2 * (ROOTS_TOLD + 1)
+COPIES_ACROSS: Final = 2 * (ROOTS_PER_DATA_CENTRE + 1)
 # A planned stop is known beforehand; its reader is replaced at the next look.
 HANDOVER_SECONDS: Final = 0.5
 # How much longer than its time a watch without an answer is waited for.
--- a/wagtaildale/distribution/tests/test_lapses.py
+++ b/wagtaildale/distribution/tests/test_lapses.py
@@ -167,11 +167,11 @@
 def test_view_has_the_kept_beside_the_listed() -> None:
     view = ViewHolder()
     first, second = build_records()
-    view.take_instances(build_instances(first, second))
-    view.take_lapsed((second,))
-    view.take_instances(build_instances(first, version=2))
+    view.replace_instances(build_instances(first, second))
+    view.replace_lapsed((second,))
+    view.replace_instances(build_instances(first, version=2))
     assert set(list_upstreams(view)) == {first.instance, second.instance}
-    view.take_lapsed(())
+    view.replace_lapsed(())
     assert list_upstreams(view) == [first.instance]
 
 
--- a/wagtaildale/distribution/tests/test_returns.py
+++ b/wagtaildale/distribution/tests/test_returns.py
@@ -135,12 +135,12 @@
     """A node knows that a server left, and its calls go there."""
     view = ViewHolder()
     listed = build_instances(*network.records)
-    view.take_instances(listed)
+    view.replace_instances(listed)
     held = mark_leaving(network.records)[3]
-    view.take_lapsed((), held=(held,))
-    view.take_instances(listed)
+    view.replace_lapsed((), held=(held,))
+    view.replace_instances(listed)
     assert view.current.is_away(view.current.records[D])
-    view.take_lapsed(())
+    view.replace_lapsed(())
     assert not view.current.is_away(view.current.records[D])
 
 
--- a/wagtaildale/distribution/tests/test_swaps.py
+++ b/wagtaildale/distribution/tests/test_swaps.py
@@ -6,7 +6,7 @@
 from wagtaildale.distribution.swaps import REPLY_SECONDS, swap_digests
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.distribution.wire import Swap
-from wagtaildale.membership.decisions import note_missed
+from wagtaildale.membership.decisions import note_missed_reply
 from wagtaildale.membership.state import find_topology
 from wagtaildale.types import InstanceId
 
@@ -39,11 +39,11 @@
     own = InstanceId('a')
     members = network.nodes[own].state.members
     peer = find_topology(members).neighbours[0]
-    assert not note_missed(members, peer=peer, now=network.now)
+    assert not note_missed_reply(members, peer=peer, now=network.now)
     reply = Swap((), is_reply=True)
     network.tell(own, network.wrap(peer, to=own, body=reply))
-    assert not note_missed(members, peer=peer, now=network.now)
-    assert note_missed(members, peer=peer, now=network.now + 1)
+    assert not note_missed_reply(members, peer=peer, now=network.now)
+    assert note_missed_reply(members, peer=peer, now=network.now + 1)
 
 
 def test_two_documents_unseen_at_once_are_one_miss() -> None:
@@ -59,6 +59,6 @@
     network = build_network(8)
     members = network.nodes[InstanceId('a')].state.members
     peer = find_topology(members).neighbours[0]
-    assert not note_missed(members, peer=peer, now=network.now)
-    assert not note_missed(members, peer=peer, now=network.now)
-    assert note_missed(members, peer=peer, now=network.now + 1)
+    assert not note_missed_reply(members, peer=peer, now=network.now)
+    assert not note_missed_reply(members, peer=peer, now=network.now)
+    assert note_missed_reply(members, peer=peer, now=network.now + 1)
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -11,7 +11,7 @@
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.distribution.wire import Swap, encode_envelope
 from wagtaildale.invariants import Invariants
-from wagtaildale.membership.decisions import note_missed
+from wagtaildale.membership.decisions import note_missed_reply
 from wagtaildale.membership.state import find_topology
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.testing.builders import build_recorder
@@ -87,7 +87,7 @@
     peer = find_topology(state.members).neighbours[0]
     reply = network.wrap(peer, to=own, body=Swap((), is_reply=True))
     now = read_clock()
-    note_missed(state.members, peer=peer, now=now - EARLIER_SECONDS)
+    note_missed_reply(state.members, peer=peer, now=now - EARLIER_SECONDS)
     state.awaiting = {peer: now - 2 * REPLY_SECONDS}
     inbox: Inbox[Any] = Inbox()
     inbox.put(Tick(name=TimerName.digest, now=now))
--- a/wagtaildale/distribution/tests/watched.py
+++ b/wagtaildale/distribution/tests/watched.py
@@ -186,11 +186,13 @@
 def suspect_node(network: FakeNetwork, instance: InstanceId) -> None:
     """Let all other nodes suspect one."""
     members = network.nodes[instance].state.members
-    suspicion = structs.replace(members.tell_own(), state=NodeState.suspect)
+    suspicion = structs.replace(
+        members.build_own_news(), state=NodeState.suspect
+    )
     for name, node in network.nodes.items():
         if name != instance:
-            heard = (suspicion,)
-            merge_news(node.state.members, heard=heard, now=network.now)
+            received = (suspicion,)
+            merge_news(node.state.members, received=received, now=network.now)
 
 
 def _find_shown(network: FakeNetwork, kind: Kind) -> Document:
--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -140,7 +140,7 @@
             got=f'version {version}',
             expected=f'a version above {held.version}',
         ),
-        fresh=code is Code.version_reused,
+        is_first=code is Code.version_reused,
     )
 
 
@@ -159,7 +159,7 @@
         kind=state.held.kind,
         version=document.version,
         fault=fault,
-        fresh=True,
+        is_first=True,
     )
 
 
@@ -212,7 +212,7 @@
                 kind=document.kind,
                 version=document.version,
                 fault=verdict.err_value,
-                fresh=True,
+                is_first=True,
             ),
         ]
     before = state.held
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -55,13 +55,13 @@
         kind: which document.
         version: that was offered.
         fault: why; its code tells a refusal from an ignored older version.
-        fresh: whether it is the first time this is said of that version.
+        is_first: whether it is the first time this is said of that version.
     """
 
     kind: Kind
     version: Version
     fault: Fault
-    fresh: bool = False
+    is_first: bool = False
 
 
 class OutlineWanted(Struct, frozen=True, kw_only=True):
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.membership.news import AWAY, News, is_newer
+from wagtaildale.membership.news import AWAY_STATES, News, is_newer
 from wagtaildale.membership.state import MembershipState, Misses, NewsEntry
 from wagtaildale.types import Incarnation, InstanceId, NodeState
 
@@ -37,7 +37,7 @@
 def merge_news(
     state: MembershipState,
     *,
-    heard: Iterable[News],
+    received: Iterable[News],
     now: float,
 ) -> list[NewsTaken]:
     """Merge what another node said.
@@ -49,14 +49,14 @@
 
     Args:
         state: the fleet; moved forward in place.
-        heard: news from a peer.
+        received: news from a peer.
         now: seconds.
 
     Returns:
         What changed.
     """
     taken: list[NewsTaken] = []
-    for news in heard:
+    for news in received:
         if news.instance == state.own.instance:
             _answer_for_self(state, news)
             continue
@@ -68,7 +68,7 @@
     return taken
 
 
-def note_missed(
+def note_missed_reply(
     state: MembershipState,
     *,
     peer: InstanceId,
@@ -95,10 +95,10 @@
         return []
     unknown = News(peer, Incarnation(0), 0, NodeState.ready)
     base = state.find_news(peer) or unknown
-    if base.state in AWAY:
+    if base.state in AWAY_STATES:
         return []
     suspicion = structs.replace(base, state=NodeState.suspect)
-    return merge_news(state, heard=(suspicion,), now=now)
+    return merge_news(state, received=(suspicion,), now=now)
 
 
 def note_heard(state: MembershipState, *, peer: InstanceId) -> None:
@@ -135,10 +135,10 @@
         and now - suspect.since > SUSPECT_SECONDS
     ]
     _forget_unlisted(state, now)
-    return merge_news(state, heard=due, now=now)
+    return merge_news(state, received=due, now=now)
 
 
-def take_records(
+def replace_records(
     state: MembershipState,
     *,
     records: dict[InstanceId, InstanceRecord],
@@ -176,9 +176,9 @@
     for passed_on in chosen:
         passed_on.sends_left -= 1
     held = state.find_news(to)
-    against = [held] if held and held.state in AWAY else []
+    against = [held] if held and held.state in AWAY_STATES else []
     others = dict.fromkeys((*against, *(entry.news for entry in chosen)))
-    return (state.tell_own(), *others)
+    return (state.build_own_news(), *others)
 
 
 def _read_sends_left(entry: NewsEntry) -> int:
@@ -186,7 +186,7 @@
 
 
 def _answer_for_self(state: MembershipState, news: News) -> None:
-    own = state.tell_own()
+    own = state.build_own_news()
     if is_newer(news, than=own) and state.state is not NodeState.leaving:
         state.incarnation = Incarnation(max(own.incarnation, news.incarnation))
         state.sequence = news.sequence + 1
@@ -195,9 +195,9 @@
 def _matters(news: News, known: News | None) -> bool:
     # That a listed node works is what everybody assumes: to pass on news of
     # that kind would cost each start of the fleet a message for each pair.
-    if news.state in AWAY:
+    if news.state in AWAY_STATES:
         return True
-    return known is not None and known.state in AWAY
+    return known is not None and known.state in AWAY_STATES
 
 
 def _hold(
@@ -212,7 +212,7 @@
         since=now,
         sends_left=state.count_sends() if matters else 0,
     )
-    if news.state not in AWAY:
+    if news.state not in AWAY_STATES:
         state.missed.pop(news.instance, None)
     if matters:
         state.cached = None
--- a/wagtaildale/membership/news.py
+++ b/wagtaildale/membership/news.py
@@ -23,7 +23,7 @@
         NodeState.leaving: 4,
     },
 )
-AWAY: Final = frozenset(
+AWAY_STATES: Final = frozenset(
     (NodeState.suspect, NodeState.dead, NodeState.leaving),
 )
 
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct, field
 
-from wagtaildale.membership.news import AWAY, News
-from wagtaildale.membership.topology import Place, Topology, compute_topology
+from wagtaildale.membership.news import AWAY_STATES, News
+from wagtaildale.membership.topology import Member, Topology, compute_topology
 from wagtaildale.types import (
     Incarnation,
     InstanceId,
@@ -61,7 +61,7 @@
         cached: the topology, until records or news change.
     """
 
-    own: Place
+    own: Member
     incarnation: Incarnation
     sequence: int = 0
     state: NodeState = NodeState.joining
@@ -70,7 +70,7 @@
     missed: dict[InstanceId, Misses] = field(default_factory=dict)
     cached: Topology | None = None
 
-    def tell_own(self) -> News:
+    def build_own_news(self) -> News:
         """Give the news of this node itself.
 
         Returns:
@@ -110,7 +110,7 @@
         told = (
             name
             for name, entry in self.entries.items()
-            if entry.news.state in AWAY
+            if entry.news.state in AWAY_STATES
         )
         own = (self.own.instance,)
         leaving = self.state is NodeState.leaving
@@ -155,7 +155,7 @@
             and record.data_centre == self.own.data_centre
         ]
 
-    def list_places(self) -> list[Place]:
+    def list_members(self) -> list[Member]:
         """List who is there, this node included.
 
         Returns:
@@ -163,7 +163,7 @@
         """
         gone = self._list_said(NodeState.dead, NodeState.suspect)
         places = [
-            Place(record.node_id, record.data_centre)
+            Member(record.node_id, record.data_centre)
             for record in self.records.values()
             if record.node_id not in gone
         ]
@@ -190,7 +190,7 @@
     """
     if state.cached is None:
         state.cached = compute_topology(
-            state.list_places(),
+            state.list_members(),
             own=state.own,
             leaving=state.list_leaving(),
         )
--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -25,11 +25,11 @@
 HASHES_KEPT: Final = 65536
 LOCAL_RINGS: Final = 3
 # One of them may just have ended.
-ROOTS_TOLD: Final = 2
+ROOTS_PER_DATA_CENTRE: Final = 2
 FLEET_RING: Final = 'fleet'
 
 
-class Place(Struct, frozen=True, array_like=True):
+class Member(Struct, frozen=True, array_like=True):
     """Where an instance stands."""
 
     instance: InstanceId
@@ -70,7 +70,7 @@
 
 
 def list_local(
-    places: Iterable[Place],
+    places: Iterable[Member],
     *,
     data_centre: DataCentre,
 ) -> list[InstanceId]:
@@ -159,9 +159,9 @@
 
 
 def compute_topology(
-    places: Sequence[Place],
+    places: Sequence[Member],
     *,
-    own: Place,
+    own: Member,
     leaving: Collection[InstanceId] = (),
 ) -> Topology:
     """Compute a node's neighbours from the fleet.
@@ -197,7 +197,7 @@
 
 
 def _find_roots(
-    places: Sequence[Place],
+    places: Sequence[Member],
     own: DataCentre,
 ) -> tuple[InstanceId, ...]:
     others = {place.data_centre for place in places} - {own}
@@ -208,4 +208,6 @@
         )
         for data_centre in sorted(others)
     )
-    return tuple(chain.from_iterable(tree[:ROOTS_TOLD] for tree in trees))
+    return tuple(
+        chain.from_iterable(tree[:ROOTS_PER_DATA_CENTRE] for tree in trees)
+    )
--- a/wagtaildale/node.py
+++ b/wagtaildale/node.py
@@ -22,7 +22,7 @@
 from wagtaildale.integration import OWN_INTEGRATION, Integration
 from wagtaildale.lifecycle.stop import Stop
 from wagtaildale.membership.state import MembershipState
-from wagtaildale.membership.topology import Place
+from wagtaildale.membership.topology import Member
 from wagtaildale.telemetry.events import EventKind, EventRecorder
 from wagtaildale.timers.messages import TimerName
 from wagtaildale.timers.service import (
@@ -177,7 +177,7 @@
         parts = self.parts
         settings = parts.settings
         members = MembershipState(
-            own=Place(settings.instance, settings.data_centre),
+            own=Member(settings.instance, settings.data_centre),
             incarnation=parts.identity.incarnation,
         )
         around = Surroundings(
--- a/wagtaildale/routing/plain.py
+++ b/wagtaildale/routing/baselines.py
@@ -6,7 +6,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from wagtaildale.routing.choice import Chooser, Need
+from wagtaildale.routing.choice import Chooser, RequestContext
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -27,7 +27,7 @@
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord:
         """Choose the next one; see ``Chooser``.
@@ -35,7 +35,7 @@
         Args:
             candidates: at least one.
             statistics: not looked at.
-            need: not looked at.
+            request: not looked at.
             now: not looked at.
 
         Returns:
@@ -52,7 +52,7 @@
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord:
         """Choose any one; see ``Chooser``.
@@ -60,7 +60,7 @@
         Args:
             candidates: at least one.
             statistics: not looked at.
-            need: not looked at.
+            request: not looked at.
             now: not looked at.
 
         Returns:
--- a/wagtaildale/routing/candidates.py
+++ b/wagtaildale/routing/candidates.py
@@ -10,7 +10,7 @@
     from collections.abc import Collection, Sequence
 
     from wagtaildale.membership.records import InstanceRecord
-    from wagtaildale.routing.leavers import Leavers
+    from wagtaildale.routing.leaving_servers import LeavingServers
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.routing.view import FleetView
     from wagtaildale.types import InstanceId, ServiceName
@@ -21,7 +21,7 @@
     *,
     service: ServiceName,
     tried: Collection[InstanceId],
-    leavers: Leavers,
+    leaving_servers: LeavingServers,
 ) -> list[InstanceRecord]:
     """List the upstreams that may take an attempt.
 
@@ -29,7 +29,7 @@
         view: the snapshot that the call goes by.
         service: whose upstreams.
         tried: instances that earlier attempts of the call went to.
-        leavers: servers that have said that they leave.
+        leaving_servers: servers that have said that they leave.
 
     Failure guarded here: in a rolling restart the news that an instance is
     back comes a moment after that the last other one leaves, and a call is
@@ -43,7 +43,7 @@
     listed = [
         record
         for record in view.upstreams.get(service, ())
-        if not leavers.has(record)
+        if not leaving_servers.has(record)
     ]
     fresh = [record for record in listed if record.instance not in tried]
     present = [record for record in fresh if not view.is_away(record)]
@@ -74,6 +74,6 @@
     good = [
         record
         for record in candidates
-        if not statistics.is_out(record.instance, now=now)
+        if not statistics.is_ejected(record.instance, now=now)
     ]
     return good if 2 * len(good) >= len(candidates) else candidates
--- a/wagtaildale/routing/choice.py
+++ b/wagtaildale/routing/choice.py
@@ -32,7 +32,7 @@
     random = 'random'
 
 
-class Need(Struct, frozen=True, kw_only=True):
+class RequestContext(Struct, frozen=True, kw_only=True):
     """What a request needs of its upstream.
 
     Attributes:
@@ -42,7 +42,7 @@
         may_wait: whether it can wait at an upstream that was full.
         pass_rank: by which limited upstreams are drawn; see
             ``admission.shares``.
-        is_spare: whether it is asked for beside an attempt that goes on.
+        is_hedge: whether it is asked for beside an attempt that goes on.
         was_limited: whether an upstream had no token for it.
     """
 
@@ -51,7 +51,7 @@
     slack_seconds: float = inf
     may_wait: bool = False
     pass_rank: int = MIDDLE_RANK
-    is_spare: bool = False
+    is_hedge: bool = False
     was_limited: bool = False
 
 
@@ -64,7 +64,7 @@
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord | None:
         """Choose one.
@@ -72,7 +72,7 @@
         Args:
             candidates: upstreams that may take the attempt; at least one.
             statistics: what is known of them.
-            need: of the request.
+            request: of the request.
             now: seconds.
 
         Returns:
--- a/wagtaildale/routing/choosers.py
+++ b/wagtaildale/routing/choosers.py
@@ -5,7 +5,7 @@
 from wagtaildale.routing.choice import Chooser, ChoiceName
 from wagtaildale.routing.expected_time import ExpectedTime
 from wagtaildale.routing.least_loaded import LeastLoaded
-from wagtaildale.routing.plain import RandomChoice, RoundRobin
+from wagtaildale.routing.baselines import RandomChoice, RoundRobin
 
 
 def make_chooser(name: ChoiceName) -> Chooser:
--- a/wagtaildale/routing/ejection.py
+++ b/wagtaildale/routing/ejection.py
@@ -42,7 +42,7 @@
         self._leaves_until = float(0)
         self._silent_until = float(0)
 
-    def is_out(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Tell whether the upstream is left out now.
 
         Args:
@@ -75,7 +75,7 @@
             Whether it is left out from now on.
         """
         self._failures += 1
-        if self._failures < FAILURES_TO_EJECT or self.is_out(now):
+        if self._failures < FAILURES_TO_EJECT or self.is_ejected(now):
             return False
         self._until = now + self._seconds
         self._seconds = min(LONGEST_EJECTION, self._seconds * 2)
@@ -114,7 +114,7 @@
         Args:
             now: seconds.
         """
-        if self._failures >= FAILURES_TO_EJECT and not self.is_out(now):
+        if self._failures >= FAILURES_TO_EJECT and not self.is_ejected(now):
             self._until = now + PROBE_SECONDS
 
     def note_answer(self) -> bool:
--- a/wagtaildale/routing/expected_time.py
+++ b/wagtaildale/routing/expected_time.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 
 from wagtaildale.membership.records import InstanceRecord
-from wagtaildale.routing.choice import Chooser, Need
+from wagtaildale.routing.choice import Chooser, RequestContext
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -63,7 +63,7 @@
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord | None:
         """Choose one; see ``Chooser``.
@@ -71,7 +71,7 @@
         Args:
             candidates: at least one.
             statistics: what is known of them.
-            need: of the request.
+            request: of the request.
             now: seconds.
 
         Returns:
@@ -79,25 +79,25 @@
             in time, and the request may wait where it was.
         """
         near = [
-            _weigh(record, statistics, need, now)
+            _weigh(record, statistics, request, now)
             for record in candidates
-            if record.data_centre == need.data_centre
+            if record.data_centre == request.data_centre
         ]
-        margin = SHORT_WAIT_SHARE * need.slack_seconds
+        margin = SHORT_WAIT_SHARE * request.slack_seconds
         in_time = [
             option
             for option in near
-            if option.wait <= margin and option.total <= need.slack_seconds
+            if option.wait <= margin and option.total <= request.slack_seconds
         ]
         if in_time:
             return _choose_alike(in_time, margin).record
         far = [
-            _weigh(record, statistics, need, now)
+            _weigh(record, statistics, request, now)
             for record in candidates
-            if record.data_centre != need.data_centre
+            if record.data_centre != request.data_centre
         ]
         best = _find_best([*near, *far])
-        if need.may_wait and best.total > need.slack_seconds:
+        if request.may_wait and best.total > request.slack_seconds:
             # Failure: a service is full everywhere, and each request is sent
             # to several servers only to be refused by each of them.
             return None
@@ -128,15 +128,15 @@
 def _weigh(
     record: InstanceRecord,
     statistics: FleetStatistics,
-    need: Need,
+    request: RequestContext,
     now: float,
 ) -> Option:
-    estimate = statistics.estimate(record.instance, need, now=now)
-    usual = statistics.find_usual_seconds(need.work_class)
+    estimate = statistics.estimate(record.instance, request, now=now)
+    usual = statistics.find_usual_seconds(request.work_class)
     margin = (SAFETY - 1) * usual
     total = estimate.wait + estimate.run + margin
-    is_near = record.data_centre == need.data_centre
-    handicap = 0 if is_near else FAR_SHARE * max(0, need.slack_seconds)
+    is_near = record.data_centre == request.data_centre
+    handicap = 0 if is_near else FAR_SHARE * max(0, request.slack_seconds)
     return Option(
         record=record,
         wait=estimate.wait,
--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -20,7 +20,7 @@
 FADING_SECONDS: Final = 5.0
 
 
-class NamedLimit(Struct, frozen=True, kw_only=True, gc=False):
+class ServerLimit(Struct, frozen=True, kw_only=True, gc=False):
     """How many requests a backend server takes.
 
     Attributes:
@@ -33,18 +33,18 @@
     share: PassShare = ALL_PASS
 
 
-NO_LIMIT: Final = NamedLimit()
+NO_LIMIT: Final = ServerLimit()
 
 
 class KnownLimit(Struct, frozen=True, kw_only=True, gc=False):
     """The limit of one upstream, as its owner last told.
 
     Attributes:
-        named: the owner's word.
+        server_limit: the owner's word.
         told_at: when that was, seconds.
     """
 
-    named: NamedLimit
+    server_limit: ServerLimit
     told_at: float
 
     def find_share(self, rank: int, *, now: float) -> float:
@@ -61,7 +61,7 @@
             At most 1; what was told long ago counts for less.
         """
         over = max(0, now - self.told_at - KEPT_SECONDS)
-        told = self.named.share.find(rank)
+        told = self.server_limit.share.find(rank)
         return fade(told, to=1, share=over / FADING_SECONDS)
 
 
@@ -79,7 +79,7 @@
     def note(
         self,
         instance: InstanceId,
-        named: NamedLimit | None,
+        server_limit: ServerLimit | None,
         *,
         now: float,
     ) -> None:
@@ -87,15 +87,17 @@
 
         Args:
             instance: of the upstream.
-            named: the limit; nothing if the owner has not heard its server.
+            server_limit: the limit; nothing if it is not known yet.
             now: seconds.
         """
-        if named is None:
+        if server_limit is None:
             return
-        if named == NO_LIMIT:
+        if server_limit == NO_LIMIT:
             self.forget(instance)
         else:
-            self._limits[instance] = KnownLimit(named=named, told_at=now)
+            self._limits[instance] = KnownLimit(
+                server_limit=server_limit, told_at=now
+            )
 
     def forget(self, instance: InstanceId) -> None:
         """Forget the limit of an upstream: its server started anew.
@@ -136,7 +138,7 @@
             The rate; nothing if it is not known to name a limit.
         """
         known = self._limits.get(instance)
-        return None if known is None else known.named.per_second
+        return None if known is None else known.server_limit.per_second
 
     def find_share(
         self,
@@ -158,7 +160,7 @@
         known = self._limits.get(instance)
         return 1 if known is None else known.find_share(rank, now=now)
 
-    def measure_room(self, instance: InstanceId, *, now: float) -> float:
+    def find_accepted_share(self, instance: InstanceId, *, now: float) -> float:
         """Measure which part of its requests an upstream takes.
 
         Args:
@@ -171,4 +173,4 @@
         known = self._limits.get(instance)
         if known is None:
             return 1
-        return known.find_share(known.named.share.rank, now=now)
+        return known.find_share(known.server_limit.share.rank, now=now)
--- a/wagtaildale/routing/least_loaded.py
+++ b/wagtaildale/routing/least_loaded.py
@@ -5,7 +5,7 @@
 import random
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.routing.choice import Chooser, Need
+from wagtaildale.routing.choice import Chooser, RequestContext
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,7 +26,7 @@
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord:
         """Choose one; see ``Chooser``.
@@ -37,7 +37,7 @@
         Args:
             candidates: at least one.
             statistics: what is known of them.
-            need: of the request.
+            request: of the request.
             now: seconds.
 
         Returns:
@@ -46,7 +46,7 @@
         near = [
             record
             for record in candidates
-            if record.data_centre == need.data_centre
+            if record.data_centre == request.data_centre
         ]
         if not near:
             return _choose_of_two(candidates, statistics, now)
--- a/wagtaildale/routing/leavers.py
+++ b/wagtaildale/routing/leaving_servers.py
@@ -21,7 +21,7 @@
 KEPT_MOST: Final = 1024
 
 
-class Leaver(Struct, frozen=True, array_like=True, gc=False):
+class LeavingServer(Struct, frozen=True, array_like=True, gc=False):
     """A start of a server that has said that it leaves.
 
     Attributes:
@@ -33,7 +33,7 @@
     born: int = 0
 
 
-class Leavers:
+class LeavingServers:
     """Which starts of servers have said that they leave."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         """Tell whether any server has said so."""
         return bool(self._born)
 
-    def note(self, leaver: Leaver) -> bool:
+    def note(self, leaver: LeavingServer) -> bool:
         """Note that a server has said that it leaves.
 
         Args:
--- a/wagtaildale/routing/placement.py
+++ b/wagtaildale/routing/placement.py
@@ -20,23 +20,23 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Sequence
 
-    from wagtaildale.routing.choice import Chooser, Need
+    from wagtaildale.routing.choice import Chooser, RequestContext
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.routing.view import FleetView
     from wagtaildale.types import DataCentre, InstanceId, ServiceName
 
 
-class Placed(Struct, frozen=True, kw_only=True, gc=False):
+class ChosenUpstream(Struct, frozen=True, kw_only=True, gc=False):
     """Where an attempt goes.
 
     Attributes:
         record: of the upstream.
-        is_only: whether no other one may take it.
+        is_only_candidate: whether no other one may take it.
         share: of such requests, the part that may go there.
     """
 
     record: InstanceRecord
-    is_only: bool
+    is_only_candidate: bool
     share: float = 1
 
 
@@ -88,7 +88,7 @@
         """
         ranked = self._rank(view, service)
         return ranked.take(
-            partial(self._takes_work, view=view, useless=()),
+            partial(self._takes_work, view=view, excluded=()),
             weigh=partial(self._weigh, now=now),
         )
 
@@ -97,17 +97,17 @@
         view: FleetView,
         service: ServiceName,
         *,
-        useless: Collection[InstanceId],
-        need: Need,
+        excluded: Collection[InstanceId],
+        request: RequestContext,
         now: float,
-    ) -> Placed | Throttled | None:
+    ) -> ChosenUpstream | Throttled | None:
         """Choose the upstream of an attempt.
 
         Args:
             view: the snapshot that the call goes by.
             service: whose upstreams.
-            useless: upstreams that need not be asked again.
-            need: of the request.
+            excluded: upstreams that need not be asked again.
+            request: of the request.
             now: seconds.
 
         Returns:
@@ -115,13 +115,13 @@
             of its rank for now; nothing if there is no upstream, or if the
             request had better wait where it can (``need.may_wait``).
         """
-        candidates = self._list(view, service, useless=useless, now=now)
+        candidates = self._list(view, service, excluded=excluded, now=now)
         if not candidates:
             return None
         drawn = draw_upstreams(
             candidates,
             limits=self.statistics.limits,
-            need=need,
+            request=request,
             now=now,
         )
         if not drawn:
@@ -129,23 +129,25 @@
                 share=find_best_share(
                     candidates,
                     limits=self.statistics.limits,
-                    need=need,
+                    request=request,
                     now=now,
                 ),
             )
         record = self._chooser.choose(
             drawn,
             statistics=self.statistics,
-            need=need,
+            request=request,
             now=now,
         )
         if record is None:
             return None
         limits = self.statistics.limits
-        return Placed(
+        return ChosenUpstream(
             record=record,
-            is_only=len(candidates) == 1,
-            share=limits.find_share(record.instance, need.pass_rank, now=now),
+            is_only_candidate=len(candidates) == 1,
+            share=limits.find_share(
+                record.instance, request.pass_rank, now=now
+            ),
         )
 
     def choose_by_key(
@@ -154,8 +156,8 @@
         service: ServiceName,
         *,
         key: str,
-        useless: Collection[InstanceId],
-    ) -> Placed | None:
+        excluded: Collection[InstanceId],
+    ) -> ChosenUpstream | None:
         """Choose the upstream of a request that a caller may repeat by key.
 
         A repeat of the same key goes to the owner that saw it first, from
@@ -166,7 +168,7 @@
             view: the snapshot that the call goes by.
             service: whose upstreams.
             key: the caller's own.
-            useless: upstreams that need not be asked again.
+            excluded: upstreams that need not be asked again.
 
         Returns:
             Where it goes; nothing if there is no upstream.
@@ -176,25 +178,27 @@
             for record in list_candidates(
                 view,
                 service=service,
-                tried=useless,
-                leavers=self.statistics.leavers,
+                tried=excluded,
+                leaving_servers=self.statistics.leaving_servers,
             )
         }
         if not candidates:
             return None
         first = rank_instances(key, instances=candidates)[0]
-        return Placed(record=candidates[first], is_only=len(candidates) == 1)
+        return ChosenUpstream(
+            record=candidates[first], is_only_candidate=len(candidates) == 1
+        )
 
     def _list(
         self,
         view: FleetView,
         service: ServiceName,
         *,
-        useless: Collection[InstanceId],
+        excluded: Collection[InstanceId],
         now: float,
     ) -> Sequence[InstanceRecord]:
         ranked = self._rank(view, service)
-        takes_work = partial(self._takes_work, view=view, useless=useless)
+        takes_work = partial(self._takes_work, view=view, excluded=excluded)
         weigh = partial(self._weigh, now=now)
         subset = ranked.take(
             partial(self._is_up, takes_work=takes_work, now=now),
@@ -206,8 +210,8 @@
             candidates = list_candidates(
                 view,
                 service=service,
-                tried=useless,
-                leavers=self.statistics.leavers,
+                tried=excluded,
+                leaving_servers=self.statistics.leaving_servers,
             )
             subset = ranked.take(candidates.__contains__)
         good = leave_out_ejected(subset, statistics=self.statistics, now=now)
@@ -217,7 +221,7 @@
         in_place = ranked.take(
             lambda record: (
                 takes_work(record)
-                and not self.statistics.is_out(record.instance, now=now)
+                and not self.statistics.is_ejected(record.instance, now=now)
             ),
             weigh=weigh,
         )
@@ -228,11 +232,11 @@
         record: InstanceRecord,
         *,
         view: FleetView,
-        useless: Collection[InstanceId],
+        excluded: Collection[InstanceId],
     ) -> bool:
-        if record.instance in useless or view.is_away(record):
+        if record.instance in excluded or view.is_away(record):
             return False
-        return not self.statistics.leavers.has(record)
+        return not self.statistics.leaving_servers.has(record)
 
     def _is_up(
         self,
@@ -246,7 +250,9 @@
         return not self.statistics.down.has(record.instance, now=now)
 
     def _weigh(self, record: InstanceRecord, *, now: float) -> float:
-        return self.statistics.limits.measure_room(record.instance, now=now)
+        return self.statistics.limits.find_accepted_share(
+            record.instance, now=now
+        )
 
     def _rank(self, view: FleetView, service: ServiceName) -> RankedUpstreams:
         # Ranking a hundred upstreams takes longer than choosing among a
--- a/wagtaildale/routing/statistics.py
+++ b/wagtaildale/routing/statistics.py
@@ -13,13 +13,13 @@
 from wagtaildale.admission.state import UNKNOWN_SHARE
 from wagtaildale.routing.down_servers import DownServers
 from wagtaildale.routing.known_limits import KnownLimits
-from wagtaildale.routing.leavers import Leavers
+from wagtaildale.routing.leaving_servers import LeavingServers
 from wagtaildale.routing.upstream import UpstreamStatistics
 
 if TYPE_CHECKING:
     from collections.abc import Container
 
-    from wagtaildale.routing.choice import Need
+    from wagtaildale.routing.choice import RequestContext
     from wagtaildale.routing.upstream import OwnerReport
     from wagtaildale.types import InstanceId
 
@@ -46,14 +46,14 @@
 
     Attributes:
         limits: that their servers name.
-        leavers: of them, those whose servers have said that they leave.
+        leaving_servers: of them, those whose servers have said that they leave.
         down: of them, those whose servers take no connection.
     """
 
     def __init__(self) -> None:
         """Begin with none."""
         self.limits = KnownLimits()
-        self.leavers = Leavers()
+        self.leaving_servers = LeavingServers()
         self.down = DownServers()
         self._upstreams: dict[InstanceId, UpstreamStatistics] = {}
         self._usual: dict[str, float] = {}
@@ -77,7 +77,7 @@
         """
         if report.run_seconds <= 0:
             return
-        seconds = report.class_usual or report.run_seconds
+        seconds = report.class_usual_seconds or report.run_seconds
         usual = self._usual.get(work_class, seconds)
         self._usual[work_class] = usual + (seconds - usual) * USUAL_GAIN
         upstream.note_speed(report, usual=usual, now=now)
@@ -120,7 +120,7 @@
     def estimate(
         self,
         instance: InstanceId,
-        need: Need,
+        request: RequestContext,
         *,
         now: float,
     ) -> Estimate:
@@ -128,18 +128,18 @@
 
         Args:
             instance: which one.
-            need: of the request.
+            request: of the request.
             now: seconds.
 
         Returns:
             How long the request would wait there, and run.
         """
         upstream = self.find(instance, now=now)
-        usual = self.find_usual_seconds(need.work_class)
-        if not usual and need.slack_seconds < inf:
+        usual = self.find_usual_seconds(request.work_class)
+        if not usual and request.slack_seconds < inf:
             # Failure: an entry that has just started takes every upstream
             # for one that answers at once, and sends all to the same few.
-            usual = max(0, need.slack_seconds) * UNKNOWN_SHARE
+            usual = max(0, request.slack_seconds) * UNKNOWN_SHARE
         usual *= upstream.speed.find_slowness(now)
         wait = upstream.estimate_wait(usual, now=now)
         return Estimate(
@@ -171,7 +171,7 @@
         if known != born:
             self._begin_anew(instance, now)
 
-    def note_watched(
+    def note_server_state(
         self,
         instance: InstanceId,
         *,
@@ -209,7 +209,7 @@
             self._upstreams[instance] = upstream
         return upstream
 
-    def is_out(self, instance: InstanceId, *, now: float) -> bool:
+    def is_ejected(self, instance: InstanceId, *, now: float) -> bool:
         """Tell whether an upstream is left out now.
 
         Args:
@@ -219,7 +219,7 @@
         Returns:
             Whether to choose others.
         """
-        return self.find(instance, now=now).ejection.is_out(now)
+        return self.find(instance, now=now).ejection.is_ejected(now)
 
     def keep_only(self, listed: Container[InstanceId]) -> None:
         """Forget the upstreams that are gone.
@@ -242,4 +242,4 @@
     def _begin_anew(self, instance: InstanceId, now: float) -> None:
         self._upstreams[instance] = UpstreamStatistics(instance, now=now)
         self.limits.forget(instance)
-        self.leavers.forget(instance)
+        self.leaving_servers.forget(instance)
--- a/wagtaildale/routing/trials.py
+++ b/wagtaildale/routing/suspected_requests.py
@@ -21,7 +21,7 @@
     from wagtaildale.types import ServiceName
 
 
-def list_places(
+def list_allowed_upstreams(
     view: FleetView,
     service: ServiceName,
     *,
--- a/wagtaildale/routing/table.py
+++ b/wagtaildale/routing/table.py
@@ -31,7 +31,7 @@
 
 
 # Attempts beyond the first where a route does not say.
-RETRIES_MOST: Final = 3
+DEFAULT_RETRIES: Final = 3
 DOT_SEGMENTS: Final = frozenset(('.', '..'))
 
 
@@ -50,7 +50,7 @@
     service: ServiceName
     work_class: WorkClass
     template: str
-    retries: int = RETRIES_MOST
+    retries: int = DEFAULT_RETRIES
     split: Split | None = None
 
     def choose_service(self) -> ServiceName:
@@ -200,7 +200,7 @@
         service=route.service,
         work_class=work_class,
         template=route.path,
-        retries=route.attempts - 1 if route.attempts else RETRIES_MOST,
+        retries=route.attempts - 1 if route.attempts else DEFAULT_RETRIES,
         split=Split(route.split) if route.split else None,
     )
 
--- a/wagtaildale/routing/tests/test_placement.py
+++ b/wagtaildale/routing/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wagtaildale.routing.choice import ChoiceName, Need
+from wagtaildale.routing.choice import ChoiceName, RequestContext
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.placement import Placement
 from wagtaildale.routing.statistics import FleetStatistics
@@ -42,7 +42,7 @@
 
 def build_view(*names: str) -> ViewHolder:
     holder = ViewHolder()
-    holder.take_instances(build_instances(*(map(build_record, names))))
+    holder.replace_instances(build_instances(*(map(build_record, names))))
     return holder
 
 
@@ -50,13 +50,13 @@
     placement: Placement,
     holder: ViewHolder,
     *,
-    useless: tuple[str, ...] = (),
+    excluded: tuple[str, ...] = (),
 ) -> str:
     placed = placement.choose(
         holder.current,
         FIELD,
-        useless=[InstanceId(name) for name in useless],
-        need=Need(data_centre=DataCentre('derby')),
+        excluded=[InstanceId(name) for name in excluded],
+        request=RequestContext(data_centre=DataCentre('derby')),
         now=NOW,
     )
     assert not isinstance(placed, Throttled)
@@ -92,7 +92,7 @@
 
 def test_tried_ones_are_asked_again_when_there_is_no_other() -> None:
     placement = build_placement()
-    assert place(placement, build_view('a'), useless=('a',)) == 'a'
+    assert place(placement, build_view('a'), excluded=('a',)) == 'a'
 
 
 def test_those_left_out_are_replaced_from_the_rest_of_the_service() -> None:
@@ -222,12 +222,12 @@
                 queued=0,
                 run_seconds=seconds,
                 class_seconds=seconds,
-                class_usual=seconds,
+                class_usual_seconds=seconds,
             ),
             work_class='lookup',
             now=NOW,
         )
-    need = Need(
+    request = RequestContext(
         data_centre=DataCentre('derby'),
         work_class='lookup',
         slack_seconds=0.6,
@@ -236,8 +236,8 @@
         placement.choose(
             holder.current,
             FIELD,
-            useless=(),
-            need=need,
+            excluded=(),
+            request=request,
             now=NOW,
         ).record.instance  # type: ignore[union-attr]
         for _call in range(6000)
--- a/wagtaildale/routing/tests/test_speed.py
+++ b/wagtaildale/routing/tests/test_speed.py
@@ -34,7 +34,7 @@
         queued=0,
         run_seconds=run,
         class_seconds=now,
-        class_usual=usual,
+        class_usual_seconds=usual,
         code=Code.ok,
     )
 
--- a/wagtaildale/routing/tests/test_statistics.py
+++ b/wagtaildale/routing/tests/test_statistics.py
@@ -13,10 +13,10 @@
     leave_out_ejected,
     list_candidates,
 )
-from wagtaildale.routing.choice import ChoiceName, Need
+from wagtaildale.routing.choice import ChoiceName, RequestContext
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.ejection import LEAVING_SECONDS, Ejection
-from wagtaildale.routing.leavers import Leavers
+from wagtaildale.routing.leaving_servers import LeavingServers
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.upstream import OwnerReport
 from wagtaildale.routing.view import ViewHolder
@@ -67,18 +67,18 @@
     ejection = Ejection()
     outs = [ejection.note_failure(0) for _failure in range(4)]
     assert outs == [False, False, True, False]
-    assert (ejection.is_out(0.5), ejection.is_out(1.5)) == (True, False)
+    assert (ejection.is_ejected(0.5), ejection.is_ejected(1.5)) == (True, False)
     ejection.note_chosen(1.5)
-    assert ejection.is_out(1.6), 'one probe at a time'
+    assert ejection.is_ejected(1.6), 'one probe at a time'
     assert ejection.note_answer()
-    assert not ejection.is_out(1.7)
+    assert not ejection.is_ejected(1.7)
 
 
 def test_ejection_grows_longer() -> None:
     ejection = Ejection()
     for moment in (0, 0, 0, 2):
         ejection.note_failure(moment)
-    assert ejection.is_out(3.5)
+    assert ejection.is_ejected(3.5)
 
 
 def test_work_that_a_leaving_upstream_finishes_does_not_bring_it_back() -> None:
@@ -91,8 +91,8 @@
     now = NOW
     notes.ejection.note_leaving(now)
     notes.note_answer(build_answer(), now=NOW)
-    assert notes.ejection.is_out(now)
-    assert not notes.ejection.is_out(now + LEAVING_SECONDS)
+    assert notes.ejection.is_ejected(now)
+    assert not notes.ejection.is_ejected(now + LEAVING_SECONDS)
 
 
 def test_never_more_than_half_are_left_out() -> None:
@@ -113,7 +113,7 @@
     statistics = FleetStatistics()
     notes = statistics.find(InstanceId('a'), now=NOW)
     notes.note_answer(build_answer(Code.draining), now=NOW)
-    assert notes.ejection.is_out(NOW)
+    assert notes.ejection.is_ejected(NOW)
 
 
 def test_new_incarnation_counts_as_cold() -> None:
@@ -128,36 +128,50 @@
 
 def test_away_and_leaving_instances_are_no_candidates() -> None:
     holder = ViewHolder()
-    holder.take_instances(
+    holder.replace_instances(
         build_instances(
             build_record('a'),
             build_record('b', state=ListedState.leaving),
             build_record('c'),
         ),
     )
-    holder.take_away(frozenset((InstanceId('b'), InstanceId('c'))))
+    holder.replace_away(frozenset((InstanceId('b'), InstanceId('c'))))
     found = list_candidates(
-        holder.current, service=FIELD, tried=(), leavers=Leavers()
+        holder.current,
+        service=FIELD,
+        tried=(),
+        leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in found] == ['a']
 
 
 def test_tried_upstreams_come_last() -> None:
     holder = ViewHolder()
-    holder.take_instances(build_instances(build_record('a'), build_record('b')))
+    holder.replace_instances(
+        build_instances(build_record('a'), build_record('b'))
+    )
     tried = (InstanceId('a'),)
     found = list_candidates(
-        holder.current, service=FIELD, tried=tried, leavers=Leavers()
+        holder.current,
+        service=FIELD,
+        tried=tried,
+        leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in found] == ['b']
-    holder.take_away(frozenset((InstanceId('b'),)))
+    holder.replace_away(frozenset((InstanceId('b'),)))
     guess = list_candidates(
-        holder.current, service=FIELD, tried=tried, leavers=Leavers()
+        holder.current,
+        service=FIELD,
+        tried=tried,
+        leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in guess] == ['b']
     both = (InstanceId('a'), InstanceId('b'))
     again = list_candidates(
-        holder.current, service=FIELD, tried=both, leavers=Leavers()
+        holder.current,
+        service=FIELD,
+        tried=both,
+        leaving_servers=LeavingServers(),
     )
     assert len(again) == 2
 
@@ -170,7 +184,7 @@
         chooser.choose(
             records,
             statistics=FleetStatistics(),
-            need=Need(data_centre=DERBY),
+            request=RequestContext(data_centre=DERBY),
             now=NOW,
         )
         for _call in range(100)
@@ -187,7 +201,7 @@
     chooser = make_chooser(ChoiceName.least_loaded)
     args = {
         'statistics': statistics,
-        'need': Need(data_centre=DERBY),
+        'request': RequestContext(data_centre=DERBY),
         'now': NOW,
     }
     assert chooser.choose((near, far), **args) is near  # type: ignore[arg-type]
@@ -214,9 +228,9 @@
     for _failure in range(3):
         statistics.find(name, now=NOW).ejection.note_failure(0)
     statistics.note_start(name, born=100, now=NOW)
-    assert statistics.find(name, now=NOW).ejection.is_out(0.5)
+    assert statistics.find(name, now=NOW).ejection.is_ejected(0.5)
     statistics.note_start(name, born=200, now=NOW)
-    assert not statistics.find(name, now=NOW).ejection.is_out(0.5)
+    assert not statistics.find(name, now=NOW).ejection.is_ejected(0.5)
 
 
 def test_short_call_does_not_queue_behind_long_requests() -> None:
@@ -236,7 +250,7 @@
     chosen = make_chooser(ChoiceName.expected_time).choose(
         (near, far),
         statistics=statistics,
-        need=Need(
+        request=RequestContext(
             data_centre=near.data_centre,
             work_class='check',
             slack_seconds=0.1,
@@ -259,15 +273,15 @@
         full = structs.replace(build_answer(in_flight=60), slot_seconds=0.1)
         statistics.find(record.instance, now=NOW).note_answer(full, now=NOW)
     chooser = make_chooser(ChoiceName.expected_time)
-    need = Need(
+    request = RequestContext(
         data_centre=near.data_centre,
         work_class='check',
         slack_seconds=0.2,
     )
     choose = partial(chooser.choose, statistics=statistics, now=NOW)
-    assert choose((near, far), need=need) is not None
-    refused = structs.replace(need, may_wait=True)
-    assert choose((near, far), need=refused) is None
+    assert choose((near, far), request=request) is not None
+    refused = structs.replace(request, may_wait=True)
+    assert choose((near, far), request=refused) is None
 
 
 def test_upstreams_that_are_gone_are_forgotten() -> None:
--- a/wagtaildale/routing/tests/test_view.py
+++ b/wagtaildale/routing/tests/test_view.py
@@ -23,7 +23,7 @@
 
 def list_known(*records: InstanceRecord) -> set[InstanceId]:
     view = ViewHolder()
-    view.take_instances(build_instances(*records))
+    view.replace_instances(build_instances(*records))
     return set(view.current.records)
 
 
@@ -66,18 +66,18 @@
     a service of its own making; the later entry was taken for the server.
     """
     view = ViewHolder()
-    view.take_configuration(build_configuration())
+    view.replace_configuration(build_configuration())
     foreign = structs.replace(
         build_at('foreign', port=8145, since=40),
         service=ServiceName('nobodys'),
     )
     listed = build_instances(build_at('a', port=8145, since=3), foreign)
-    view.take_instances(listed)
+    view.replace_instances(listed)
     assert set(view.current.records) == {'a'}
 
 
 def test_service_published_after_its_servers_are_listed() -> None:
     view = ViewHolder()
-    view.take_instances(build_instances(build_at('a', port=8145, since=3)))
-    view.take_configuration(build_configuration())
+    view.replace_instances(build_instances(build_at('a', port=8145, since=3)))
+    view.replace_configuration(build_configuration())
     assert set(view.current.records) == {'a'}
--- a/wagtaildale/routing/throttling.py
+++ b/wagtaildale/routing/throttling.py
@@ -19,7 +19,7 @@
     from collections.abc import Sequence
 
     from wagtaildale.membership.records import InstanceRecord
-    from wagtaildale.routing.choice import Need
+    from wagtaildale.routing.choice import RequestContext
     from wagtaildale.routing.known_limits import KnownLimits
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.types import InstanceId
@@ -48,7 +48,7 @@
         return min(LONGEST_RETRY_SECONDS, spread * RETRY_SECONDS / self.share)
 
 
-def find_need_rank(
+def find_request_rank(
     rank: int,
     *,
     work_class: str,
@@ -77,7 +77,7 @@
     candidates: Sequence[InstanceRecord],
     *,
     limits: KnownLimits,
-    need: Need,
+    request: RequestContext,
     now: float,
 ) -> Sequence[InstanceRecord]:
     """Draw which upstreams a request may be sent to.
@@ -85,7 +85,7 @@
     Args:
         candidates: that may take the attempt.
         limits: that their servers name.
-        need: of the request.
+        request: of the request.
         now: seconds.
 
     Returns:
@@ -97,7 +97,7 @@
     return [
         record
         for record in candidates
-        if _may_ask(record.instance, limits, need, now)
+        if _may_ask(record.instance, limits, request, now)
     ]
 
 
@@ -105,7 +105,7 @@
     candidates: Sequence[InstanceRecord],
     *,
     limits: KnownLimits,
-    need: Need,
+    request: RequestContext,
     now: float,
 ) -> float:
     """Find the largest share of such requests that passes at an upstream.
@@ -113,14 +113,14 @@
     Args:
         candidates: at least one.
         limits: that their servers name.
-        need: of the request.
+        request: of the request.
         now: seconds.
 
     Returns:
         At most 1.
     """
     return max(
-        limits.find_share(record.instance, need.pass_rank, now=now)
+        limits.find_share(record.instance, request.pass_rank, now=now)
         for record in candidates
     )
 
@@ -128,14 +128,14 @@
 def _may_ask(
     instance: InstanceId,
     limits: KnownLimits,
-    need: Need,
+    request: RequestContext,
     now: float,
 ) -> bool:
-    if need.is_spare and limits.has(instance):
+    if request.is_hedge and limits.has(instance):
         # What a limited server takes is for requests that have no other.
         return False
-    share = limits.find_share(instance, need.pass_rank, now=now)
-    if need.was_limited:
+    share = limits.find_share(instance, request.pass_rank, now=now)
+    if request.was_limited:
         # Failure: every server of a service is limited, and each request
         # that passes is refused by one after the other.
         return share >= 1
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -11,7 +11,7 @@
 
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.ejection import Ejection
-from wagtaildale.routing.known_limits import NamedLimit
+from wagtaildale.routing.known_limits import ServerLimit
 from wagtaildale.routing.speed import Speed, fade
 from wagtaildale.types import ANY_INCARNATION, Incarnation, InstanceId
 
@@ -52,9 +52,9 @@
             0 if it did not run.
         class_seconds: that requests of its class take there now; 0 if the
             owner does not know yet.
-        class_usual: the same over a longer time.
+        class_usual_seconds: the same over a longer time.
         code: of the answer.
-        named: what its server takes; nothing if it has not heard that yet.
+        server_limit: what its server takes; nothing if it is not known yet.
     """
 
     incarnation: Incarnation
@@ -64,9 +64,9 @@
     slot_seconds: float = 0
     run_seconds: float = 0
     class_seconds: float = 0
-    class_usual: float = 0
+    class_usual_seconds: float = 0
     code: Code = Code.ok
-    named: NamedLimit | None = None
+    server_limit: ServerLimit | None = None
 
 
 class UpstreamStatistics:
@@ -197,16 +197,16 @@
         """
         if usual <= 0:
             return
-        if report.class_seconds > 0 and report.class_usual > 0:
+        if report.class_seconds > 0 and report.class_usual_seconds > 0:
             self.speed.note_told(
                 report.class_seconds / usual,
-                usual_ratio=report.class_usual / usual,
+                usual_ratio=report.class_usual_seconds / usual,
                 now=now,
             )
         else:
             self.speed.note_seen(report.run_seconds / usual, now=now)
 
-    def measure_age(self, now: float) -> float:
+    def measure_load_age(self, now: float) -> float:
         """Measure how old its last word on how full it is has become.
 
         Args:
@@ -227,7 +227,7 @@
             Requests there, as a share of its limit; over 1 if some wait.
         """
         told = (self.in_flight + self.queued) / self.limit
-        share = self.measure_age(now) / FULLNESS_KEPT_SECONDS
+        share = self.measure_load_age(now) / FULLNESS_KEPT_SECONDS
         return max(fade(told, to=0, share=share), self.pending / self.limit)
 
     def estimate_wait(self, usual: float, *, now: float) -> float:
@@ -250,7 +250,7 @@
             Seconds.
         """
         ahead = float(self.pending)
-        if self.measure_age(now) < STALE_SECONDS:
+        if self.measure_load_age(now) < STALE_SECONDS:
             ahead = max(ahead, self.in_flight + self.queued)
         slot_seconds = self.slot_seconds or usual
         return max(0, ahead + 1 - self.limit) * slot_seconds / self.limit
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -96,7 +96,7 @@
         self._lapsed: dict[InstanceId, InstanceRecord] = {}
         self._held: dict[InstanceId, InstanceRecord] = {}
 
-    def take_configuration(self, document: Document) -> None:
+    def replace_configuration(self, document: Document) -> None:
         """Swap in the routes of a later configuration.
 
         Args:
@@ -112,7 +112,7 @@
         )
         self._swap_records(self.current.list_index)
 
-    def take_instances(self, document: Document) -> None:
+    def replace_instances(self, document: Document) -> None:
         """Swap in a later instance list.
 
         Args:
@@ -121,7 +121,7 @@
         self._listed = check_records(document.blobs).unwrap()
         self._swap_records(document.version)
 
-    def take_lapsed(
+    def replace_lapsed(
         self,
         records: Iterable[InstanceRecord],
         *,
@@ -137,7 +137,7 @@
         self._held = {record.instance: record for record in held}
         self._swap_records(self.current.list_index)
 
-    def take_away(self, away: frozenset[InstanceId]) -> None:
+    def replace_away(self, away: frozenset[InstanceId]) -> None:
         """Swap in who takes no new work.
 
         Args:
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -130,7 +130,7 @@
                 for name, blob in compiled.parts.items()
             },
         )
-        self.view.take_configuration(document)
+        self.view.replace_configuration(document)
 
     def show(self, *records: InstanceRecord) -> None:
         """Let the node know these instances.
@@ -138,7 +138,7 @@
         Args:
             records: the whole list.
         """
-        self.view.take_instances(build_instances(*records))
+        self.view.replace_instances(build_instances(*records))
 
     def hold_slot(self, *, lease_seconds: float = 60) -> Verdict:
         """Reserve a slot as an entry does that then sends nothing.
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -25,7 +25,7 @@
 from wagtaildale.document.model import Document, make_empty, make_outline
 from wagtaildale.membership.decisions import pick_news
 from wagtaildale.membership.state import MembershipState
-from wagtaildale.membership.topology import Place
+from wagtaildale.membership.topology import Member
 from wagtaildale.testing.builders import build_instances, build_record
 from wagtaildale.timers.messages import Tick, TimerName, WokeLate
 from wagtaildale.types import (
@@ -321,7 +321,7 @@
             each for each in self.records if each.instance == instance
         )
         members = MembershipState(
-            own=Place(instance, DataCentre(record.data_centre)),
+            own=Member(instance, DataCentre(record.data_centre)),
             incarnation=Incarnation(self._starts),
         )
         state = make_state(
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -11,8 +11,8 @@
 from wagtaildale.calls.attempts import Attempts
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.choice import Need
-from wagtaildale.routing.throttling import Throttled, find_need_rank
+from wagtaildale.routing.choice import RequestContext
+from wagtaildale.routing.throttling import Throttled, find_request_rank
 from wagtaildale.testing.replay.servers import Job, ReplayServer
 from wagtaildale.types import ServiceName
 
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.budgets import RetryBudget
-    from wagtaildale.routing.placement import Placed
+    from wagtaildale.routing.placement import ChosenUpstream
     from wagtaildale.testing.replay.clock import VirtualClock
     from wagtaildale.testing.replay.entries import Asked, ReplayEntry
 
@@ -113,7 +113,7 @@
         patient = (
             not attempts.refusals_left
             or instance in attempts.tried
-            or placed.is_only
+            or placed.is_only_candidate
         )
         attempts.tried.append(instance)
         server = self._entry.mesh.servers[instance]
@@ -124,7 +124,7 @@
             server=server,
             since=now,
             is_near=is_near,
-            pass_rank=self._find_need_rank(),
+            pass_rank=self._find_request_rank(),
             share=placed.share,
         )
         self._running.append(sent)
@@ -135,30 +135,30 @@
             partial(self._arrive, sent, spare=spare, patient=patient),
         )
 
-    def _find_need_rank(self) -> int:
+    def _find_request_rank(self) -> int:
         asked = self._asked
-        return find_need_rank(
+        return find_request_rank(
             asked.work_class.rank,
             work_class=asked.work_class.name,
             slack_seconds=asked.due - self._clock.now,
             statistics=self._entry.placement.statistics,
         )
 
-    def _place(self, *, spare: bool) -> Placed | Throttled | None:
+    def _place(self, *, spare: bool) -> ChosenUpstream | Throttled | None:
         asked = self._asked
         attempts = self._attempts
         now = self._clock.now
         return self._entry.placement.choose(
             self._entry.mesh.view.current,
             asked.work_class.service,
-            useless=attempts.list_useless(),
-            need=Need(
+            excluded=attempts.list_useless(),
+            request=RequestContext(
                 data_centre=self._entry.data_centre,
                 work_class=asked.work_class.name,
                 slack_seconds=asked.due - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
-                pass_rank=self._find_need_rank(),
-                is_spare=spare,
+                pass_rank=self._find_request_rank(),
+                is_hedge=spare,
                 was_limited=attempts.was_limited,
             ),
             now=now,
@@ -253,7 +253,7 @@
         statistics = self._entry.placement.statistics
         upstream = statistics.find(instance, now=now)
         upstream.note_answer(report, now=now)
-        statistics.limits.note(instance, report.named, now=now)
+        statistics.limits.note(instance, report.server_limit, now=now)
         statistics.note_speed(
             upstream,
             report,
@@ -295,7 +295,7 @@
         listed = view.upstreams[ServiceName(self._asked.work_class.service)]
         return any(
             record.instance not in self._attempts.tried
-            and not statistics.is_out(record.instance, now=now)
+            and not statistics.is_ejected(record.instance, now=now)
             and not statistics.limits.has(record.instance)
             for record in listed
         )
--- a/wagtaildale/testing/replay/entries.py
+++ b/wagtaildale/testing/replay/entries.py
@@ -21,7 +21,7 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.failures import CallFailed
-    from wagtaildale.routing.known_limits import NamedLimit
+    from wagtaildale.routing.known_limits import ServerLimit
     from wagtaildale.routing.upstream import UpstreamStatistics
     from wagtaildale.testing.replay.mesh import ReplayMesh
     from wagtaildale.testing.replay.servers import ReplayServer
@@ -106,7 +106,7 @@
         if upstream is not None:
             upstream.speed.note_condition(ratio, now=self.mesh.clock.now)
 
-    def note_limit(self, server: ReplayServer, named: NamedLimit) -> None:
+    def note_limit(self, server: ReplayServer, named: ServerLimit) -> None:
         """Hear how many requests an upstream takes, if connected to it.
 
         Args:
--- a/wagtaildale/testing/replay/mesh.py
+++ b/wagtaildale/testing/replay/mesh.py
@@ -100,7 +100,7 @@
         self._version += 1
         records = [server.record for server in self.servers.values()]
         listed = build_instances(*records, version=self._version)
-        self.view.take_instances(listed)
+        self.view.replace_instances(listed)
 
     def leave(self, count: int) -> None:
         """Let upstreams leave: they finish what they have.
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -20,7 +20,7 @@
 from wagtaildale.admission.server_messages import RateTold, SlotsTold
 from wagtaildale.admission.shortage import share_out
 from wagtaildale.admission.state import make_admission
-from wagtaildale.routing.known_limits import NamedLimit
+from wagtaildale.routing.known_limits import ServerLimit
 from wagtaildale.routing.upstream import OwnerReport
 from wagtaildale.types import Incarnation
 
@@ -183,12 +183,12 @@
             queued=len(state.queue),
             slot_seconds=state.slot_seconds,
             class_seconds=usual.recent,
-            class_usual=usual.told,
+            class_usual_seconds=usual.told,
             code=code,
-            named=self.describe_limit(),
+            server_limit=self.describe_limit(),
         )
 
-    def describe_limit(self) -> NamedLimit | None:
+    def describe_limit(self) -> ServerLimit | None:
         """Say how many requests the backend server takes.
 
         Returns:
@@ -197,7 +197,7 @@
         state = self.state
         if not state.rate.is_heard:
             return None
-        return NamedLimit(
+        return ServerLimit(
             per_second=state.rate.per_second,
             share=share_out(state, now=self._clock.now),
         )
