--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -29,7 +29,7 @@
     assemble_document,
     digest_outline,
 )
-from wagtaildale.document.state import Pending, StoreState
+from wagtaildale.document.state import PendingVersion, StoreState
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 from wagtaildale.types import Digest, Version
@@ -61,7 +61,7 @@
     state: StoreState,
 ) -> list[StoreEffect]:
     delta = message.delta
-    rejected = _judge(state, delta.version, delta.digest)
+    rejected = _screen_version(state, delta.version, delta.digest)
     if rejected is not None:
         return rejected
     held = state.held
@@ -80,7 +80,7 @@
 ) -> list[StoreEffect]:
     outline = message.outline
     digest = digest_outline(outline)
-    rejected = _judge(state, outline.version, digest)
+    rejected = _screen_version(state, outline.version, digest)
     if rejected is not None:
         return rejected
     pending = state.pending
@@ -109,7 +109,7 @@
     return _complete(state, message.origin)
 
 
-def _judge(
+def _screen_version(
     state: StoreState,
     version: Version,
     digest: Digest,
@@ -167,7 +167,7 @@
     state: StoreState,
     outline: Outline,
     digest: Digest,
-) -> Pending:
+) -> PendingVersion:
     wanted = set(outline.entries.values())
     held = state.held
     found = {
@@ -177,7 +177,7 @@
     }
     if state.pending is not None:
         found.update(state.pending.found)
-    return Pending(outline=outline, digest=digest, found=found)
+    return PendingVersion(outline=outline, digest=digest, found=found)
 
 
 def _complete(state: StoreState, origin: Origin) -> list[StoreEffect]:
--- a/wagtaildale/document/state.py
+++ b/wagtaildale/document/state.py
@@ -17,11 +17,11 @@
 
     from wagtaildale.errors.faults import Fault
 
-HISTORY: Final = 16
-REFUSED_KEPT: Final = 64
+HISTORY_VERSIONS: Final = 16
+MAX_REFUSED_VERSIONS: Final = 64
 
 
-class Pending(Struct, kw_only=True):
+class PendingVersion(Struct, kw_only=True):
     """A later version of which blobs are still missing.
 
     Attributes:
@@ -58,10 +58,10 @@
     held: Document
     check: Callable[[Document], Result[None, Fault]]
     history: deque[Document] = field(
-        default_factory=lambda: deque(maxlen=HISTORY),
+        default_factory=lambda: deque(maxlen=HISTORY_VERSIONS),
     )
     refused: dict[tuple[Version, Digest], Fault] = field(default_factory=dict)
-    pending: Pending | None = None
+    pending: PendingVersion | None = None
 
     def find_version(self, version: Version, digest: Digest) -> Document | None:
         """Find a version held before.
@@ -100,7 +100,7 @@
             fault: why.
         """
         self.refused[(document.version, document.digest)] = fault
-        while len(self.refused) > REFUSED_KEPT:
+        while len(self.refused) > MAX_REFUSED_VERSIONS:
             self.refused.pop(next(iter(self.refused)))
 
 
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -7,7 +7,11 @@
 from msgspec import Struct, structs
 
 from wagtaildale.membership.news import AWAY_STATES, News, is_newer
-from wagtaildale.membership.state import MembershipState, Misses, NewsEntry
+from wagtaildale.membership.state import (
+    MembershipState,
+    MissedReplies,
+    NewsEntry,
+)
 from wagtaildale.types import Incarnation, InstanceId, NodeState
 
 if TYPE_CHECKING:
@@ -17,7 +21,7 @@
 
 MISSES_TO_SUSPECT: Final = 2
 # Between two misses of one peer; digests go out once a second.
-MISS_SECONDS: Final = 0.75
+MISS_INTERVAL_SECONDS: Final = 0.75
 SUSPECT_SECONDS: Final = 6.0
 NEWS_PER_MESSAGE: Final = 16
 
@@ -50,7 +54,7 @@
     Args:
         state: the fleet; moved forward in place.
         received: news from a peer.
-        now: seconds.
+        now: current time, in seconds.
 
     Returns:
         What changed.
@@ -58,11 +62,16 @@
     taken: list[NewsTaken] = []
     for news in received:
         if news.instance == state.own.instance:
-            _answer_for_self(state, news)
+            _refute_own(state, news)
             continue
         known = state.find_news(news.instance)
         if is_newer(news, than=known):
-            _hold(state, news, now, matters=_matters(news, known))
+            _store_news(
+                state,
+                news,
+                now,
+                is_worth_sending=_is_worth_sending(news, known),
+            )
             before = known.state if known else None
             taken.append(NewsTaken(news=news, before=before))
     return taken
@@ -79,15 +88,15 @@
     Args:
         state: the fleet; moved forward in place.
         peer: who did not reply.
-        now: seconds.
+        now: current time, in seconds.
 
     Returns:
         The suspicion, once enough replies are missing.
     """
-    misses = state.missed.setdefault(peer, Misses())
+    misses = state.missed.setdefault(peer, MissedReplies())
     # Failure: several messages go out together, the answers to all of them
     # are late together, and a working node is suspected for one delay.
-    if now - misses.noted_at < MISS_SECONDS:
+    if now - misses.noted_at < MISS_INTERVAL_SECONDS:
         return []
     misses.count += 1
     misses.noted_at = now
@@ -123,7 +132,7 @@
 
     Args:
         state: the fleet; moved forward in place.
-        now: seconds.
+        now: current time, in seconds.
 
     Returns:
         What changed.
@@ -150,7 +159,7 @@
         records: by instance.
     """
     state.records = records
-    state.cached = None
+    state.cached_topology = None
 
 
 def pick_news(
@@ -170,29 +179,31 @@
     Returns:
         This node's own news, then some of others.
     """
-    fresh = [entry for entry in state.entries.values() if entry.sends_left > 0]
-    fresh.sort(key=_read_sends_left, reverse=True)
+    fresh = [
+        entry for entry in state.entries.values() if entry.retransmits_left > 0
+    ]
+    fresh.sort(key=_read_retransmits_left, reverse=True)
     chosen = fresh[:NEWS_PER_MESSAGE]
     for passed_on in chosen:
-        passed_on.sends_left -= 1
+        passed_on.retransmits_left -= 1
     held = state.find_news(to)
-    against = [held] if held and held.state in AWAY_STATES else []
-    others = dict.fromkeys((*against, *(entry.news for entry in chosen)))
+    to_refute = [held] if held and held.state in AWAY_STATES else []
+    others = dict.fromkeys((*to_refute, *(entry.news for entry in chosen)))
     return (state.build_own_news(), *others)
 
 
-def _read_sends_left(entry: NewsEntry) -> int:
-    return entry.sends_left
+def _read_retransmits_left(entry: NewsEntry) -> int:
+    return entry.retransmits_left
 
 
-def _answer_for_self(state: MembershipState, news: News) -> None:
+def _refute_own(state: MembershipState, news: News) -> None:
     own = state.build_own_news()
     if is_newer(news, than=own) and state.state is not NodeState.leaving:
         state.incarnation = Incarnation(max(own.incarnation, news.incarnation))
         state.sequence = news.sequence + 1
 
 
-def _matters(news: News, known: News | None) -> bool:
+def _is_worth_sending(news: News, known: News | None) -> bool:
     # That a listed node works is what everybody assumes: to pass on news of
     # that kind would cost each start of the fleet a message for each pair.
     if news.state in AWAY_STATES:
@@ -200,22 +211,22 @@
     return known is not None and known.state in AWAY_STATES
 
 
-def _hold(
+def _store_news(
     state: MembershipState,
     news: News,
     now: float,
     *,
-    matters: bool,
+    is_worth_sending: bool,
 ) -> None:
     state.entries[news.instance] = NewsEntry(
         news=news,
         since=now,
-        sends_left=state.count_sends() if matters else 0,
+        retransmits_left=state.compute_retransmits() if is_worth_sending else 0,
     )
     if news.state not in AWAY_STATES:
         state.missed.pop(news.instance, None)
-    if matters:
-        state.cached = None
+    if is_worth_sending:
+        state.cached_topology = None
 
 
 def _forget_unlisted(state: MembershipState, now: float) -> None:
--- a/wagtaildale/membership/news.py
+++ b/wagtaildale/membership/news.py
@@ -14,7 +14,7 @@
 
 from wagtaildale.types import Incarnation, InstanceId, NodeState
 
-GRAVITY: Final = MappingProxyType(
+STATE_PRECEDENCE: Final = MappingProxyType(
     {
         NodeState.joining: 0,
         NodeState.ready: 1,
@@ -46,7 +46,7 @@
     @property
     def order(self) -> tuple[int, int, int]:
         """The key by which later news is greater."""
-        return (self.incarnation, self.sequence, GRAVITY[self.state])
+        return (self.incarnation, self.sequence, STATE_PRECEDENCE[self.state])
 
 
 def is_newer(news: News, *, than: News | None) -> bool:
--- a/wagtaildale/membership/records.py
+++ b/wagtaildale/membership/records.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-DECODED_RECORDS: Final = 8192
+RECORD_CACHE_SIZE: Final = 8192
 LARGEST_PORT: Final = 65535
 
 Port = Annotated[int, Meta(ge=1, le=LARGEST_PORT)]
@@ -101,10 +101,10 @@
     instances: tuple[InstanceRecord, ...]
 
 
-RecordDecoder = json.Decoder(InstanceRecord)
+record_decoder = json.Decoder(InstanceRecord)
 
 
-@lru_cache(maxsize=DECODED_RECORDS)
+@lru_cache(maxsize=RECORD_CACHE_SIZE)
 def decode_record(blob: bytes) -> InstanceRecord:
     """Decode a record; each content is decoded once.
 
@@ -117,7 +117,7 @@
     Raises:
         ValidationError: of msgspec, when the bytes are no record.
     """
-    return RecordDecoder.decode(blob)
+    return record_decoder.decode(blob)
 
 
 def encode_list(listing: InstanceList) -> dict[str, bytes]:
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
 
-SPREAD_FACTOR: Final = 4
+RETRANSMIT_FACTOR: Final = 4
 
 
 class NewsEntry(Struct, kw_only=True):
@@ -27,15 +27,15 @@
     Attributes:
         news: the latest.
         since: when it came, seconds.
-        sends_left: how often it is still passed on.
+        retransmits_left: how often it is still passed on.
     """
 
     news: News
     since: float
-    sends_left: int
+    retransmits_left: int
 
 
-class Misses(Struct, kw_only=True):
+class MissedReplies(Struct, kw_only=True):
     """Replies of a peer that are missing in a row.
 
     Attributes:
@@ -58,7 +58,7 @@
         records: the platform's list, by node.
         entries: news by instance.
         missed: by peer, what it did not reply to.
-        cached: the topology, until records or news change.
+        cached_topology: the topology, until records or news change.
     """
 
     own: Member
@@ -67,8 +67,8 @@
     state: NodeState = NodeState.joining
     records: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
     entries: dict[InstanceId, NewsEntry] = field(default_factory=dict)
-    missed: dict[InstanceId, Misses] = field(default_factory=dict)
-    cached: Topology | None = None
+    missed: dict[InstanceId, MissedReplies] = field(default_factory=dict)
+    cached_topology: Topology | None = None
 
     def build_own_news(self) -> News:
         """Give the news of this node itself.
@@ -107,19 +107,19 @@
             for record in self.records.values()
             if record.state is ListedState.leaving
         )
-        told = (
+        reported = (
             name
             for name, entry in self.entries.items()
             if entry.news.state in AWAY_STATES
         )
         own = (self.own.instance,)
         leaving = self.state is NodeState.leaving
-        return frozenset((*listed, *told, *(own if leaving else ())))
+        return frozenset((*listed, *reported, *(own if leaving else ())))
 
     def leave(self) -> None:
         """Begin this node's planned stop."""
         self.state = NodeState.leaving
-        self.cached = None
+        self.cached_topology = None
 
     def list_leaving(self) -> frozenset[InstanceId]:
         """List the nodes that have begun their planned stop.
@@ -127,19 +127,19 @@
         Returns:
             Those that said so, this node itself included.
         """
-        told = self._list_said(NodeState.leaving)
+        reported = self._list_in_states(NodeState.leaving)
         if self.state is NodeState.leaving:
-            return told | {self.own.instance}
-        return told
+            return reported | {self.own.instance}
+        return reported
 
-    def count_sends(self) -> int:
+    def compute_retransmits(self) -> int:
         """Tell how often news is passed on.
 
         Returns:
             A few times the logarithm of the fleet's size, so that news
             reaches everyone with high probability.
         """
-        return SPREAD_FACTOR * max(1, len(self.records).bit_length())
+        return RETRANSMIT_FACTOR * max(1, len(self.records).bit_length())
 
     def list_suspects(self) -> list[InstanceId]:
         """List the suspected nodes of this data centre.
@@ -147,7 +147,7 @@
         Returns:
             Those that are listed and were not called dead yet.
         """
-        suspects = self._list_said(NodeState.suspect)
+        suspects = self._list_in_states(NodeState.suspect)
         return [
             record.node_id
             for record in self.records.values()
@@ -161,17 +161,17 @@
         Returns:
             The listed instances that are neither suspect nor dead.
         """
-        gone = self._list_said(NodeState.dead, NodeState.suspect)
-        places = [
+        gone = self._list_in_states(NodeState.dead, NodeState.suspect)
+        members = [
             Member(record.node_id, record.data_centre)
             for record in self.records.values()
             if record.node_id not in gone
         ]
-        if self.own not in places:
-            places.append(self.own)
-        return places
+        if self.own not in members:
+            members.append(self.own)
+        return members
 
-    def _list_said(self, *states: NodeState) -> frozenset[InstanceId]:
+    def _list_in_states(self, *states: NodeState) -> frozenset[InstanceId]:
         return frozenset(
             name
             for name, entry in self.entries.items()
@@ -188,10 +188,10 @@
     Returns:
         The topology over all that are not known to be away.
     """
-    if state.cached is None:
-        state.cached = compute_topology(
+    if state.cached_topology is None:
+        state.cached_topology = compute_topology(
             state.list_members(),
             own=state.own,
             leaving=state.list_leaving(),
         )
-    return state.cached
+    return state.cached_topology
--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -22,7 +22,7 @@
     from collections.abc import Collection, Iterable, Sequence
 
 HASH_BYTES: Final = 8
-HASHES_KEPT: Final = 65536
+HASH_CACHE_SIZE: Final = 65536
 LOCAL_RINGS: Final = 3
 # One of them may just have ended.
 ROOTS_PER_DATA_CENTRE: Final = 2
@@ -36,7 +36,7 @@
     data_centre: DataCentre
 
 
-@lru_cache(maxsize=HASHES_KEPT)
+@lru_cache(maxsize=HASH_CACHE_SIZE)
 def hash_instance(salt: str, instance: InstanceId) -> int:
     """Hash an instance for one purpose.
 
@@ -70,21 +70,23 @@
 
 
 def list_local(
-    places: Iterable[Member],
+    members: Iterable[Member],
     *,
     data_centre: DataCentre,
 ) -> list[InstanceId]:
     """List the instances of one data centre.
 
     Args:
-        places: the fleet.
+        members: the fleet.
         data_centre: which.
 
     Returns:
         Their ids.
     """
     return [
-        place.instance for place in places if place.data_centre == data_centre
+        member.instance
+        for member in members
+        if member.data_centre == data_centre
     ]
 
 
@@ -159,7 +161,7 @@
 
 
 def compute_topology(
-    places: Sequence[Member],
+    members: Sequence[Member],
     *,
     own: Member,
     leaving: Collection[InstanceId] = (),
@@ -167,23 +169,23 @@
     """Compute a node's neighbours from the fleet.
 
     Args:
-        places: who is there and not known to be away, the node included.
+        members: who is there and not known to be away, the node included.
         own: the node itself.
         leaving: nodes that stop: they hear the news, and read nothing.
 
     Returns:
         Its neighbours.
     """
-    local = list_local(places, data_centre=own.data_centre)
+    local = list_local(members, data_centre=own.data_centre)
     rings = [(f'ring{number}', local) for number in range(LOCAL_RINGS)]
-    rings.append((FLEET_RING, [place.instance for place in places]))
+    rings.append((FLEET_RING, [member.instance for member in members]))
     found = (
         find_successor(
-            rank_instances(salt, instances=members),
+            rank_instances(salt, instances=ring_members),
             salt=salt,
             instance=own.instance,
         )
-        for salt, members in rings
+        for salt, ring_members in rings
     )
     neighbours = dict.fromkeys(name for name in found if name is not None)
     neighbours.pop(own.instance, None)
@@ -192,19 +194,19 @@
         readers=tuple(rank_instances('reader', instances=staying)),
         tree=tuple(rank_instances('tree', instances=local)),
         neighbours=tuple(neighbours),
-        roots=_find_roots(places, own.data_centre),
+        roots=_find_roots(members, own.data_centre),
     )
 
 
 def _find_roots(
-    places: Sequence[Member],
+    members: Sequence[Member],
     own: DataCentre,
 ) -> tuple[InstanceId, ...]:
-    others = {place.data_centre for place in places} - {own}
+    others = {member.data_centre for member in members} - {own}
     trees = (
         rank_instances(
             'tree',
-            instances=list_local(places, data_centre=data_centre),
+            instances=list_local(members, data_centre=data_centre),
         )
         for data_centre in sorted(others)
     )
--- a/wagtaildale/routing/__init__.py
+++ b/wagtaildale/routing/__init__.py
@@ -1,1 +1,1 @@
-"""From a request to its class of work and its upstream."""
+"""Routing: finds the class of a request and chooses its upstream."""
--- a/wagtaildale/routing/baselines.py
+++ b/wagtaildale/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines of the benchmarks: choices that look at no load."""
+"""Baseline strategies for benchmarks, which ignore the load."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class RoundRobin(Chooser):
-    """Every upstream in turn."""
+    """Chooses the upstreams in turn."""
 
     def __init__(self) -> None:
-        """Begin with the first."""
+        """Start with the first candidate."""
         self._turn = itertools.count()
 
     def choose(
@@ -30,22 +30,22 @@
         request: RequestContext,
         now: float,
     ) -> InstanceRecord:
-        """Choose the next one; see ``Chooser``.
+        """Choose the next upstream; see ``Chooser``.
 
         Args:
-            candidates: at least one.
-            statistics: not looked at.
-            request: not looked at.
-            now: not looked at.
+            candidates: upstreams that may take the attempt; at least one.
+            statistics: ignored.
+            request: ignored.
+            now: ignored.
 
         Returns:
-            The one that takes the attempt.
+            The chosen upstream.
         """
         return candidates[next(self._turn) % len(candidates)]
 
 
 class RandomChoice(Chooser):
-    """Any upstream."""
+    """Chooses upstreams at random, with equal probability."""
 
     def choose(
         self,
@@ -55,15 +55,15 @@
         request: RequestContext,
         now: float,
     ) -> InstanceRecord:
-        """Choose any one; see ``Chooser``.
+        """Choose a random upstream; see ``Chooser``.
 
         Args:
-            candidates: at least one.
-            statistics: not looked at.
-            request: not looked at.
-            now: not looked at.
+            candidates: upstreams that may take the attempt; at least one.
+            statistics: ignored.
+            request: ignored.
+            now: ignored.
 
         Returns:
-            The one that takes the attempt.
+            The chosen upstream.
         """
         return random.choice(candidates)
--- a/wagtaildale/routing/candidates.py
+++ b/wagtaildale/routing/candidates.py
@@ -1,4 +1,4 @@
-"""Which upstreams may take an attempt."""
+"""Lists the upstreams that an attempt may be sent to."""
 
 from __future__ import annotations
 
@@ -25,30 +25,34 @@
 ) -> list[InstanceRecord]:
     """List the upstreams that may take an attempt.
 
+    In a rolling restart, gossip that an instance is back may arrive a moment
+    after gossip that the last other one leaves; a call in between would be
+    refused though a server is there. So upstreams that are away only
+    according to gossip are tried before any is tried a second time. A wrong
+    guess costs one refusal.
+
     Args:
-        view: the snapshot that the call goes by.
-        service: whose upstreams.
+        view: snapshot that the call is routed by.
+        service: service that the upstreams run.
         tried: instances that earlier attempts of the call went to.
-        leaving_servers: servers that have said that they leave.
-
-    Failure guarded here: in a rolling restart the news that an instance is
-    back comes a moment after that the last other one leaves, and a call is
-    refused though a server is there. Who is away by news alone is asked
-    before any is asked a second time: a wrong guess costs a refusal.
+        leaving_servers: servers that have announced that they leave.
 
     Returns:
-        Those not away and not tried; else those away by news and not tried;
-        else all. Those that have said that they leave are never among them.
+        Upstreams that are neither away nor tried; without any, untried ones
+        that are away only according to gossip; without these, all. Servers
+        that have announced that they leave are never included.
     """
     listed = [
         record
         for record in view.upstreams.get(service, ())
         if not leaving_servers.has(record)
     ]
-    fresh = [record for record in listed if record.instance not in tried]
-    present = [record for record in fresh if not view.is_away(record)]
-    back = [record for record in fresh if record.state is ListedState.live]
-    return present or back or listed
+    untried = [record for record in listed if record.instance not in tried]
+    present = [record for record in untried if not view.is_away(record)]
+    listed_live = [
+        record for record in untried if record.state is ListedState.live
+    ]
+    return present or listed_live or listed
 
 
 def leave_out_ejected(
@@ -57,23 +61,23 @@
     statistics: FleetStatistics,
     now: float,
 ) -> Sequence[InstanceRecord]:
-    """Leave out the upstreams that failed of late, at most half of all.
+    """Leave out the ejected upstreams, unless they are more than half.
 
-    Failure guarded here: everything fails for a moment (a cut line at this
-    entry) and it leaves out the whole service, or puts all load on what is
-    left. When more than half are out, none is left out.
+    If the entry's own network fails for a moment, every call fails and it
+    would eject the whole service, or put all load on the few that are left.
+    So when more than half are ejected, none is left out.
 
     Args:
-        candidates: that may take the attempt.
-        statistics: what is known of them.
-        now: seconds.
+        candidates: upstreams that may take the attempt.
+        statistics: load, speed and failures of the upstreams.
+        now: current time, in seconds.
 
     Returns:
-        Those in good standing.
+        The candidates that are not ejected, or all.
     """
-    good = [
+    healthy = [
         record
         for record in candidates
         if not statistics.is_ejected(record.instance, now=now)
     ]
-    return good if 2 * len(good) >= len(candidates) else candidates
+    return healthy if 2 * len(healthy) >= len(candidates) else candidates
--- a/wagtaildale/routing/choice.py
+++ b/wagtaildale/routing/choice.py
@@ -1,6 +1,7 @@
-"""How the upstream of an attempt is chosen: the plug point.
+"""Interface of the strategies that choose the upstream of an attempt.
 
-Each way is a module behind ``Chooser``; ``choosers.make_chooser`` makes one.
+Each strategy is a module with a subclass of ``Chooser``;
+``choosers.make_chooser`` creates one by name.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @final
 class ChoiceName(Enum):
-    """The ways there are; the last two are baselines to measure."""
+    """Names of the strategies; the last two are baselines for benchmarks."""
 
     least_loaded = 'least-loaded'
     expected_time = 'expected-time'
@@ -33,17 +34,20 @@
 
 
 class RequestContext(Struct, frozen=True, kw_only=True):
-    """What a request needs of its upstream.
+    """Properties of a request that the choice of its upstream depends on.
 
     Attributes:
-        data_centre: the entry's own.
-        work_class: service and class.
-        slack_seconds: until the target of the class is missed.
-        may_wait: whether it can wait at an upstream that was full.
-        pass_rank: by which limited upstreams are drawn; see
+        data_centre: data centre of the entry.
+        work_class: service and class of the request.
+        slack_seconds: seconds until the target of the class is missed.
+        may_wait: whether the request can wait at an upstream that refused it
+            because it was full.
+        pass_rank: rank by which limited upstreams admit the request; see
             ``admission.shares``.
-        is_hedge: whether it is asked for beside an attempt that goes on.
-        was_limited: whether an upstream had no token for it.
+        is_hedge: whether the attempt runs beside another one of the request
+            that has not ended.
+        was_limited: whether an upstream refused the request for its rate
+            limit.
     """
 
     data_centre: DataCentre
@@ -56,7 +60,7 @@
 
 
 class Chooser(ABC):
-    """Chooses among candidates."""
+    """Strategy that chooses among candidates."""
 
     @abstractmethod
     def choose(
@@ -67,15 +71,15 @@
         request: RequestContext,
         now: float,
     ) -> InstanceRecord | None:
-        """Choose one.
+        """Choose the upstream of an attempt.
 
         Args:
             candidates: upstreams that may take the attempt; at least one.
-            statistics: what is known of them.
-            request: of the request.
-            now: seconds.
+            statistics: load, speed and failures of the upstreams.
+            request: properties of the request that the choice depends on.
+            now: current time, in seconds.
 
         Returns:
-            The one that takes it, or nothing if the request had better wait
-            where it can (``need.may_wait``).
+            The chosen upstream; nothing if the request should rather wait at
+            an upstream where it can (``request.may_wait``).
         """
--- a/wagtaildale/routing/choosers.py
+++ b/wagtaildale/routing/choosers.py
@@ -1,4 +1,4 @@
-"""Makes the chooser that the settings name."""
+"""Creates the chooser that the settings select."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def make_chooser(name: ChoiceName) -> Chooser:
-    """Make the chooser with a name.
+    """Create a chooser by name.
 
     Args:
-        name: which way.
+        name: name of the strategy.
 
     Returns:
-        The chooser.
+        A new chooser.
     """
     choosers: dict[ChoiceName, type[Chooser]] = {
         ChoiceName.least_loaded: LeastLoaded,
--- a/wagtaildale/routing/down_servers.py
+++ b/wagtaildale/routing/down_servers.py
@@ -1,4 +1,4 @@
-"""Upstreams whose owners say that their servers are down."""
+"""Keeps track of upstreams whose backend servers are reported down."""
 
 from __future__ import annotations
 
@@ -7,51 +7,51 @@
 if TYPE_CHECKING:
     from wagtaildale.types import InstanceId
 
-# Told anew by an owner four times a second, as long as it is true.
-KEPT_SECONDS: Final = 1.5
+# An owner repeats the report four times a second while its server is down.
+REPORT_TTL_SECONDS: Final = 1.5
 
 
 class DownServers:
-    """Knows for each how long its owner's word counts."""
+    """Upstreams whose servers are down, each until its report expires."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._until: dict[InstanceId, float] = {}
+        """Start without any."""
+        self._down_until: dict[InstanceId, float] = {}
 
     def __len__(self) -> int:
-        """Count those of which that was told."""
-        return len(self._until)
+        """Count the upstreams whose servers were reported down."""
+        return len(self._down_until)
 
     def note(self, instance: InstanceId, *, is_up: bool, now: float) -> bool:
-        """Note an owner's word.
+        """Note an owner's report on its backend server.
 
         Args:
-            instance: of the upstream.
-            is_up: whether its server takes connections.
-            now: seconds.
+            instance: id of the upstream.
+            is_up: whether the server accepts connections.
+            now: current time, in seconds.
 
         Returns:
-            Whether it is up again.
+            Whether the server was down and is up again.
         """
         if is_up:
-            return self._until.pop(instance, None) is not None
-        self._until[instance] = now + KEPT_SECONDS
+            return self._down_until.pop(instance, None) is not None
+        self._down_until[instance] = now + REPORT_TTL_SECONDS
         return False
 
     def has(self, instance: InstanceId, *, now: float) -> bool:
         """Tell whether an upstream's server is down.
 
         Args:
-            instance: of the upstream.
-            now: seconds.
+            instance: id of the upstream.
+            now: current time, in seconds.
 
         Returns:
-            Whether its owner said so, and may be taken by its word.
+            Whether its owner reported so and the report has not expired.
         """
-        until = self._until.get(instance)
+        until = self._down_until.get(instance)
         if until is None:
             return False
         if until > now:
             return True
-        self._until.pop(instance)
+        self._down_until.pop(instance)
         return False
--- a/wagtaildale/routing/ejection.py
+++ b/wagtaildale/routing/ejection.py
@@ -1,7 +1,7 @@
-"""Whether an upstream is left out for a while, and when it comes back.
+"""Ejects an upstream from the choice for a while, and probes it afterwards.
 
-Load pattern answered: a server that fails at once, stands still or leaves
-looks idle, and draws the calls that others could answer.
+A server that fails at once, hangs or leaves looks idle, and would attract the
+calls that others could answer.
 """
 
 from __future__ import annotations
@@ -9,122 +9,126 @@
 from typing import Final
 
 FAILURES_TO_EJECT: Final = 3
-FIRST_EJECTION: Final = 1.0
-LONGEST_EJECTION: Final = 30.0
+FIRST_EJECTION_SECONDS: Final = 1.0
+MAX_EJECTION_SECONDS: Final = 30.0
 PROBE_SECONDS: Final = 1.0
 LEAVING_SECONDS: Final = 3.0
-# Told anew with each ping to a silent owner, four a second.
+# Renewed with each unanswered ping to the owner, four a second.
 SILENCE_SECONDS: Final = 0.5
 
 
 class Ejection:
-    """Whether an upstream is left out for its failures.
+    """Circuit breaker of one upstream.
 
-    Failure guarded here: a server that fails quickly looks idle and draws
-    ever more calls. After a few failures in a row it is left out, for
-    longer each time, and comes back by a probe: one call at a time until
-    one is answered.
+    A server that fails quickly looks idle and attracts ever more calls. After
+    a few failures in a row it is ejected, for longer each time. It returns by
+    probes: one call at a time until one is answered.
     """
 
     __slots__ = (
         '_failures',
-        '_leaves_until',
-        '_seconds',
+        '_leaving_until',
+        '_ejection_seconds',
         '_silent_until',
-        '_until',
+        '_ejected_until',
     )
 
     def __init__(self) -> None:
-        """Begin in good standing."""
+        """Start with an upstream that is not ejected."""
         self._failures = 0
-        self._seconds = FIRST_EJECTION
-        self._until = float(0)
-        self._leaves_until = float(0)
+        self._ejection_seconds = FIRST_EJECTION_SECONDS
+        self._ejected_until = float(0)
+        self._leaving_until = float(0)
         self._silent_until = float(0)
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether the upstream is left out now.
+        """Tell whether the upstream is ejected now.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
 
         Returns:
-            Whether to choose others.
+            Whether requests should go to other upstreams.
         """
-        until = max(self._until, self._leaves_until, self._silent_until)
+        until = max(
+            self._ejected_until, self._leaving_until, self._silent_until
+        )
         return until > now
 
     def is_leaving(self, now: float) -> bool:
-        """Tell whether the upstream has said of late that it is leaving.
+        """Tell whether the upstream has lately reported that it is leaving.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
 
         Returns:
-            Whether to open no connection before one is needed.
+            Whether to open no connection to it ahead of a request.
         """
-        return self._leaves_until > now
+        return self._leaving_until > now
 
     def note_failure(self, now: float) -> bool:
         """Note a failure of the upstream.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
 
         Returns:
-            Whether it is left out from now on.
+            Whether this failure ejects it.
         """
         self._failures += 1
         if self._failures < FAILURES_TO_EJECT or self.is_ejected(now):
             return False
-        self._until = now + self._seconds
-        self._seconds = min(LONGEST_EJECTION, self._seconds * 2)
+        self._ejected_until = now + self._ejection_seconds
+        self._ejection_seconds = min(
+            MAX_EJECTION_SECONDS, self._ejection_seconds * 2
+        )
         return True
 
     def note_leaving(self, now: float) -> None:
-        """Note that the upstream says it is leaving.
+        """Note that the upstream reports that it is leaving.
 
-        News of it may take seconds to come round; its own refusal is as
-        good. Should it come back under the same id, it is asked again soon.
+        Its own refusal takes effect at once, while gossip about it may take
+        seconds. The ejection is short, so that an instance that comes back
+        under the same id is soon tried again.
 
-        Failure guarded here: it finishes what it has, and each answer to
-        that work would bring it back as well, to refuse new work. Answers
-        end an ejection for failures, and not this.
+        Unlike an ejection for failures, this one does not end with an answer:
+        the upstream still answers the work that it has, and each of these
+        answers would send it new work, which it refuses.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
         """
-        self._leaves_until = now + LEAVING_SECONDS
+        self._leaving_until = now + LEAVING_SECONDS
 
     def note_silent(self, now: float) -> None:
-        """Note that nothing is heard of the upstream's owner.
+        """Note that the upstream's owner does not answer pings.
 
-        Failure guarded here: a process stands still for some seconds, its
-        port takes connections all the same, and every call that is sent on
-        one waits for a second.
+        While a process hangs for some seconds, the kernel still accepts
+        connections on its port, and every call that is sent there would wait
+        for a second.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
         """
         self._silent_until = now + SILENCE_SECONDS
 
     def note_chosen(self, now: float) -> None:
-        """Note that the upstream gets a call; a probe if it was out.
+        """Note that a call goes to the upstream, as a probe after an ejection.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
         """
         if self._failures >= FAILURES_TO_EJECT and not self.is_ejected(now):
-            self._until = now + PROBE_SECONDS
+            self._ejected_until = now + PROBE_SECONDS
 
     def note_answer(self) -> bool:
         """Note an answer of the upstream.
 
         Returns:
-            Whether it was left out and is back.
+            Whether the answer ended an ejection.
         """
         was_out = self._failures >= FAILURES_TO_EJECT
         self._failures = 0
-        self._seconds = FIRST_EJECTION
-        self._until = float(0)
+        self._ejection_seconds = FIRST_EJECTION_SECONDS
+        self._ejected_until = float(0)
         return was_out
--- a/wagtaildale/routing/expected_time.py
+++ b/wagtaildale/routing/expected_time.py
@@ -1,11 +1,11 @@
-"""The upstream that is expected to answer first, the near ones preferred.
-
-Load pattern answered: data centres with fewer servers than their callers
-need, servers of one service that differ in speed, and bytes between data
-centres that cost more than a short wait. A request stays in its own data
-centre as long as it need not wait there for long. Where it would, the queue
-there only grows while servers elsewhere have room: it goes where it is
-answered first, with a handicap for the way and its bytes.
+"""Chooses the upstream that is expected to answer first, near ones preferred.
+
+Data centres may have fewer servers than their callers need, servers of one
+service differ in speed, and bytes between data centres cost more than a short
+wait. A request stays in its own data centre as long as it does not have to
+wait there for long. Otherwise the queue there would grow while servers
+elsewhere have room, so the request goes where it is expected to be answered
+first, with a handicap on other data centres for the distance and the bytes.
 """
 
 from __future__ import annotations
@@ -23,40 +23,40 @@
 
     from wagtaildale.routing.statistics import FleetStatistics
 
-# Of the usual time of an answer: what one that takes longer than usual may
-# need. With times spread as those of the users' services (a third of the
-# mean), nine in ten answers are inside it.
-SAFETY: Final = 1.5
-# Of the time that is left of the target: a wait up to this is a short one, and
-# servers that differ by less are alike.
+# Multiple of the usual time that is reserved for a slower answer. With the
+# spread seen in production services (a third of the mean), nine in ten answers
+# take less.
+SAFETY_FACTOR: Final = 1.5
+# As a fraction of the time left until the target: a wait up to this is short,
+# and upstreams whose costs differ by less count as equal.
 SHORT_WAIT_SHARE: Final = 0.1
-# Of the same: how much sooner another data centre must answer. Where a
-# service is full everywhere, the queues differ by less than that, and bytes
-# between data centres are not spent on it; a slow or overloaded server beside
-# idle ones elsewhere differs by more.
-FAR_SHARE: Final = 0.3
+# As a fraction of the time left until the target: how much sooner an upstream
+# in another data centre must answer. If a service is full everywhere, its
+# queues differ by less, and no bytes between data centres are spent on it; a
+# slow or overloaded server differs from idle ones elsewhere by more.
+FAR_HANDICAP_SHARE: Final = 0.3
 
 
-class Option(Struct, frozen=True, kw_only=True, gc=False):
-    """An upstream that may take a request.
+class ScoredUpstream(Struct, frozen=True, kw_only=True, gc=False):
+    """A candidate with the times that are expected of it.
 
     Attributes:
-        record: the upstream.
-        wait: seconds until the request would have a slot.
-        total: seconds until it would be answered, with a margin.
-        cost: the same with the handicap of another data centre.
-        crowd: what speaks against it for being full, seconds.
+        record: the candidate's entry in the instance list.
+        wait: seconds until the request would get a slot.
+        total: seconds until the answer, with a safety margin.
+        cost: ``total`` plus the handicap of another data centre, seconds.
+        fullness_penalty: addition to the cost for slots in use, seconds.
     """
 
     record: InstanceRecord
     wait: float
     total: float
     cost: float
-    crowd: float
+    fullness_penalty: float
 
 
 class ExpectedTime(Chooser):
-    """Chooses by the time until an answer is expected."""
+    """Chooses the upstream with the shortest expected time to an answer."""
 
     def choose(
         self,
@@ -66,20 +66,20 @@
         request: RequestContext,
         now: float,
     ) -> InstanceRecord | None:
-        """Choose one; see ``Chooser``.
+        """Choose an upstream; see ``Chooser``.
 
         Args:
-            candidates: at least one.
-            statistics: what is known of them.
-            request: of the request.
-            now: seconds.
+            candidates: upstreams that may take the attempt; at least one.
+            statistics: load, speed and failures of the upstreams.
+            request: properties of the request that the choice depends on.
+            now: current time, in seconds.
 
         Returns:
-            The one that takes the attempt; nothing if no other can answer
-            in time, and the request may wait where it was.
+            The chosen upstream; nothing if no candidate can answer in time
+            and the request may wait at an upstream that refused it.
         """
         near = [
-            _weigh(record, statistics, request, now)
+            _score(record, statistics, request, now)
             for record in candidates
             if record.data_centre == request.data_centre
         ]
@@ -90,65 +90,72 @@
             if option.wait <= margin and option.total <= request.slack_seconds
         ]
         if in_time:
-            return _choose_alike(in_time, margin).record
+            return _choose_similar(in_time, margin).record
         far = [
-            _weigh(record, statistics, request, now)
+            _score(record, statistics, request, now)
             for record in candidates
             if record.data_centre != request.data_centre
         ]
         best = _find_best([*near, *far])
         if request.may_wait and best.total > request.slack_seconds:
-            # Failure: a service is full everywhere, and each request is sent
-            # to several servers only to be refused by each of them.
+            # When a service is full everywhere, trying more servers only
+            # collects more refusals.
             return None
         return best.record
 
 
-def _find_best(options: list[Option]) -> Option:
-    # Of several alike each entry is to take another one.
+def _find_best(options: list[ScoredUpstream]) -> ScoredUpstream:
+    # Entries with equal options should not all choose the same upstream.
     random.shuffle(options)
     return min(options, key=_read_cost)
 
 
-def _choose_alike(options: list[Option], margin: float) -> Option:
-    # Failure: of several servers that have room by what was last heard, all
-    # entries take the fastest, until it has none. The fuller a server was,
-    # the likelier its slots are taken when the request comes. Far servers are
-    # not judged by that: how full they are is heard too seldom, and next to
-    # them every near one would look full.
-    least = min(map(_read_crowded, options))
-    # Failure: of servers that are alike all requests go to the one that was
-    # faster by a hair, and nothing is learned of the others for a minute.
-    alike = [
-        option for option in options if _read_crowded(option) <= least + margin
+def _choose_similar(
+    options: list[ScoredUpstream], margin: float
+) -> ScoredUpstream:
+    # Without the penalty all entries would choose the fastest of the servers
+    # that had room at their last report, until it has none. The fuller a server
+    # was, the more likely its slots are in use when the request arrives. The
+    # penalty is not used for far servers: their load is reported too seldom,
+    # and compared to them every near one would look full.
+    lowest_cost = min(map(_read_penalised_cost, options))
+    # Choosing at random among similar servers keeps all requests from going to
+    # the one that was minimally faster, which would leave the statistics of the
+    # others without updates for a minute.
+    similar = [
+        option
+        for option in options
+        if _read_penalised_cost(option) <= lowest_cost + margin
     ]
-    return random.choice(alike)
+    return random.choice(similar)
 
 
-def _weigh(
+def _score(
     record: InstanceRecord,
     statistics: FleetStatistics,
     request: RequestContext,
     now: float,
-) -> Option:
+) -> ScoredUpstream:
     estimate = statistics.estimate(record.instance, request, now=now)
     usual = statistics.find_usual_seconds(request.work_class)
-    margin = (SAFETY - 1) * usual
+    margin = (SAFETY_FACTOR - 1) * usual
     total = estimate.wait + estimate.run + margin
     is_near = record.data_centre == request.data_centre
-    handicap = 0 if is_near else FAR_SHARE * max(0, request.slack_seconds)
-    return Option(
+    handicap = (
+        0 if is_near else FAR_HANDICAP_SHARE * max(0, request.slack_seconds)
+    )
+    return ScoredUpstream(
         record=record,
         wait=estimate.wait,
         total=total,
         cost=total + handicap,
-        crowd=estimate.run * estimate.fullness**2,
+        fullness_penalty=estimate.run * estimate.fullness**2,
     )
 
 
-def _read_cost(option: Option) -> float:
+def _read_cost(option: ScoredUpstream) -> float:
     return option.cost
 
 
-def _read_crowded(option: Option) -> float:
-    return option.cost + option.crowd
+def _read_penalised_cost(option: ScoredUpstream) -> float:
+    return option.cost + option.fullness_penalty
--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the limits that upstreams' servers name."""
+"""Keeps the rate limits of the upstreams' backend servers."""
 
 from __future__ import annotations
 
@@ -7,26 +7,29 @@
 from msgspec import Struct
 
 from wagtaildale.admission.shares import ALL_PASS, PassShare
-from wagtaildale.routing.speed import fade
+from wagtaildale.routing.speed import decay_linearly
 
 if TYPE_CHECKING:
     from collections.abc import Container
 
     from wagtaildale.types import InstanceId
 
-# An owner tells its entries within a second when a share changes. Should its
-# word be lost, it counts in full for so long, and for less and less after.
-KEPT_SECONDS: Final = 5.0
-FADING_SECONDS: Final = 5.0
+# An owner reports a changed share to its entries within a second. If a report
+# is lost, the last one counts in full for the first time and decays linearly
+# to no limit over the second.
+FULL_WEIGHT_SECONDS: Final = 5.0
+DECAY_SECONDS: Final = 5.0
 
 
 class ServerLimit(Struct, frozen=True, kw_only=True, gc=False):
-    """How many requests a backend server takes.
+    """How many requests a backend server accepts.
 
     Attributes:
-        per_second: that it names; nothing if it names no limit.
-        share: of the requests of each rank, those that may be sent to it;
-            not all also where far more come than it has room for.
+        per_second: rate limit that the server has set, in requests a second;
+            nothing if it has set none.
+        share: fraction of the requests of each rank that may be sent to the
+            server; also below 1 without a rate limit, if far more requests
+            come than the server has room for.
     """
 
     per_second: float | None = None
@@ -37,43 +40,44 @@
 
 
 class KnownLimit(Struct, frozen=True, kw_only=True, gc=False):
-    """The limit of one upstream, as its owner last told.
+    """The limit of one upstream, as its owner last reported it.
 
     Attributes:
-        server_limit: the owner's word.
-        told_at: when that was, seconds.
+        server_limit: the reported limit.
+        reported_at: time of the report, seconds.
     """
 
     server_limit: ServerLimit
-    told_at: float
+    reported_at: float
 
     def find_share(self, rank: int, *, now: float) -> float:
-        """Find which share of the requests of a rank may be sent there.
+        """Find the share of the requests of a rank that may be sent there.
 
-        Failure guarded here: word that a server takes more again is lost,
-        and an entry with few requests asks it once in minutes.
+        An old report counts for less. Otherwise, if the report that a server
+        accepts more again is lost, an entry with few requests would try the
+        server only once in minutes.
 
         Args:
-            rank: see ``admission.shares``.
-            now: seconds.
+            rank: rank of the requests; see ``admission.shares``.
+            now: current time, in seconds.
 
         Returns:
-            At most 1; what was told long ago counts for less.
+            Share from 0 to 1.
         """
-        over = max(0, now - self.told_at - KEPT_SECONDS)
-        told = self.server_limit.share.find(rank)
-        return fade(told, to=1, share=over / FADING_SECONDS)
+        overdue = max(0, now - self.reported_at - FULL_WEIGHT_SECONDS)
+        share = self.server_limit.share.find(rank)
+        return decay_linearly(share, to=1, share=overdue / DECAY_SECONDS)
 
 
 class KnownLimits:
-    """The limits of all upstreams that do not take all that may come."""
+    """Limits of the upstreams that do not accept all requests."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without any limit."""
         self._limits: dict[InstanceId, KnownLimit] = {}
 
     def __len__(self) -> int:
-        """Count the upstreams that do not take all that may come."""
+        """Count the upstreams that do not accept all requests."""
         return len(self._limits)
 
     def note(
@@ -83,12 +87,13 @@
         *,
         now: float,
     ) -> None:
-        """Note an owner's word.
+        """Note the limit that an owner reports.
 
         Args:
-            instance: of the upstream.
-            server_limit: the limit; nothing if it is not known yet.
-            now: seconds.
+            instance: id of the upstream.
+            server_limit: reported limit; nothing if the owner does not know
+                the limit of its server yet.
+            now: current time, in seconds.
         """
         if server_limit is None:
             return
@@ -96,46 +101,46 @@
             self.forget(instance)
         else:
             self._limits[instance] = KnownLimit(
-                server_limit=server_limit, told_at=now
+                server_limit=server_limit, reported_at=now
             )
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget the limit of an upstream: its server started anew.
+        """Remove the limit of an upstream, for example after a restart.
 
         Args:
-            instance: of the upstream.
+            instance: id of the upstream.
         """
         self._limits.pop(instance, None)
 
     def keep_only(self, listed: Container[InstanceId]) -> None:
-        """Forget the upstreams that are gone.
+        """Remove the limits of upstreams that are no longer listed.
 
         Args:
-            listed: who is still there.
+            listed: instances that are still listed.
         """
         for instance in tuple(self._limits):
             if instance not in listed:
                 self.forget(instance)
 
     def has(self, instance: InstanceId) -> bool:
-        """Tell whether an upstream does not take all that may come.
+        """Tell whether an upstream does not accept all requests.
 
         Args:
-            instance: of the upstream.
+            instance: id of the upstream.
 
         Returns:
-            Whether it names a limit, or is short of room by far.
+            Whether its server has set a rate limit or is far overloaded.
         """
         return instance in self._limits
 
     def find_rate(self, instance: InstanceId) -> float | None:
-        """Find how many requests a second an upstream takes.
+        """Find the rate limit of an upstream.
 
         Args:
-            instance: of the upstream.
+            instance: id of the upstream.
 
         Returns:
-            The rate; nothing if it is not known to name a limit.
+            Requests a second; nothing if no rate limit is known.
         """
         known = self._limits.get(instance)
         return None if known is None else known.server_limit.per_second
@@ -147,28 +152,29 @@
         *,
         now: float,
     ) -> float:
-        """Find which share of the requests of a rank an upstream takes.
+        """Find the share of the requests of a rank that an upstream accepts.
 
         Args:
-            instance: of the upstream.
-            rank: see ``admission.shares``.
-            now: seconds.
+            instance: id of the upstream.
+            rank: rank of the requests; see ``admission.shares``.
+            now: current time, in seconds.
 
         Returns:
-            At most 1.
+            Share from 0 to 1.
         """
         known = self._limits.get(instance)
         return 1 if known is None else known.find_share(rank, now=now)
 
     def find_accepted_share(self, instance: InstanceId, *, now: float) -> float:
-        """Measure which part of its requests an upstream takes.
+        """Find the share that an upstream accepts of its most important rank.
 
         Args:
-            instance: of the upstream.
-            now: seconds.
+            instance: id of the upstream.
+            now: current time, in seconds.
 
         Returns:
-            Of the first rank of which not all pass; 1 where all do.
+            Share of the most important rank that is not accepted in full; 1
+            if all ranks are.
         """
         known = self._limits.get(instance)
         if known is None:
--- a/wagtaildale/routing/least_loaded.py
+++ b/wagtaildale/routing/least_loaded.py
@@ -1,4 +1,4 @@
-"""The less loaded of two drawn upstreams, the near ones first."""
+"""Chooses the less loaded of two random upstreams, near ones first."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.routing.statistics import FleetStatistics
 
-# Half full: beyond that a request may have to wait where it goes, and a
-# wait costs more than the way to another data centre.
-NEAR_ENOUGH: Final = 0.5
+# Above half load a request may have to wait, and a wait costs more than the
+# round trip to another data centre.
+MAX_NEAR_LOAD: Final = 0.5
 
 
 class LeastLoaded(Chooser):
-    """Power of two choices on what owners report with each answer."""
+    """Power of two choices, by the load that owners report with answers."""
 
     def choose(
         self,
@@ -29,19 +29,19 @@
         request: RequestContext,
         now: float,
     ) -> InstanceRecord:
-        """Choose one; see ``Chooser``.
+        """Choose an upstream; see ``Chooser``.
 
-        The entry's own data centre goes first; others come in when the
-        one drawn there is more than half full.
+        The entry's own data centre is preferred; others are considered when
+        the upstream chosen there is at least half full.
 
         Args:
-            candidates: at least one.
-            statistics: what is known of them.
-            request: of the request.
-            now: seconds.
+            candidates: upstreams that may take the attempt; at least one.
+            statistics: load, speed and failures of the upstreams.
+            request: properties of the request that the choice depends on.
+            now: current time, in seconds.
 
         Returns:
-            The one that takes the attempt.
+            The chosen upstream.
         """
         near = [
             record
@@ -51,10 +51,10 @@
         if not near:
             return _choose_of_two(candidates, statistics, now)
         chosen = _choose_of_two(near, statistics, now)
-        if _measure(chosen, statistics, now) < NEAR_ENOUGH:
+        if _measure_load(chosen, statistics, now) < MAX_NEAR_LOAD:
             return chosen
         other = _choose_of_two(candidates, statistics, now)
-        return _find_lighter(chosen, other, statistics, now)
+        return _find_less_loaded(chosen, other, statistics, now)
 
 
 def _choose_of_two(
@@ -65,20 +65,20 @@
     if len(candidates) == 1:
         return candidates[0]
     first, second = random.sample(candidates, 2)
-    return _find_lighter(first, second, statistics, now)
+    return _find_less_loaded(first, second, statistics, now)
 
 
-def _find_lighter(
+def _find_less_loaded(
     first: InstanceRecord,
     second: InstanceRecord,
     statistics: FleetStatistics,
     now: float,
 ) -> InstanceRecord:
-    loads = [_measure(each, statistics, now) for each in (first, second)]
+    loads = [_measure_load(each, statistics, now) for each in (first, second)]
     return second if loads[1] < loads[0] else first
 
 
-def _measure(
+def _measure_load(
     record: InstanceRecord,
     statistics: FleetStatistics,
     now: float,
--- a/wagtaildale/routing/leaving_servers.py
+++ b/wagtaildale/routing/leaving_servers.py
@@ -1,9 +1,8 @@
-"""Servers that have said that they leave, for as long as they run.
+"""Remembers the servers that have announced that they leave.
 
-Failure guarded here: a server that leaves says so in its answers, and is sent
-requests again some seconds later, since the platform's list lags, lapses or
-names it as ready all along. What a server has said of its own end holds until
-it starts anew.
+A server announces in its answers that it leaves. The platform's list may lag,
+lapse or list the server as ready all the while, and requests would go to it
+again some seconds later. So the announcement holds until the server restarts.
 """
 
 from __future__ import annotations
@@ -17,16 +16,16 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
 
-# Of one fleet; the oldest go.
-KEPT_MOST: Final = 1024
+# The oldest announcements are dropped beyond this number.
+MAX_LEAVING_SERVERS: Final = 1024
 
 
 class LeavingServer(Struct, frozen=True, array_like=True, gc=False):
-    """A start of a server that has said that it leaves.
+    """One run of a server that has announced that it leaves.
 
     Attributes:
-        instance: of the server.
-        born: Unix millisecond of its start, as listed; 0 if not told.
+        instance: id of the server's instance.
+        born: listed start time in Unix milliseconds; 0 if not known.
     """
 
     instance: InstanceId
@@ -34,58 +33,58 @@
 
 
 class LeavingServers:
-    """Which starts of servers have said that they leave."""
+    """Servers that have announced that they leave, by instance."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self._born: dict[InstanceId, int] = {}
+        """Start without any."""
+        self._born_by_instance: dict[InstanceId, int] = {}
 
     def __bool__(self) -> bool:
-        """Tell whether any server has said so."""
-        return bool(self._born)
+        """Tell whether any server has announced that it leaves."""
+        return bool(self._born_by_instance)
 
-    def note(self, leaver: LeavingServer) -> bool:
-        """Note that a server has said that it leaves.
+    def note(self, server: LeavingServer) -> bool:
+        """Note that a server has announced that it leaves.
 
         Args:
-            leaver: the server.
+            server: instance and start time of the server.
 
         Returns:
-            Whether that is news.
+            Whether that was not known before.
         """
-        born = leaver.born
-        is_known = self._born.pop(leaver.instance, None) == born
-        self._born[leaver.instance] = born
-        if len(self._born) > KEPT_MOST:
-            self._born.pop(next(iter(self._born)))
+        born = server.born
+        is_known = self._born_by_instance.pop(server.instance, None) == born
+        self._born_by_instance[server.instance] = born
+        if len(self._born_by_instance) > MAX_LEAVING_SERVERS:
+            self._born_by_instance.pop(next(iter(self._born_by_instance)))
         return not is_known
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget what a server said: it has started anew.
+        """Remove the announcement of a server that has restarted.
 
         Args:
-            instance: of the server.
+            instance: id of the server's instance.
         """
-        self._born.pop(instance, None)
+        self._born_by_instance.pop(instance, None)
 
     def knows(self, instance: InstanceId) -> bool:
-        """Tell whether some start of a server has said that it leaves.
+        """Tell whether any run of a server has announced that it leaves.
 
         Args:
-            instance: of the server.
+            instance: id of the server's instance.
 
         Returns:
             Whether one has.
         """
-        return instance in self._born
+        return instance in self._born_by_instance
 
     def has(self, record: InstanceRecord) -> bool:
-        """Tell whether a server has said that it leaves.
+        """Tell whether a server has announced that it leaves.
 
         Args:
-            record: as it is listed now.
+            record: current entry of the server in the instance list.
 
         Returns:
-            Whether it is still the start that said so.
+            Whether the listed run of the server has announced it.
         """
-        return self._born.get(record.instance) == record.born
+        return self._born_by_instance.get(record.instance) == record.born
--- a/wagtaildale/routing/placement.py
+++ b/wagtaildale/routing/placement.py
@@ -1,4 +1,4 @@
-"""Where an entry places an attempt: decided without input or output."""
+"""Chooses the upstream of each attempt, without any input or output."""
 
 from __future__ import annotations
 
@@ -27,12 +27,13 @@
 
 
 class ChosenUpstream(Struct, frozen=True, kw_only=True, gc=False):
-    """Where an attempt goes.
+    """The upstream that an attempt is sent to.
 
     Attributes:
-        record: of the upstream.
-        is_only_candidate: whether no other one may take it.
-        share: of such requests, the part that may go there.
+        record: the upstream's entry in the instance list.
+        is_only_candidate: whether no other upstream may take the attempt.
+        share: fraction of the requests of its rank that may be sent to the
+            upstream, from 0 to 1.
     """
 
     record: InstanceRecord
@@ -41,10 +42,10 @@
 
 
 class Placement:
-    """Places the attempts of one entry.
+    """Chooses the upstreams of one entry's attempts.
 
     Attributes:
-        statistics: what is known of upstreams.
+        statistics: load, speed and failures of the upstreams.
     """
 
     def __init__(
@@ -55,13 +56,13 @@
         chooser: Chooser,
         statistics: FleetStatistics,
     ) -> None:
-        """Prepare.
+        """Start with no ranking computed.
 
         Args:
-            entry: instance of the node that chooses.
-            data_centre: its own.
-            chooser: of upstreams.
-            statistics: what is known of them.
+            entry: instance of the entry's node.
+            data_centre: data centre of the entry.
+            chooser: strategy that picks among the candidates.
+            statistics: load, speed and failures of the upstreams.
         """
         self.statistics = statistics
         self._entry = entry
@@ -79,17 +80,17 @@
         """List the upstreams of a service that this entry calls.
 
         Args:
-            view: who is listed.
-            service: whose upstreams.
-            now: seconds.
+            view: snapshot of routes and instances.
+            service: service that the upstreams run.
+            now: current time, in seconds.
 
         Returns:
-            Those to keep connections to.
+            The upstreams to keep connections to.
         """
         ranked = self._rank(view, service)
-        return ranked.take(
-            partial(self._takes_work, view=view, excluded=()),
-            weigh=partial(self._weigh, now=now),
+        return ranked.select(
+            partial(self._accepts_work, view=view, excluded=()),
+            weigh=partial(self._find_accepted_share, now=now),
         )
 
     def choose(
@@ -104,18 +105,21 @@
         """Choose the upstream of an attempt.
 
         Args:
-            view: the snapshot that the call goes by.
-            service: whose upstreams.
-            excluded: upstreams that need not be asked again.
-            request: of the request.
-            now: seconds.
+            view: snapshot that the call is routed by.
+            service: service that the upstreams run.
+            excluded: upstreams that are not worth trying again.
+            request: properties of the request that the choice depends on.
+            now: current time, in seconds.
 
         Returns:
-            Where it goes; ``Throttled`` if no upstream takes more requests
-            of its rank for now; nothing if there is no upstream, or if the
-            request had better wait where it can (``need.may_wait``).
+            The upstream; ``Throttled`` if no upstream accepts more requests
+            of this rank for now; nothing if there is no upstream, or if the
+            request should rather wait at an upstream where it can
+            (``request.may_wait``).
         """
-        candidates = self._list(view, service, excluded=excluded, now=now)
+        candidates = self._list_candidates(
+            view, service, excluded=excluded, now=now
+        )
         if not candidates:
             return None
         drawn = draw_upstreams(
@@ -158,20 +162,20 @@
         key: str,
         excluded: Collection[InstanceId],
     ) -> ChosenUpstream | None:
-        """Choose the upstream of a request that a caller may repeat by key.
+        """Choose the upstream of a request that has an idempotency key.
 
-        A repeat of the same key goes to the owner that saw it first, from
-        whichever entry, as long as the list of those present has not changed
-        in its favour.
+        Rendezvous hashing sends repeats of a key to the owner that received
+        it first, from whichever entry they come, unless an instance that
+        ranks higher for the key has appeared in the list since.
 
         Args:
-            view: the snapshot that the call goes by.
-            service: whose upstreams.
-            key: the caller's own.
-            excluded: upstreams that need not be asked again.
+            view: snapshot that the call is routed by.
+            service: service that the upstreams run.
+            key: idempotency key set by the caller.
+            excluded: upstreams that are not worth trying again.
 
         Returns:
-            Where it goes; nothing if there is no upstream.
+            The upstream; nothing if there is none.
         """
         candidates = {
             record.instance: record
@@ -189,7 +193,7 @@
             record=candidates[first], is_only_candidate=len(candidates) == 1
         )
 
-    def _list(
+    def _list_candidates(
         self,
         view: FleetView,
         service: ServiceName,
@@ -198,14 +202,15 @@
         now: float,
     ) -> Sequence[InstanceRecord]:
         ranked = self._rank(view, service)
-        takes_work = partial(self._takes_work, view=view, excluded=excluded)
-        weigh = partial(self._weigh, now=now)
-        subset = ranked.take(
-            partial(self._is_up, takes_work=takes_work, now=now),
+        accepts_work = partial(self._accepts_work, view=view, excluded=excluded)
+        weigh = partial(self._find_accepted_share, now=now)
+        subset = ranked.select(
+            partial(self._is_up, accepts_work=accepts_work, now=now),
             weigh=weigh,
         )
-        # Where all are said to be down, one may just be back.
-        subset = subset or ranked.take(takes_work, weigh=weigh)
+        # If every server is reported down, one may have come back since the
+        # last report, so the down state is ignored.
+        subset = subset or ranked.select(accepts_work, weigh=weigh)
         if not subset:
             candidates = list_candidates(
                 view,
@@ -213,21 +218,21 @@
                 tried=excluded,
                 leaving_servers=self.statistics.leaving_servers,
             )
-            subset = ranked.take(candidates.__contains__)
-        good = leave_out_ejected(subset, statistics=self.statistics, now=now)
-        if len(good) == len(subset):
+            subset = ranked.select(candidates.__contains__)
+        healthy = leave_out_ejected(subset, statistics=self.statistics, now=now)
+        if len(healthy) == len(subset):
             return subset
-        # Others of the service take the places of those left out.
-        in_place = ranked.take(
+        # Other upstreams of the service replace the ejected ones.
+        replacements = ranked.select(
             lambda record: (
-                takes_work(record)
+                accepts_work(record)
                 and not self.statistics.is_ejected(record.instance, now=now)
             ),
             weigh=weigh,
         )
-        return in_place or good
+        return replacements or healthy
 
-    def _takes_work(
+    def _accepts_work(
         self,
         record: InstanceRecord,
         *,
@@ -242,21 +247,23 @@
         self,
         record: InstanceRecord,
         *,
-        takes_work: Callable[[InstanceRecord], bool],
+        accepts_work: Callable[[InstanceRecord], bool],
         now: float,
     ) -> bool:
-        if not takes_work(record):
+        if not accepts_work(record):
             return False
         return not self.statistics.down.has(record.instance, now=now)
 
-    def _weigh(self, record: InstanceRecord, *, now: float) -> float:
+    def _find_accepted_share(
+        self, record: InstanceRecord, *, now: float
+    ) -> float:
         return self.statistics.limits.find_accepted_share(
             record.instance, now=now
         )
 
     def _rank(self, view: FleetView, service: ServiceName) -> RankedUpstreams:
         # Ranking a hundred upstreams takes longer than choosing among a
-        # dozen: it is done once for each list, not for each attempt.
+        # dozen, so the ranking is cached for as long as the list is the same.
         listed = view.upstreams.get(service, ())
         ranked = self._ranked.get(service)
         if ranked is None or ranked.listed is not listed:
--- a/wagtaildale/routing/splits.py
+++ b/wagtaildale/routing/splits.py
@@ -1,4 +1,4 @@
-"""Divides the requests of a route among services by weight."""
+"""Splits the requests of a route among services by weight."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 class Split:
     """Smooth weighted round robin over the services of one route.
 
-    Every run of requests gets shares close to the weights, where drawing at
-    random is off by the square root of their number. It begins at a random
-    place: a configuration that changes often would otherwise begin each
-    time with the heaviest.
+    Any sequence of requests is split close to the weights, whereas a random
+    draw deviates by about the square root of their number. The credits start
+    at random: with equal ones, a configuration that changes often would send
+    the first request to the heaviest service each time.
 
     Example:
         >>> from wagtaildale.configuration.model import Share
@@ -28,10 +28,10 @@
     """
 
     def __init__(self, shares: Sequence[Share]) -> None:
-        """Begin at a random place.
+        """Start with random credits.
 
         Args:
-            shares: at least one with a weight above 0.
+            shares: services with their weights, at least one above 0.
         """
         self._shares = [share for share in shares if share.weight > 0]
         self._total = sum(share.weight for share in self._shares)
@@ -43,7 +43,7 @@
         """Choose the service of the next request.
 
         Returns:
-            Its name.
+            Name of the service.
         """
         best = 0
         for index, share in enumerate(self._shares):
--- a/wagtaildale/routing/statistics.py
+++ b/wagtaildale/routing/statistics.py
@@ -1,6 +1,6 @@
 """Statistics of all upstreams, from the answers that an entry has seen.
 
-No clock, lock or log here: whoever asks says what time it is.
+Uses no clock, lock or log: callers pass the current time.
 """
 
 from __future__ import annotations
@@ -23,17 +23,19 @@
     from wagtaildale.routing.upstream import OwnerReport
     from wagtaildale.types import InstanceId
 
-# Of an answer in what is usual for its class: twenty make most of it.
+# Weight of one answer in the smoothed time of its class: about twenty answers
+# make up most of it.
 USUAL_GAIN: Final = 0.05
 
 
 class Estimate(Struct, frozen=True, kw_only=True, gc=False):
-    """What a request may expect of an upstream.
+    """Expected times of a request at an upstream.
 
     Attributes:
-        wait: seconds until it has a slot.
-        run: seconds that it then takes.
-        fullness: of the upstream's slots, the part that is likely taken.
+        wait: seconds until the request gets a slot.
+        run: seconds that the request then takes.
+        fullness: estimated fraction of the upstream's slots in use; above 1
+            if requests wait.
     """
 
     wait: float
@@ -45,13 +47,13 @@
     """Statistics of all upstreams.
 
     Attributes:
-        limits: that their servers name.
-        leaving_servers: of them, those whose servers have said that they leave.
-        down: of them, those whose servers take no connection.
+        limits: rate limits that the backend servers have set.
+        leaving_servers: servers that have announced that they leave.
+        down: upstreams whose backend servers accept no connections.
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start without any upstream."""
         self.limits = KnownLimits()
         self.leaving_servers = LeavingServers()
         self.down = DownServers()
@@ -67,13 +69,13 @@
         work_class: str,
         now: float,
     ) -> None:
-        """Note how fast a backend server is.
+        """Update the usual time of a class and the speed of an upstream.
 
         Args:
-            upstream: whose it is.
-            report: its owner's word with an answer.
+            upstream: statistics of the upstream that answered.
+            report: the owner's report with the answer.
             work_class: service and class of the request.
-            now: seconds.
+            now: current time, in seconds.
         """
         if report.run_seconds <= 0:
             return
@@ -92,28 +94,28 @@
     ) -> None:
         """Note an upstream that had not answered when another one did.
 
-        Failure guarded here: a server turns slow, every attempt there is
-        overtaken by a second one, and since no answer ever comes from it the
-        next request goes there too.
+        If a server turns slow, a hedge answers before it each time and no
+        answer ever comes from the slow server. Counting the wait as a slow
+        answer keeps the next requests away from it.
 
         Args:
-            upstream: which one.
+            upstream: statistics of the upstream that did not answer.
             work_class: service and class of the request.
-            seconds: that were waited for it.
-            now: seconds.
+            seconds: seconds that its answer was waited for.
+            now: current time, in seconds.
         """
         usual = self.find_usual_seconds(work_class)
         if usual:
             upstream.speed.note_overtaken(seconds / usual, now=now)
 
     def find_usual_seconds(self, work_class: str) -> float:
-        """Find what is usual for a class over all upstreams.
+        """Find the usual time of a class over all upstreams.
 
         Args:
             work_class: service and class.
 
         Returns:
-            Seconds at the backend server; 0 before the first answer.
+            Smoothed seconds at the backend server; 0 before the first answer.
         """
         return self._usual.get(work_class, 0)
 
@@ -127,18 +129,19 @@
         """Estimate when an upstream would answer.
 
         Args:
-            instance: which one.
-            request: of the request.
-            now: seconds.
+            instance: id of the upstream.
+            request: properties of the request that the choice depends on.
+            now: current time, in seconds.
 
         Returns:
-            How long the request would wait there, and run.
+            The expected wait and run time of the request there.
         """
         upstream = self.find(instance, now=now)
         usual = self.find_usual_seconds(request.work_class)
         if not usual and request.slack_seconds < inf:
-            # Failure: an entry that has just started takes every upstream
-            # for one that answers at once, and sends all to the same few.
+            # Without this guess, an entry that has just started would expect
+            # an immediate answer from every upstream, and send all requests
+            # to the same few.
             usual = max(0, request.slack_seconds) * UNKNOWN_SHARE
         usual *= upstream.speed.find_slowness(now)
         wait = upstream.estimate_wait(usual, now=now)
@@ -155,21 +158,21 @@
         born: int,
         now: float,
     ) -> None:
-        """Note when an upstream started, as listed.
+        """Note the start time of an upstream, as listed.
 
-        Failure guarded here: a server crashes and starts again under its
-        id, cold and with nothing to do. It would be judged by what was
-        known of it before: left out as failing, or taken for fast.
+        A new start time resets the statistics of the upstream. A server that
+        crashed and started again under its id is cold and idle; by the old
+        statistics it would stay ejected for its failures, or pass for fast.
 
         Args:
-            instance: which one.
-            born: Unix millisecond of its start; 0 if not told.
-            now: seconds.
+            instance: id of the upstream.
+            born: start time in Unix milliseconds; 0 if not known.
+            now: current time, in seconds.
         """
         known = self._born.get(instance, born)
         self._born[instance] = born
         if known != born:
-            self._begin_anew(instance, now)
+            self._reset_upstream(instance, now)
 
     def note_server_state(
         self,
@@ -178,15 +181,16 @@
         is_up: bool,
         now: float,
     ) -> None:
-        """Note whether an upstream's server is up, by its owner's word.
+        """Note whether an upstream's backend server is up.
 
         Args:
-            instance: which one.
-            is_up: whether it takes connections.
-            now: seconds.
+            instance: id of the upstream.
+            is_up: whether the server accepts connections, as its owner
+                reports.
+            now: current time, in seconds.
         """
         if self.down.note(instance, is_up=is_up, now=now):
-            self._begin_anew(instance, now)
+            self._reset_upstream(instance, now)
 
     def find(
         self,
@@ -197,11 +201,11 @@
         """Find the statistics of an upstream.
 
         Args:
-            instance: which.
-            now: seconds.
+            instance: id of the upstream.
+            now: current time, in seconds.
 
         Returns:
-            What is known of it, nothing for a new one.
+            Its statistics, created empty on first use.
         """
         upstream = self._upstreams.get(instance)
         if upstream is None:
@@ -210,22 +214,22 @@
         return upstream
 
     def is_ejected(self, instance: InstanceId, *, now: float) -> bool:
-        """Tell whether an upstream is left out now.
+        """Tell whether an upstream is ejected now.
 
         Args:
-            instance: which.
-            now: seconds.
+            instance: id of the upstream.
+            now: current time, in seconds.
 
         Returns:
-            Whether to choose others.
+            Whether requests should go to other upstreams.
         """
         return self.find(instance, now=now).ejection.is_ejected(now)
 
     def keep_only(self, listed: Container[InstanceId]) -> None:
-        """Forget the upstreams that are gone.
+        """Remove the statistics of upstreams that are no longer listed.
 
         Args:
-            listed: who is still there.
+            listed: instances that are still listed.
         """
         self._upstreams = {
             instance: upstream
@@ -239,7 +243,7 @@
             if instance in listed
         }
 
-    def _begin_anew(self, instance: InstanceId, now: float) -> None:
+    def _reset_upstream(self, instance: InstanceId, now: float) -> None:
         self._upstreams[instance] = UpstreamStatistics(instance, now=now)
         self.limits.forget(instance)
         self.leaving_servers.forget(instance)
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -1,14 +1,15 @@
-"""Which upstreams of a large service an entry calls, and keeps connections to.
-
-Load pattern answered: a service of a hundred servers in several data
-centres. An entry that draws its few upstreams over the whole list finds two
-near ones on average, and some entries none, though fifteen stand beside
-them; its answers then cross data centres on a calm day. So the near ones are
-drawn first. Some far ones stay in the subset: they are what is left when the
-near ones are full, cut off or gone, and their connections are open by then.
-
-Rendezvous hashing gives every entry another subset, each upstream of a data
-centre is in about as many, and a change of the list moves few.
+"""Selects the subset of a large service's upstreams that an entry calls.
+
+The entry keeps connections only to its subset. With a service of a hundred
+servers in several data centres, a subset drawn from the whole list has two
+near upstreams on average, and for some entries none, though fifteen are in
+the same data centre; answers then cross data centres without need. So
+upstreams in the entry's data centre ("near") are selected first. Some of the
+others ("far") stay in the subset for the case that the near ones are full,
+unreachable or gone; their connections are open by then.
+
+Rendezvous hashing gives every entry a different subset, puts each upstream of
+a data centre into about as many subsets, and moves few when the list changes.
 """
 
 from __future__ import annotations
@@ -25,55 +26,57 @@
 
     from wagtaildale.types import DataCentre, InstanceId
 
-# Upstreams of one service in the entry's own data centre. What it knows of
-# each must be fresh, which thins out with their number; a dozen servers of
-# some slots each even out what single long requests do to one of them.
-NEAR_MOST: Final = 12
-# With 7 upstreams a service (2,500 in 360) nearly all are called; this
-# bounds the rare large service.
+# The statistics of each upstream must be recent, and age as their number
+# grows. A dozen servers with some slots each even out the effect of single long
+# requests on one of them.
+MAX_NEAR: Final = 12
+# Services have 7 upstreams on average (2,500 in 360 services), so nearly all
+# are called whole; this bounds the rare large service.
 SUBSET_SIZE: Final = 12
-# Upstreams that take a part of their requests count as that part; for each
-# whole one there are so many of them at the most.
-PARTS_MOST: Final = 3
-# Beside a full share of near ones: room elsewhere, and a choice of it.
-FAR_LEAST: Final = 4
+# An upstream that accepts a part of its requests counts as that part; this
+# bounds how many of them can replace a whole one.
+MAX_UPSTREAMS_PER_WEIGHT: Final = 3
+# Far upstreams beside a full set of near ones, to have capacity elsewhere and a
+# choice of it.
+MIN_FAR: Final = 4
 
 
-def _weigh_whole(_record: InstanceRecord) -> float:
+def _weigh_equally(_record: InstanceRecord) -> float:
     return 1
 
 
 class RankedUpstreams(Struct, frozen=True, kw_only=True):
-    """The upstreams of a service in the order in which an entry takes them.
+    """The upstreams of a service, in the order of an entry's preference.
 
     Attributes:
-        listed: as the list has them.
-        near: those in the entry's data centre.
-        far: the others.
+        listed: upstreams in the order of the instance list.
+        near: ranked upstreams in the entry's data centre.
+        far: ranked upstreams in other data centres.
     """
 
     listed: tuple[InstanceRecord, ...]
     near: tuple[InstanceRecord, ...]
     far: tuple[InstanceRecord, ...]
 
-    def take(
+    def select(
         self,
         is_wanted: Callable[[InstanceRecord], bool],
         *,
-        weigh: Callable[[InstanceRecord], float] = _weigh_whole,
+        weigh: Callable[[InstanceRecord], float] = _weigh_equally,
     ) -> list[InstanceRecord]:
-        """Take a subset of the upstreams that are wanted.
+        """Select a subset of the upstreams that satisfy a condition.
 
         Args:
-            is_wanted: tells it of each.
-            weigh: tells which part of its requests each takes.
+            is_wanted: tells whether an upstream may be selected.
+            weigh: gives the share of its requests that an upstream accepts,
+                from 0 to 1.
 
         Returns:
-            The near ones first.
+            The selected upstreams, near ones first.
         """
-        near = _take_first(self.near, is_wanted, weigh, NEAR_MOST)
-        rest = max(FAR_LEAST, SUBSET_SIZE - sum(map(weigh, near)))
-        return near + _take_first(self.far, is_wanted, weigh, rest)
+        near = _select_first(self.near, is_wanted, weigh, MAX_NEAR)
+        far_weight = max(MIN_FAR, SUBSET_SIZE - sum(map(weigh, near)))
+        return near + _select_first(self.far, is_wanted, weigh, far_weight)
 
 
 def rank_upstreams(
@@ -85,12 +88,12 @@
     """Rank the upstreams of a service for one entry.
 
     Args:
-        records: of the service.
-        entry: instance of the node that chooses.
-        data_centre: its own.
+        records: upstreams of the service.
+        entry: instance of the entry's node.
+        data_centre: data centre of the entry.
 
     Returns:
-        Their order.
+        The upstreams in the entry's order.
     """
     ranked = sorted(
         records,
@@ -105,18 +108,21 @@
     )
 
 
-def _take_first(
+def _select_first(
     records: Iterable[InstanceRecord],
     is_wanted: Callable[[InstanceRecord], bool],
     weigh: Callable[[InstanceRecord], float],
-    most: float,
+    max_weight: float,
 ) -> list[InstanceRecord]:
-    taken: list[InstanceRecord] = []
+    selected: list[InstanceRecord] = []
     weight = float(0)
     for record in records:
-        if weight >= most or len(taken) >= PARTS_MOST * most:
+        if (
+            weight >= max_weight
+            or len(selected) >= MAX_UPSTREAMS_PER_WEIGHT * max_weight
+        ):
             break
         if is_wanted(record):
-            taken.append(record)
+            selected.append(record)
             weight += weigh(record)
-    return taken
+    return selected
--- a/wagtaildale/routing/suspected_requests.py
+++ b/wagtaildale/routing/suspected_requests.py
@@ -1,9 +1,9 @@
-"""Where a request may run under which servers have ended.
+"""Limits where a request may run that has crashed servers before.
 
-Load pattern answered: a request comes ten times a second and ends each server
-that runs it. Tried elsewhere, it takes one server after the other while the
-first ones are still down. It goes back to where a server ended under it: so
-it never has more than that one down.
+A request that comes ten times a second and crashes each server that runs it
+would, if retried elsewhere, crash one server after the other while the first
+ones are still down. It is sent back to the server that it crashed before, so
+that no more than that one is down at a time.
 """
 
 from __future__ import annotations
@@ -30,30 +30,30 @@
 ) -> list[InstanceRecord]:
     """List the upstreams at which a suspected request may run.
 
-    All nodes with the same list choose alike, so that few servers end under a
-    request that comes to many nodes at once.
+    All nodes with the same list choose the same upstreams, so that a request
+    that reaches many nodes at once crashes few servers.
 
     Args:
-        view: who is listed.
-        service: whose upstreams.
-        fingerprint: of the request.
-        judgement: what is known of it.
+        view: snapshot of routes and instances.
+        service: service that the upstreams run.
+        fingerprint: fingerprint of the request.
+        judgement: what is known about the request.
 
     Returns:
-        Those where a server ended under it. If they are gone: one of the
-        service for a request that is to run alone, and none for one that may
-        run like others.
+        The upstreams whose servers ended while they ran the request. If none
+        of them is listed: one upstream of the service for a request that has
+        to run alone, and none for a request that may run like others.
     """
     listed = {
         record.instance: record for record in view.upstreams.get(service, ())
     }
     ranked = rank_instances(fingerprint.hex(), instances=listed)
-    places = [
+    allowed = [
         listed[name]
         for name in ranked
         if listed[name].node_id in judgement.places
     ]
-    if places or judgement.standing is Standing.clear:
-        return places
+    if allowed or judgement.standing is Standing.clear:
+        return allowed
     present = [name for name in ranked if not view.is_away(listed[name])]
     return [listed[name] for name in present[:1]]
--- a/wagtaildale/routing/table.py
+++ b/wagtaildale/routing/table.py
@@ -1,11 +1,11 @@
-"""From a request to its class of work.
+"""Finds the route and class of work of a request.
 
-Operators' own routes are path templates; a platform may also publish routes
-by host and path prefix, of which the longest counts.
+Operators write routes as path templates; a platform may also publish routes
+by host and path prefix, of which the longest match is used.
 
-For templates a path is split at its slashes first and each segment decoded
-after, once, at the entry: ``%2F`` is never a slash, and no other node matches
-the path again.
+To match templates, a path is split at its slashes first and each segment is
+decoded afterwards, once, at the entry: ``%2F`` is never a separator, and no
+other node matches the path again.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
     from wagtaildale.configuration.whole import Configuration
 
 
-# Attempts beyond the first where a route does not say.
+# Retries of a request whose route sets no number of attempts.
 DEFAULT_RETRIES: Final = 3
 DOT_SEGMENTS: Final = frozenset(('.', '..'))
 
 
 class RouteMatch(Struct, frozen=True, kw_only=True):
-    """The class of a request.
+    """The route and class that a request matches.
 
     Attributes:
-        service: whose class it is.
-        work_class: the class.
-        template: the path template or prefix that matched.
-        retries: attempts beyond the first that a request may make.
-        split: divides its requests among services; nothing if all go to
-            one.
+        service: service that the class belongs to.
+        work_class: class of work.
+        template: path template or prefix that matched.
+        retries: number of attempts allowed after the first.
+        split: weighted split of the requests among services; nothing if all
+            go to ``service``.
     """
 
     service: ServiceName
@@ -57,37 +57,39 @@
         """Choose the service that the next request goes to.
 
         Returns:
-            Its name.
+            Name of the service.
         """
         return self.service if self.split is None else self.split.choose()
 
 
-class _Branch(Struct, kw_only=True):
-    """One level of the tree of templates.
+class _TemplateNode(Struct, kw_only=True):
+    """Node of the tree of path templates.
 
     Attributes:
-        literal: by segment, what follows.
-        one: what follows any one segment.
-        rest: matches that take all segments that are left, by method.
-        ends: matches that end here, by method.
+        literal: child for each literal segment.
+        any_segment: child for ``{name}``, which matches any single segment.
+        rest: matches of ``{name*}``, which takes all remaining segments, by
+            HTTP method.
+        matches_here: matches of templates that end at this node, by HTTP
+            method.
     """
 
-    literal: dict[str, _Branch] = field(default_factory=dict)
-    one: _Branch | None = None
+    literal: dict[str, _TemplateNode] = field(default_factory=dict)
+    any_segment: _TemplateNode | None = None
     rest: dict[str, RouteMatch] = field(default_factory=dict)
-    ends: dict[str, RouteMatch] = field(default_factory=dict)
+    matches_here: dict[str, RouteMatch] = field(default_factory=dict)
 
 
 class RoutingTable:
-    """All routes of one version, ready for look-ups; never changed."""
+    """Immutable index of all routes of one configuration version."""
 
     def __init__(self, configuration: Configuration) -> None:
-        """Build the tree.
+        """Build the index.
 
         Args:
-            configuration: checked as a whole.
+            configuration: validated configuration.
         """
-        self._root = _Branch()
+        self._root = _TemplateNode()
         self._hosts: dict[str, dict[str, RouteMatch]] = {}
         self._matches: list[RouteMatch] = []
         classes = {
@@ -107,15 +109,16 @@
         *,
         host: str = '',
     ) -> RouteMatch | None:
-        """Find the class of a request.
+        """Find the route of a request.
 
-        The longest prefix of the request's host counts. Among templates a
-        literal segment goes before ``{name}``, and that before ``{name*}``.
+        If the host has prefix routes, the longest matching prefix is used.
+        Among templates a literal segment takes precedence over ``{name}``,
+        and that over ``{name*}``.
 
         Args:
             method: HTTP method.
-            path: path as it came, percent-encoded, without the query.
-            host: as the request names it, perhaps with a port.
+            path: percent-encoded path as received, without the query.
+            host: value of the ``Host`` header, with or without a port.
 
         Returns:
             The match, or nothing.
@@ -128,15 +131,15 @@
             return None
         match = _search(self._root, segments, method)
         if match is None and method == 'HEAD':
-            # Whoever answers GET answers HEAD, unless a class says else.
+            # A GET route also serves HEAD, unless HEAD has a route itself.
             return _search(self._root, segments, 'GET')
         return match
 
     def list_matches(self) -> tuple[RouteMatch, ...]:
-        """List what requests can match.
+        """List the matches of all routes.
 
         Returns:
-            One for each route.
+            One match for each route.
         """
         return tuple(self._matches)
 
@@ -146,25 +149,25 @@
             prefixes = self._hosts.setdefault(route.host, {})
             prefixes[route.path] = match
             return
-        branch = self._root
+        node = self._root
         for segment in split_template(route.path):
             kind = classify_segment(segment)
             if kind is SegmentKind.rest:
-                branch.rest.update(dict.fromkeys(route.methods, match))
+                node.rest.update(dict.fromkeys(route.methods, match))
                 return
-            branch = _descend(branch, segment, kind)
-        branch.ends.update(dict.fromkeys(route.methods, match))
+            node = _descend(node, segment, kind)
+        node.matches_here.update(dict.fromkeys(route.methods, match))
 
 
 def split_path(path: str) -> list[str] | None:
     """Split a request's path and decode its segments.
 
     Args:
-        path: as it came, without the query.
+        path: percent-encoded path as received, without the query.
 
     Returns:
-        Segments, or nothing for a path that is not plain: no leading
-        slash, a dot segment, or bytes that are no UTF-8.
+        Decoded segments; nothing if the path has no leading slash, has a dot
+        segment, or does not decode as UTF-8.
     """
     if not path.startswith('/'):
         return None
@@ -184,8 +187,8 @@
     prefixes: Mapping[str, RouteMatch],
     path: str,
 ) -> RouteMatch | None:
-    # Prefixes end with a slash, so only the path up to one of its slashes
-    # can be one.
+    # Prefixes end with a slash, so only the parts of the path that end at one
+    # of its slashes are looked up.
     end = path.rfind('/')
     while end >= 0:
         match = prefixes.get(path[: end + 1])
@@ -205,29 +208,31 @@
     )
 
 
-def _descend(branch: _Branch, segment: str, kind: SegmentKind) -> _Branch:
+def _descend(
+    node: _TemplateNode, segment: str, kind: SegmentKind
+) -> _TemplateNode:
     if kind is SegmentKind.literal:
-        return branch.literal.setdefault(segment, _Branch())
-    if branch.one is None:
-        branch.one = _Branch()
-    return branch.one
+        return node.literal.setdefault(segment, _TemplateNode())
+    if node.any_segment is None:
+        node.any_segment = _TemplateNode()
+    return node.any_segment
 
 
 def _search(
-    branch: _Branch,
+    node: _TemplateNode,
     segments: Sequence[str],
     method: str,
 ) -> RouteMatch | None:
     if not segments:
-        return branch.ends.get(method)
+        return node.matches_here.get(method)
     following = segments[1:]
-    literal = branch.literal.get(segments[0])
+    literal = node.literal.get(segments[0])
     if literal is not None:
         match = _search(literal, following, method)
         if match is not None:
             return match
-    if branch.one is not None and segments[0]:
-        match = _search(branch.one, following, method)
+    if node.any_segment is not None and segments[0]:
+        match = _search(node.any_segment, following, method)
         if match is not None:
             return match
-    return branch.rest.get(method)
+    return node.rest.get(method)
--- a/wagtaildale/routing/tests/test_leaving_servers.py
+++ b/wagtaildale/routing/tests/test_leaving_servers.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from wagtaildale.routing.leaving_servers import (
-    KEPT_MOST,
+    MAX_LEAVING_SERVERS,
     LeavingServer,
     LeavingServers,
 )
@@ -38,7 +38,7 @@
 
 def test_number_of_words_is_bounded() -> None:
     leaving_servers = LeavingServers()
-    for number in range(KEPT_MOST + 1):
+    for number in range(MAX_LEAVING_SERVERS + 1):
         leaving_servers.note(LeavingServer(InstanceId(f'i{number}')))
     assert not leaving_servers.knows(InstanceId('i0'))
     assert leaving_servers.knows(InstanceId('i1'))
--- a/wagtaildale/routing/tests/test_speed.py
+++ b/wagtaildale/routing/tests/test_speed.py
@@ -8,10 +8,10 @@
 
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.speed import (
-    FASTEST,
-    SLOWEST,
-    SLOWNESS_KEPT_SECONDS,
-    SPEED_KEPT_SECONDS,
+    MIN_SLOWNESS,
+    MAX_SLOWNESS,
+    SLOWNESS_DECAY_SECONDS,
+    USUAL_SPEED_DECAY_SECONDS,
     Speed,
 )
 from wagtaildale.routing.statistics import FleetStatistics
@@ -58,7 +58,7 @@
     usual = build_report()
     slow = build_report(run=0.2, now=0.4, usual=0.4)
     assert find_slowness(usual, slow) > 1.8
-    assert find_slowness(usual, slow, after=SLOWNESS_KEPT_SECONDS) > 1.7
+    assert find_slowness(usual, slow, after=SLOWNESS_DECAY_SECONDS) > 1.7
 
 
 def test_a_passing_slowness_is_forgotten_and_the_speed_kept() -> None:
@@ -66,23 +66,25 @@
     usual = build_report()
     paused = build_report(now=0.8, usual=0.2)
     assert find_slowness(usual, paused) > 3
-    after = find_slowness(usual, paused, after=SLOWNESS_KEPT_SECONDS)
+    after = find_slowness(usual, paused, after=SLOWNESS_DECAY_SECONDS)
     assert after == pytest.approx(1, abs=0.1)
 
 
 def test_a_wrong_word_is_forgotten_in_the_end() -> None:
     """An owner tells nonsense, and its server is left alone for good."""
     wrong = build_report(now=1e9, usual=1e9)
-    assert find_slowness(build_report(), wrong) <= SLOWEST
-    after = find_slowness(build_report(), wrong, after=SPEED_KEPT_SECONDS)
+    assert find_slowness(build_report(), wrong) <= MAX_SLOWNESS
+    after = find_slowness(
+        build_report(), wrong, after=USUAL_SPEED_DECAY_SECONDS
+    )
     assert after == pytest.approx(1)
 
 
 @pytest.mark.parametrize('ratio', [0, 1e-9, 1e9, inf])
 def test_what_is_told_is_bounded(ratio: float) -> None:
     speed = Speed(now=NOW)
-    speed.note_told(ratio, usual_ratio=ratio, now=NOW)
-    assert FASTEST <= speed.find_slowness(NOW) <= SLOWEST
+    speed.note_reported(ratio, usual_ratio=ratio, now=NOW)
+    assert MIN_SLOWNESS <= speed.find_slowness(NOW) <= MAX_SLOWNESS
 
 
 def test_owner_that_tells_nothing_is_judged_by_what_is_seen() -> None:
--- a/wagtaildale/routing/tests/test_subsets.py
+++ b/wagtaildale/routing/tests/test_subsets.py
@@ -8,9 +8,9 @@
 
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.routing.subsets import (
-    FAR_LEAST,
-    NEAR_MOST,
-    PARTS_MOST,
+    MIN_FAR,
+    MAX_NEAR,
+    MAX_UPSTREAMS_PER_WEIGHT,
     SUBSET_SIZE,
     rank_upstreams,
 )
@@ -31,7 +31,7 @@
     )
 
 
-def take(
+def select(
     records: tuple[InstanceRecord, ...],
     *,
     entry: int,
@@ -42,7 +42,7 @@
         entry=InstanceId(f'e{entry}'),
         data_centre=DataCentre(place),
     )
-    return ranked.take(lambda _record: True)
+    return ranked.select(lambda _record: True)
 
 
 def test_every_entry_of_a_large_service_has_near_upstreams() -> None:
@@ -54,17 +54,17 @@
     """
     records = build_records(build_service(90))
     for entry in range(200):
-        subset = take(records, entry=entry, place='derby')
+        subset = select(records, entry=entry, place='derby')
         near = [each for each in subset if each.data_centre == 'derby']
-        assert len(near) == NEAR_MOST
-        assert len(subset) == NEAR_MOST + FAR_LEAST
+        assert len(near) == MAX_NEAR
+        assert len(subset) == MAX_NEAR + MIN_FAR
 
 
 def test_subsets_spread_over_a_large_service() -> None:
     records = build_records(build_service(100, ('derby',)))
     used: Counter[str] = Counter()
     for entry in range(200):
-        subset = take(records, entry=entry, place='derby')
+        subset = select(records, entry=entry, place='derby')
         assert len(subset) == SUBSET_SIZE
         used.update(record.instance for record in subset)
     assert len(used) == 100
@@ -78,7 +78,7 @@
         *build_service(near, ('derby',)),
         *build_service(60, PLACES[1:]),
     ]
-    subset = take(build_records(places), entry=1, place='derby')
+    subset = select(build_records(places), entry=1, place='derby')
     assert len(subset) == SUBSET_SIZE
     found = [each for each in subset if each.data_centre == 'derby']
     assert len(found) == near
@@ -86,13 +86,13 @@
 
 def test_small_service_is_called_whole() -> None:
     records = build_records(build_service(7, PLACES[:3]))
-    assert set(take(records, entry=1, place='derby')) == set(records)
+    assert set(select(records, entry=1, place='derby')) == set(records)
 
 
 def test_a_change_of_the_list_moves_few() -> None:
     records = build_records(build_service(90))
-    before = take(records, entry=1, place='derby')
-    after = take(records[6:], entry=1, place='derby')
+    before = select(records, entry=1, place='derby')
+    after = select(records[6:], entry=1, place='derby')
     assert len(set(before) - set(after)) <= 3
 
 
@@ -104,11 +104,11 @@
         entry=InstanceId('e1'),
         data_centre=DataCentre(PLACES[0]),
     )
-    whole = ranked.take(_want)
-    thirds = ranked.take(_want, weigh=lambda _record: 1 / 3)
-    nothing = ranked.take(_want, weigh=lambda _record: 0)
+    whole = ranked.select(_want)
+    thirds = ranked.select(_want, weigh=lambda _record: 1 / 3)
+    nothing = ranked.select(_want, weigh=lambda _record: 0)
     assert len(thirds) == 3 * len(whole)
-    assert len(nothing) <= PARTS_MOST * (NEAR_MOST + SUBSET_SIZE)
+    assert len(nothing) <= MAX_UPSTREAMS_PER_WEIGHT * (MAX_NEAR + SUBSET_SIZE)
 
 
 def _want(_record: InstanceRecord) -> bool:
--- a/wagtaildale/routing/throttling.py
+++ b/wagtaildale/routing/throttling.py
@@ -1,9 +1,10 @@
-"""Which limited upstreams an entry asks, by the share that passes there.
+"""Throttles requests at the entry to what limited upstreams accept.
 
-Load pattern answered: upstreams that name a rate under what comes to them.
-Each entry draws for each request which of them it may ask, and all entries
-together send each no more than it takes, without asking one another. What may
-go to none is rejected where it comes in.
+Upstreams may set a rate limit below the load that comes to them. For each
+request an entry draws at random, by the share that each of them accepts,
+which ones it may be sent to. So all entries together send each upstream no
+more than it accepts, without coordination. A request that may go to none is
+rejected at the entry.
 """
 
 from __future__ import annotations
@@ -24,28 +25,28 @@
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.types import InstanceId
 
-# Where all but few pass, a caller that comes back this soon passes as well;
-# the fewer pass, the later.
-RETRY_SECONDS: Final = 0.2
-LONGEST_RETRY_SECONDS: Final = 5.0
-# So that those who were rejected together do not come back together.
+# Delay before a retry if nearly all requests pass; it grows as fewer pass.
+BASE_RETRY_SECONDS: Final = 0.2
+MAX_RETRY_SECONDS: Final = 5.0
+# Random spread of the delay, so that callers that were rejected together do
+# not retry together.
 RETRY_SPREAD: Final = 0.5
 
 
 class Throttled(Struct, frozen=True, kw_only=True, gc=False):
-    """No upstream takes more requests of a rank for now.
+    """Result if no upstream accepts more requests of a rank for now.
 
     Attributes:
-        share: of such requests, the part that passes at the best of them.
+        share: largest share of such requests that any of them accepts.
     """
 
     share: float
 
     @property
     def retry_after(self) -> float:
-        """Seconds after which its caller may come back."""
+        """Seconds after which the caller may retry."""
         spread = 1 + RETRY_SPREAD * random.uniform(-1, 1)
-        return min(LONGEST_RETRY_SECONDS, spread * RETRY_SECONDS / self.share)
+        return min(MAX_RETRY_SECONDS, spread * BASE_RETRY_SECONDS / self.share)
 
 
 def find_request_rank(
@@ -55,19 +56,20 @@
     slack_seconds: float,
     statistics: FleetStatistics,
 ) -> int:
-    """Find the rank by which a request goes to limited upstreams.
+    """Find the rank by which limited upstreams admit a request.
 
-    Load pattern answered: a service takes a part of what comes, callers come
-    back until they are late, and what passes is answered late.
+    Requests that are expected to miss their target rank lower. If a service
+    accepts only a part of its load, callers retry until they are late, and
+    otherwise most of the requests that pass would be answered late.
 
     Args:
-        rank: of its class; 0 goes first.
+        rank: priority of the request's class; 0 is served first.
         work_class: service and class.
-        slack_seconds: until its target is missed.
-        statistics: of all upstreams.
+        slack_seconds: seconds until the target of the class is missed.
+        statistics: load, speed and failures of the upstreams.
 
     Returns:
-        See ``admission.shares``.
+        Rank as defined in ``admission.shares``.
     """
     usual = statistics.find_usual_seconds(work_class)
     return find_pass_rank(rank, is_late=slack_seconds < usual)
@@ -80,24 +82,24 @@
     request: RequestContext,
     now: float,
 ) -> Sequence[InstanceRecord]:
-    """Draw which upstreams a request may be sent to.
+    """Draw at random which upstreams a request may be sent to.
 
     Args:
-        candidates: that may take the attempt.
-        limits: that their servers name.
-        request: of the request.
-        now: seconds.
+        candidates: upstreams that may take the attempt.
+        limits: known limits of the upstreams.
+        request: properties of the request that the choice depends on.
+        now: current time, in seconds.
 
     Returns:
-        Those without a limit, and each of the others with the share that
-        passes there.
+        All candidates without a limit, and each limited one with a
+        probability equal to the share that it accepts.
     """
     if not limits:
         return candidates
     return [
         record
         for record in candidates
-        if _may_ask(record.instance, limits, request, now)
+        if _may_send(record.instance, limits, request, now)
     ]
 
 
@@ -108,16 +110,16 @@
     request: RequestContext,
     now: float,
 ) -> float:
-    """Find the largest share of such requests that passes at an upstream.
+    """Find the largest share of such requests that any upstream accepts.
 
     Args:
-        candidates: at least one.
-        limits: that their servers name.
-        request: of the request.
-        now: seconds.
+        candidates: upstreams that may take the attempt; at least one.
+        limits: known limits of the upstreams.
+        request: properties of the request that the choice depends on.
+        now: current time, in seconds.
 
     Returns:
-        At most 1.
+        Share from 0 to 1.
     """
     return max(
         limits.find_share(record.instance, request.pass_rank, now=now)
@@ -125,18 +127,19 @@
     )
 
 
-def _may_ask(
+def _may_send(
     instance: InstanceId,
     limits: KnownLimits,
     request: RequestContext,
     now: float,
 ) -> bool:
     if request.is_hedge and limits.has(instance):
-        # What a limited server takes is for requests that have no other.
+        # The capacity of a limited server is kept for requests that have no
+        # other attempt under way.
         return False
     share = limits.find_share(instance, request.pass_rank, now=now)
     if request.was_limited:
-        # Failure: every server of a service is limited, and each request
-        # that passes is refused by one after the other.
+        # When every server of a service is limited, a request that was refused
+        # once would otherwise be refused by one after the other.
         return share >= 1
     return random.random() < share
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -1,6 +1,6 @@
-"""What an entry knows of one upstream, from the answers that it has seen.
+"""Load, speed and failures of one upstream, from the answers seen.
 
-No clock, lock or log here: whoever asks says what time it is.
+Uses no clock, lock or log: callers pass the current time.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.ejection import Ejection
 from wagtaildale.routing.known_limits import ServerLimit
-from wagtaildale.routing.speed import Speed, fade
+from wagtaildale.routing.speed import Speed, decay_linearly
 from wagtaildale.types import ANY_INCARNATION, Incarnation, InstanceId
 
-FIRST_LIMIT: Final = 10
-WARM_SECONDS: Final = 10.0
+INITIAL_LIMIT: Final = 10
+WARM_UP_SECONDS: Final = 10.0
 COLD_LOAD: Final = 0.5
-STALE_SECONDS: Final = 1.0
-# Requests come and go, but a server that was busy is likely to be so some
-# runs later.
-FULLNESS_KEPT_SECONDS: Final = 5.0
-# What speaks against an upstream itself, not against one request.
+STALE_LOAD_SECONDS: Final = 1.0
+# A reported fullness decays linearly to 0 over this time: single requests
+# come and go, but a busy server is likely to stay busy for a few of them.
+FULLNESS_DECAY_SECONDS: Final = 5.0
+# Failures of the upstream itself, not of a single request.
 UPSTREAM_FAULTS: Final = frozenset(
     (
         Code.backend_cut,
@@ -35,26 +35,29 @@
 )
 
 
-NO_PRAISE: Final = UPSTREAM_FAULTS | {Code.draining}
+# Answers with these codes do not end an ejection.
+NON_SUCCESS_CODES: Final = UPSTREAM_FAULTS | {Code.draining}
 
 
 class OwnerReport(Struct, frozen=True, kw_only=True, gc=False):
-    """What an owner says of itself with an answer.
+    """State that an owner reports with each answer.
 
     Attributes:
-        incarnation: of its process.
-        in_flight: requests that run at its backend server.
-        limit: how many may.
-        queued: requests that wait there.
-        slot_seconds: that a request of any class holds a slot there; 0 if
-            it does not know yet.
-        run_seconds: that the answered request took at the backend server;
-            0 if it did not run.
-        class_seconds: that requests of its class take there now; 0 if the
-            owner does not know yet.
-        class_usual_seconds: the same over a longer time.
-        code: of the answer.
-        server_limit: what its server takes; nothing if it is not known yet.
+        incarnation: incarnation of the owner's process.
+        in_flight: number of requests running at its backend server.
+        limit: concurrency limit of the backend server, in requests.
+        queued: number of requests waiting for a slot.
+        slot_seconds: smoothed seconds that a request of any class holds a
+            slot; 0 if not known yet.
+        run_seconds: seconds that the answered request took at the backend
+            server; 0 if it did not run.
+        class_seconds: smoothed seconds of the last few requests of the same
+            class at the backend server; 0 if not known yet.
+        class_usual_seconds: smoothed seconds of the class over a longer
+            time; 0 if not known yet.
+        code: result code of the answer.
+        server_limit: rate limit of the backend server; nothing if the owner
+            does not know it yet.
     """
 
     incarnation: Incarnation
@@ -70,21 +73,22 @@
 
 
 class UpstreamStatistics:
-    """What an entry knows of one upstream.
+    """Statistics that an entry keeps of one upstream.
 
     Attributes:
-        instance: the upstream.
-        incarnation: of its node's process, as last answered.
-        ejection: whether it is left out for its failures.
-        pending: requests that this entry has under way there.
-        in_flight: requests at its backend server, as last answered.
-        limit: how many may be.
-        queued: requests that wait there.
-        slot_seconds: that a request of any class holds a slot there, as
-            last answered; 0 while it is not known.
-        known_since: when this entry first heard of this incarnation.
-        heard_at: when it last said how full it is, seconds.
-        speed: how fast it is.
+        instance: id of the upstream.
+        incarnation: incarnation of its node's process, as last reported.
+        ejection: tells whether the upstream is ejected for failures.
+        pending: number of this entry's requests that are under way there.
+        in_flight: number of requests running at its backend server, as last
+            reported.
+        limit: concurrency limit of the backend server, in requests.
+        queued: number of requests waiting for a slot, as last reported.
+        slot_seconds: smoothed seconds that a request of any class holds a
+            slot, as last reported; 0 while unknown.
+        known_since: time of the first answer of this incarnation, seconds.
+        load_reported_at: time of the last load report, seconds.
+        speed: slowness of the upstream compared to the fleet.
     """
 
     __slots__ = (
@@ -92,7 +96,7 @@
         'in_flight',
         'incarnation',
         'instance',
-        'heard_at',
+        'load_reported_at',
         'known_since',
         'limit',
         'pending',
@@ -102,46 +106,46 @@
     )
 
     def __init__(self, instance: InstanceId, *, now: float) -> None:
-        """Begin with nothing known.
+        """Start without any report.
 
         Args:
-            instance: the upstream.
-            now: seconds.
+            instance: id of the upstream.
+            now: current time, in seconds.
         """
         self.instance = instance
         self.incarnation = ANY_INCARNATION
         self.ejection = Ejection()
         self.pending = 0
         self.in_flight = 0
-        self.limit = FIRST_LIMIT
+        self.limit = INITIAL_LIMIT
         self.queued = 0
         self.slot_seconds = float(0)
         self.known_since = now
-        self.heard_at = self.known_since
+        self.load_reported_at = self.known_since
         self.speed = Speed(now=now)
 
     def note_begun(self, now: float) -> None:
-        """Count a request that goes there.
+        """Count a request that is sent to the upstream.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
         """
         self.ejection.note_chosen(now)
         self.pending += 1
 
     def note_ended(self) -> None:
-        """Count a request as over."""
+        """Count a request as ended."""
         self.pending -= 1
 
     def note_answer(self, report: OwnerReport, *, now: float) -> bool:
-        """Note what an answer said of its owner.
+        """Update load and ejection from the report of an answer.
 
         Args:
-            report: the owner's word.
-            now: seconds.
+            report: the owner's report.
+            now: current time, in seconds.
 
         Returns:
-            Whether the upstream was left out and is back.
+            Whether the answer ended an ejection.
         """
         if report.incarnation != self.incarnation:
             self.incarnation = report.incarnation
@@ -156,7 +160,7 @@
             self.slot_seconds = report.slot_seconds
         if report.code is Code.draining:
             self.ejection.note_leaving(now)
-        if report.code in NO_PRAISE:
+        if report.code in NON_SUCCESS_CODES:
             return False
         return self.ejection.note_answer()
 
@@ -168,18 +172,18 @@
         queued: int,
         now: float,
     ) -> None:
-        """Note how full an owner says it is.
+        """Update the load that the owner reports.
 
         Args:
-            in_flight: requests that run at its backend server.
-            limit: how many may.
-            queued: requests that wait there.
-            now: seconds.
+            in_flight: number of requests running at its backend server.
+            limit: concurrency limit of the backend server, in requests.
+            queued: number of requests waiting for a slot.
+            now: current time, in seconds.
         """
         self.in_flight = in_flight
         self.limit = max(1, limit)
         self.queued = queued
-        self.heard_at = now
+        self.load_reported_at = now
 
     def note_speed(
         self,
@@ -188,87 +192,92 @@
         usual: float,
         now: float,
     ) -> None:
-        """Note how fast the backend server is.
+        """Update the speed of the backend server.
 
         Args:
-            report: the owner's word.
-            usual: seconds that are usual for the class over all upstreams.
-            now: seconds.
+            report: the owner's report.
+            usual: usual seconds of the class over all upstreams.
+            now: current time, in seconds.
         """
         if usual <= 0:
             return
         if report.class_seconds > 0 and report.class_usual_seconds > 0:
-            self.speed.note_told(
+            self.speed.note_reported(
                 report.class_seconds / usual,
                 usual_ratio=report.class_usual_seconds / usual,
                 now=now,
             )
         else:
-            self.speed.note_seen(report.run_seconds / usual, now=now)
+            self.speed.note_measured(report.run_seconds / usual, now=now)
 
     def measure_load_age(self, now: float) -> float:
-        """Measure how old its last word on how full it is has become.
+        """Measure the age of the last load report.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
 
         Returns:
-            Seconds.
+            Age in seconds.
         """
-        return now - self.heard_at
+        return now - self.load_reported_at
 
     def measure_fullness(self, now: float) -> float:
-        """Measure which part of its slots is likely to be taken.
+        """Estimate the fraction of the upstream's slots that are in use.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
 
         Returns:
-            Requests there, as a share of its limit; over 1 if some wait.
+            Requests at the upstream over its limit; above 1 if some wait.
         """
-        told = (self.in_flight + self.queued) / self.limit
-        share = self.measure_load_age(now) / FULLNESS_KEPT_SECONDS
-        return max(fade(told, to=0, share=share), self.pending / self.limit)
+        reported = (self.in_flight + self.queued) / self.limit
+        share = self.measure_load_age(now) / FULLNESS_DECAY_SECONDS
+        return max(
+            decay_linearly(reported, to=0, share=share),
+            self.pending / self.limit,
+        )
 
     def estimate_wait(self, usual: float, *, now: float) -> float:
         """Estimate how long a request would wait for a slot.
 
-        What was heard over a second ago says little: requests come and go
-        faster. The upstream then counts as having just room, so that it is
-        asked again.
+        A load report older than a second is ignored, because requests come
+        and go faster than that. Only the entry's own pending requests count
+        then, so that the upstream is tried again.
 
-        Failure guarded here: a short call waits behind long requests, its
-        wait is taken for that of as many short ones, and it stays with a
-        full server while another one is idle. What is ahead holds its slots
-        for as long as requests of any class do.
+        The requests ahead are assumed to hold their slots for the smoothed
+        time of all classes. With the time of the request's own class, a short
+        call behind long requests would expect a short wait, and stay with a
+        full server while another one is idle.
 
         Args:
-            usual: seconds of a request here.
-            now: seconds.
+            usual: usual seconds of the request at this upstream, used if
+                ``slot_seconds`` is not known.
+            now: current time, in seconds.
 
         Returns:
-            Seconds.
+            Expected wait in seconds.
         """
         ahead = float(self.pending)
-        if self.measure_load_age(now) < STALE_SECONDS:
+        if self.measure_load_age(now) < STALE_LOAD_SECONDS:
             ahead = max(ahead, self.in_flight + self.queued)
         slot_seconds = self.slot_seconds or usual
         return max(0, ahead + 1 - self.limit) * slot_seconds / self.limit
 
     def measure_load(self, now: float) -> float:
-        """Measure how full the upstream is.
+        """Measure the load of the upstream.
 
-        A new one counts as half full at first and less so by the second:
-        it starts cold, and is not to be drowned by everybody at once.
+        A new incarnation counts as half full at first, and less with each
+        second of its warm-up: it starts cold, and all entries would send it
+        their requests at once.
 
         Args:
-            now: seconds.
+            now: current time, in seconds.
 
         Returns:
-            Requests there or on their way, as a share of its limit.
+            Requests at the upstream or on their way to it, over its limit.
         """
         load = (self.in_flight + self.queued + self.pending) / self.limit
         age = now - self.known_since
-        if age < WARM_SECONDS:
-            load += COLD_LOAD * (1 - age / WARM_SECONDS)
+        if age < WARM_UP_SECONDS:
+            load += COLD_LOAD * (1 - age / WARM_UP_SECONDS)
         return load
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -1,4 +1,4 @@
-"""The one snapshot by which a node routes calls."""
+"""Immutable snapshots of routes and instances that calls are routed by."""
 
 from __future__ import annotations
 
@@ -29,17 +29,18 @@
 
 
 class FleetView(Struct, frozen=True, kw_only=True):
-    """Routes and instances at one moment; never changed.
+    """Immutable snapshot of the routes and instances at one moment.
 
     Attributes:
-        version: of the configuration; 0 before the first.
-        parts: the configuration by service.
-        table: its routes; nothing before the first version.
-        list_index: of the instance list.
-        upstreams: by service, the listed instances.
-        records: by id, the same.
-        away: instances that take no new work.
-        limits: on callers, if the configuration has them.
+        version: version of the configuration; 0 before the first.
+        parts: parts of the configuration, by service.
+        table: routing table of the configuration; nothing before the first
+            version.
+        list_index: version of the instance list.
+        upstreams: listed instances, by service.
+        records: listed instances, by id.
+        away: instances and nodes that accept no new work.
+        limits: rate limits on callers, if the configuration has them.
     """
 
     version: Version = NO_VERSION
@@ -52,55 +53,56 @@
     limits: PublishedLimits | None = None
 
     def is_away(self, record: InstanceRecord) -> bool:
-        """Tell whether an instance takes no new work.
+        """Tell whether an instance accepts no new work.
 
         Args:
-            record: of the instance.
+            record: the instance's entry in the list.
 
         Returns:
-            Whether it or the node beside it is leaving or gone.
+            Whether the instance or the node beside it is leaving, suspected
+            or dead.
         """
         if record.state is ListedState.leaving:
             return True
         return record.instance in self.away or record.node_id in self.away
 
     def count_nodes(self) -> int:
-        """Count the nodes of the fleet, one beside each listed instance.
+        """Count the nodes that are beside listed instances.
 
         Returns:
-            How many there are.
+            Number of nodes.
         """
         return len({record.node_id for record in self.records.values()})
 
     def list_records(self) -> Iterator[InstanceRecord]:
-        """List every listed instance.
+        """List the instances of all services.
 
         Yields:
-            Its record.
+            The entry of each instance.
         """
         for records in self.upstreams.values():
             yield from records
 
 
 class ViewHolder:
-    """Holds the reference that every call reads and one task swaps.
+    """Holds the current snapshot, which one task replaces and calls read.
 
-    A reader takes ``current`` once for a call and keeps to it, so that a
-    call never sees half of one version and half of another.
+    A call reads ``current`` once and uses that snapshot throughout, so that
+    it never mixes two versions.
     """
 
     def __init__(self) -> None:
-        """Begin with the empty view."""
+        """Start with the empty view."""
         self.current = FleetView()
         self._listed: dict[InstanceId, InstanceRecord] = {}
         self._lapsed: dict[InstanceId, InstanceRecord] = {}
         self._held: dict[InstanceId, InstanceRecord] = {}
 
     def replace_configuration(self, document: Document) -> None:
-        """Swap in the routes of a later configuration.
+        """Replace the routes by those of a later configuration.
 
         Args:
-            document: checked before.
+            document: configuration document that was already validated.
         """
         configuration = check_parts(document.blobs).unwrap()
         self.current = structs.replace(
@@ -113,10 +115,10 @@
         self._swap_records(self.current.list_index)
 
     def replace_instances(self, document: Document) -> None:
-        """Swap in a later instance list.
+        """Replace the instance list by a later one.
 
         Args:
-            document: checked before.
+            document: instance document that was already validated.
         """
         self._listed = check_records(document.blobs).unwrap()
         self._swap_records(document.version)
@@ -127,28 +129,31 @@
         *,
         held: Iterable[InstanceRecord] = (),
     ) -> None:
-        """Swap in where the list is not gone by.
+        """Replace the entries that differ from the platform's list.
 
         Args:
-            records: of instances in use though the list lacks them.
-            held: of listed ones, as they are taken for.
+            records: entries of instances that stay in use though the list no
+                longer has them.
+            held: entries to use in place of the listed ones.
         """
         self._lapsed = {record.instance: record for record in records}
         self._held = {record.instance: record for record in held}
         self._swap_records(self.current.list_index)
 
     def replace_away(self, away: frozenset[InstanceId]) -> None:
-        """Swap in who takes no new work.
+        """Replace the set of instances that accept no new work.
 
         Args:
-            away: by the list and by news.
+            away: instances that the list or gossip reports as leaving,
+                suspected or dead.
         """
         self.current = structs.replace(self.current, away=away)
 
-    def _list_known(self) -> dict[InstanceId, InstanceRecord]:
-        # Failure: another writer's entry names an address that a server has
-        # and a service that nobody published, and as the later one there it
-        # takes the server's place. No route leads to such a service.
+    def _merge_records(self) -> dict[InstanceId, InstanceRecord]:
+        # Another writer may list an entry with the address of a running server
+        # and a service that nobody published. As the later entry at that
+        # address it would replace the server, so entries of services without
+        # configuration are dropped; no route leads to them anyway.
         records = {**self._lapsed, **self._listed, **self._held}
         parts = self.current.parts
         if not parts:
@@ -160,7 +165,7 @@
         }
 
     def _swap_records(self, index: Version) -> None:
-        records = leave_out_replaced(self._list_known())
+        records = leave_out_replaced(self._merge_records())
         upstreams: dict[ServiceName, tuple[InstanceRecord, ...]] = {}
         for record in records.values():
             known = upstreams.get(record.service, ())
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -124,7 +124,7 @@
             server=server,
             since=now,
             is_near=is_near,
-            pass_rank=self._find_request_rank(),
+            pass_rank=self._find_need_rank(),
             share=placed.share,
         )
         self._running.append(sent)
@@ -135,7 +135,7 @@
             partial(self._arrive, sent, spare=spare, patient=patient),
         )
 
-    def _find_request_rank(self) -> int:
+    def _find_need_rank(self) -> int:
         asked = self._asked
         return find_request_rank(
             asked.work_class.rank,
@@ -157,7 +157,7 @@
                 work_class=asked.work_class.name,
                 slack_seconds=asked.due - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
-                pass_rank=self._find_request_rank(),
+                pass_rank=self._find_need_rank(),
                 is_hedge=spare,
                 was_limited=attempts.was_limited,
             ),
