--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -1,7 +1,8 @@
-"""Decides what becomes of an offered version.
+"""Decides whether a document store applies an offered version.
 
-Deterministic: no clock, no socket. A version is taken whole or not at all,
-never an older one, and one that failed is not tried again.
+The functions are deterministic and use no clock or socket. A version is
+applied as a whole or not at all; older versions are ignored, and a version
+that failed validation is not tried again.
 """
 
 from __future__ import annotations
@@ -40,19 +41,21 @@
 
 @singledispatch
 def decide_offer(message: object, state: StoreState) -> list[StoreEffect]:
-    """Decide on one message to a store.
+    """Handle a message to a document store.
 
     Args:
-        message: what was offered.
-        state: the store; moved forward in place.
+        message: a ``DeltaOffered``, ``OutlineOffered`` or ``BlobsOffered``.
+        state: state of the store, updated in place.
 
     Returns:
-        What follows from it.
+        The effects to carry out.
 
     Raises:
-        TypeError: for a message that no store knows.
+        TypeError: for a message of any other type.
     """
-    raise TypeError(f'got {message!r}, expected an offer to a store')
+    raise TypeError(
+        f'got {message!r}, expected an offered delta, outline or blobs'
+    )
 
 
 @decide_offer.register
@@ -122,9 +125,9 @@
     if version < held.version:
         return [_reject(state, version, Code.version_older)]
     if version == held.version:
-        # Failure: a publisher uses a number twice. It shows as nodes with
-        # one version and different routes. Whichever came first stays, so
-        # no node moves without a rising version.
+        # A publisher used a version number twice, which would show as nodes
+        # with one version and different routes. A node keeps the document that
+        # it received first, so that it changes only to a higher version.
         return [_reject(state, version, Code.version_reused)]
     return None
 
@@ -153,7 +156,7 @@
         code=Code.delta_mismatch,
         where=f'{document.kind.name} from {origin or "the platform"}',
         got=f'digest {document.digest.hex()}',
-        expected='the digest that the delta names',
+        expected='the digest stated in the delta',
     )
     return Rejected(
         kind=state.held.kind,
--- a/wagtaildale/document/eras.py
+++ b/wagtaildale/document/eras.py
@@ -1,7 +1,8 @@
-"""Versions of a document whose platform may come back from an older copy.
+"""Document versions that keep rising if the platform is restored from a copy.
 
-The platform's own count then goes back and gives out numbers again. It tells
-how often that has happened; with that in front, versions still rise.
+After a restore the platform's revision goes back and repeats earlier numbers.
+The platform also reports its era, the number of restores so far. A version has
+the era in its high bits and the revision in its low bits, so it still rises.
 """
 
 from __future__ import annotations
@@ -10,11 +11,12 @@
 
 from wagtaildale.types import Version
 
-# How often the platform came back from an older copy.
+# Number of times that the platform was restored from an older copy.
 Era = NewType('Era', int)
 
 FIRST_ERA: Final = Era(0)
-# A version is eight bytes; a trillion changes in each of eight million eras.
+# A version has eight bytes: enough for a trillion revisions in each of eight
+# million eras.
 REVISION_BITS: Final = 40
 REVISION_MASK: Final = (1 << REVISION_BITS) - 1
 
@@ -23,11 +25,11 @@
     """Make the version of a document.
 
     Args:
-        era: in which the platform gave it.
-        revision: on the platform's own count.
+        era: era of the platform.
+        revision: revision of the platform within the era.
 
     Returns:
-        A version that is above all of earlier eras.
+        A version above all versions of earlier eras.
     """
     return Version((era << REVISION_BITS) + revision)
 
@@ -36,21 +38,21 @@
     """Find the era of a version.
 
     Args:
-        version: of a document.
+        version: version of a document.
 
     Returns:
-        In which the platform gave it.
+        Era of the platform that issued it.
     """
     return Era(version >> REVISION_BITS)
 
 
 def find_revision(version: Version) -> int:
-    """Find the platform's own number of a version.
+    """Find the platform's revision in a version.
 
     Args:
-        version: of a document.
+        version: version of a document.
 
     Returns:
-        Its revision.
+        Revision within the era.
     """
     return version & REVISION_MASK
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -1,4 +1,4 @@
-"""What a document store is told, and what it asks for."""
+"""Messages to a document store, and the effects that it returns."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from wagtaildale.errors.faults import Fault
 from wagtaildale.types import Digest, InstanceId, Kind, Version
 
-# Who offered something: a peer, or nobody where it was the platform.
+# Peer that offered something; nothing if it was the platform.
 Origin = InstanceId | None
 
 
 class DeltaOffered(Struct, frozen=True, kw_only=True):
-    """A delta has come."""
+    """A delta was received."""
 
     delta: Delta
     origin: Origin = None
 
 
 class OutlineOffered(Struct, frozen=True, kw_only=True):
-    """A version's entries have come, without blobs."""
+    """The entries of a version were received, without the blobs."""
 
     outline: Outline
     origin: Origin = None
 
 
 class BlobsOffered(Struct, frozen=True, kw_only=True):
-    """Blobs that were asked for have come."""
+    """Requested blobs were received."""
 
     kind: Kind
     blobs: tuple[bytes, ...]
@@ -35,12 +35,12 @@
 
 
 class Applied(Struct, frozen=True, kw_only=True):
-    """The store has moved to a later version.
+    """The store has applied a later version.
 
     Attributes:
-        before: the version held until now.
-        document: the version held from now on.
-        origin: who gave what was last missing of it.
+        before: version held until now.
+        document: version held from now on.
+        origin: sender of the last missing part.
     """
 
     before: Document
@@ -49,13 +49,14 @@
 
 
 class Rejected(Struct, frozen=True, kw_only=True):
-    """An offer was not taken; the held version stays.
+    """An offer was rejected; the held version stays.
 
     Attributes:
-        kind: which document.
-        version: that was offered.
-        fault: why; its code tells a refusal from an ignored older version.
-        is_first: whether it is the first time this is said of that version.
+        kind: kind of the document.
+        version: offered version.
+        fault: reason; its code distinguishes a refused version from an
+            ignored older one.
+        is_first: whether the rejection is new and should be reported.
     """
 
     kind: Kind
@@ -65,14 +66,14 @@
 
 
 class OutlineWanted(Struct, frozen=True, kw_only=True):
-    """The delta's base is not held: ask for what leads here."""
+    """The base of a delta is not held; the outline is to be requested."""
 
     kind: Kind
     origin: Origin
 
 
 class BlobsWanted(Struct, frozen=True, kw_only=True):
-    """These blobs are missing for a pending version."""
+    """Blobs of a pending version are missing and to be requested."""
 
     kind: Kind
     digests: tuple[Digest, ...]
--- a/wagtaildale/document/model.py
+++ b/wagtaildale/document/model.py
@@ -1,8 +1,8 @@
-"""A replicated document: named entries, each a blob with a content hash.
+"""Replicated documents: named entries, each a blob with a content hash.
 
-The configuration and the instance list spread by the same means. Each is a
-document of one kind: a version, and entries by name (a service's part, an
-instance's record).
+The configuration and the instance list are distributed in the same way. Each
+is a document of its own kind, with a version and with named entries (the part
+of a service, or the record of an instance).
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 class Outline(Struct, frozen=True, kw_only=True):
-    """A document's entries by content hash, without the blobs.
+    """Names and content hashes of a document's entries, without the blobs.
 
     Attributes:
-        kind: which document.
-        version: its version.
-        entries: by name, the content hash.
+        kind: kind of the document.
+        version: version of the document.
+        entries: content hashes, by name.
     """
 
     kind: Kind
@@ -38,16 +38,17 @@
 
 
 class Delta(Struct, frozen=True, kw_only=True):
-    """What turns one version of a document into a later one.
+    """Difference between one version of a document and a later one.
 
     Attributes:
-        kind: which document.
-        base_version: the version it starts from; 0 is the empty document.
-        base_digest: that version's digest.
-        version: the version it gives.
-        digest: that version's digest.
-        changed: by name, the new blob.
-        removed: names that are gone.
+        kind: kind of the document.
+        base_version: version that the delta applies to; 0 is the empty
+            document.
+        base_digest: digest of the base version.
+        version: version that results.
+        digest: digest of the resulting version.
+        changed: new and changed blobs, by name.
+        removed: names of removed entries.
     """
 
     kind: Kind
@@ -60,14 +61,14 @@
 
 
 class Document(Struct, frozen=True, kw_only=True):
-    """One whole version; never changed once made.
+    """One complete version of a document; immutable.
 
     Attributes:
-        kind: which document.
-        version: its version.
+        kind: kind of the document.
+        version: version of the document.
         digest: hash over version and entries.
-        entries: by name, the content hash.
-        blobs: by name, the bytes.
+        entries: content hashes, by name.
+        blobs: contents, by name.
     """
 
     kind: Kind
@@ -78,13 +79,13 @@
 
 
 def make_empty(kind: Kind) -> Document:
-    """Make the document that a new node holds.
+    """Make the empty document that a new node holds.
 
     Args:
-        kind: which document.
+        kind: kind of the document.
 
     Returns:
-        Version 0, no entries.
+        Version 0 without entries.
     """
     return Document(
         kind=kind,
@@ -104,9 +105,9 @@
     """Make a document from its blobs.
 
     Args:
-        kind: which document.
-        version: its version.
-        blobs: by name, the bytes.
+        kind: kind of the document.
+        version: version of the document.
+        blobs: contents, by name.
 
     Returns:
         The document with its digest.
@@ -123,11 +124,11 @@
     *,
     blobs: Mapping[str, bytes],
 ) -> Document:
-    """Join an outline with blobs whose hashes were checked before.
+    """Build a document from an outline and blobs with verified hashes.
 
     Args:
-        outline: the entries.
-        blobs: by name, the bytes.
+        outline: version and entries.
+        blobs: contents, by name.
 
     Returns:
         The document with its digest.
@@ -142,13 +143,13 @@
 
 
 def digest_outline(outline: Outline) -> Digest:
-    """Hash version and entries of a document.
+    """Hash the version and entries of a document.
 
     Args:
-        outline: the entries.
+        outline: version and entries.
 
     Returns:
-        16 bytes; empty for the empty document.
+        16-byte digest; empty for the empty document.
     """
     if outline.version == NO_VERSION:
         return NO_DIGEST
@@ -161,13 +162,13 @@
 
 
 def make_outline(document: Document) -> Outline:
-    """Give a document's entries without the blobs.
+    """Make the outline of a document.
 
     Args:
-        document: whole.
+        document: complete document.
 
     Returns:
-        Its outline.
+        Version and entries without the blobs.
     """
     return Outline(
         kind=document.kind,
@@ -177,14 +178,14 @@
 
 
 def make_delta(base: Document, *, target: Document) -> Delta:
-    """Find what turns one version into another.
+    """Compute the delta between two versions.
 
     Args:
-        base: the earlier version.
-        target: the later version.
+        base: earlier version.
+        target: later version.
 
     Returns:
-        The delta.
+        The delta from ``base`` to ``target``.
     """
     return Delta(
         kind=target.kind,
@@ -202,14 +203,16 @@
 
 
 def apply_delta(base: Document, *, delta: Delta) -> Document:
-    """Apply a delta; the caller compares the digest with the delta's.
+    """Apply a delta, without checking the resulting digest.
+
+    The caller compares the digest of the result with that of the delta.
 
     Args:
-        base: the version that the delta starts from.
-        delta: what changes.
+        base: version that the delta applies to.
+        delta: changed and removed entries.
 
     Returns:
-        The later version, by its own digest.
+        The resulting version, with a digest computed from its entries.
     """
     entries = dict(base.entries)
     blobs = dict(base.blobs)
--- a/wagtaildale/document/state.py
+++ b/wagtaildale/document/state.py
@@ -1,4 +1,4 @@
-"""What a document store holds."""
+"""State of a document store."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     """A later version of which blobs are still missing.
 
     Attributes:
-        outline: its entries.
-        digest: its digest.
-        found: blobs that are here, by content hash.
+        outline: version and entries.
+        digest: digest of the version.
+        found: blobs that are available, by content hash.
     """
 
     outline: Outline
@@ -35,24 +35,25 @@
     found: dict[Digest, bytes]
 
     def list_missing(self) -> tuple[Digest, ...]:
-        """List the blobs that are not here yet.
+        """List the blobs that are still missing.
 
         Returns:
-            Their content hashes.
+            Content hashes of the blobs.
         """
         wanted = set(self.outline.entries.values())
         return tuple(sorted(wanted - self.found.keys()))
 
 
 class StoreState(Struct, kw_only=True):
-    """One document as a node holds it.
+    """State of one document at a node.
 
     Attributes:
-        held: the version in force here.
-        check: judges a version as a whole.
-        history: versions held before, for deltas to those behind.
-        refused: versions that failed, by version and digest.
-        pending: a later version that is not whole yet.
+        held: version in force.
+        check: validates a version as a whole.
+        history: versions held earlier, for deltas to peers that are behind.
+        refused: faults of versions that failed validation, by version and
+            digest.
+        pending: later version that is not complete yet.
     """
 
     held: Document
@@ -64,14 +65,14 @@
     pending: PendingVersion | None = None
 
     def find_version(self, version: Version, digest: Digest) -> Document | None:
-        """Find a version held before.
+        """Find a version that is held or was held earlier.
 
         Args:
-            version: its number.
-            digest: its digest.
+            version: version number.
+            digest: digest of the version.
 
         Returns:
-            The document, or nothing if it is not remembered.
+            The document, or nothing if it is not in the history.
         """
         for document in (self.held, *self.history):
             if (document.version, document.digest) == (version, digest):
@@ -82,10 +83,10 @@
         """Find a blob by its content hash.
 
         Args:
-            digest: the content hash.
+            digest: content hash.
 
         Returns:
-            The bytes, or nothing if no held version has them.
+            The blob, or nothing if the held version does not have it.
         """
         for name, held in self.held.entries.items():
             if held == digest:
@@ -93,11 +94,13 @@
         return None
 
     def remember_refused(self, document: Document, fault: Fault) -> None:
-        """Remember a version that failed, the latest few only.
+        """Remember a version that failed validation.
+
+        Only the latest ``MAX_REFUSED_VERSIONS`` are kept.
 
         Args:
-            document: that failed.
-            fault: why.
+            document: version that failed.
+            fault: reason.
         """
         self.refused[(document.version, document.digest)] = fault
         while len(self.refused) > MAX_REFUSED_VERSIONS:
@@ -112,8 +115,8 @@
     """Make the store of a new node.
 
     Args:
-        kind: which document.
-        check: judges a version as a whole.
+        kind: kind of the document.
+        check: validates a version as a whole.
 
     Returns:
         A store that holds the empty document.
--- a/wagtaildale/membership/__init__.py
+++ b/wagtaildale/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet, who neighbours whom, who is suspected."""
+"""Membership: members of the fleet, their topology and failure detection."""
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -1,4 +1,8 @@
-"""Decides on news of the fleet: merge, suspect, refute, pass on."""
+"""Decides on gossip about nodes: merge, suspect, refute and pass on.
+
+As in SWIM, a node that misses replies is suspected, and is declared dead
+unless it refutes the suspicion in time.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,8 @@
     from wagtaildale.membership.records import InstanceRecord
 
 MISSES_TO_SUSPECT: Final = 2
-# Between two misses of one peer; digests go out once a second.
+# Minimum time between two counted misses of a peer; digests go out once a
+# second.
 MISS_INTERVAL_SECONDS: Final = 0.75
 SUSPECT_SECONDS: Final = 6.0
 NEWS_PER_MESSAGE: Final = 16
@@ -30,8 +35,8 @@
     """News that changed the view of the fleet.
 
     Attributes:
-        news: what is held now.
-        before: the state held until now, if any.
+        news: news that is held from now on.
+        before: state of the node until now; nothing if it was not known.
     """
 
     news: News
@@ -44,20 +49,20 @@
     received: Iterable[News],
     now: float,
 ) -> list[NewsTaken]:
-    """Merge what another node said.
+    """Merge news from another node.
 
-    Failure guarded here: a node is called dead that only was slow, shown by
-    its neighbours sending it nothing more. When it hears so of itself it
-    raises its sequence, which outranks every suspicion of before. A leaving
-    node does not refute: that state is final for its incarnation.
+    A node that was only slow may be declared dead, and its neighbours then
+    send it nothing more. When it receives such news of itself it raises its
+    sequence number, which overrides all earlier suspicions. A leaving node
+    does not refute, because that state is final for its incarnation.
 
     Args:
-        state: the fleet; moved forward in place.
+        state: membership of the fleet, updated in place.
         received: news from a peer.
         now: current time, in seconds.
 
     Returns:
-        What changed.
+        News that changed the view of the fleet.
     """
     taken: list[NewsTaken] = []
     for news in received:
@@ -86,16 +91,16 @@
     """Note that a peer did not reply to a digest or a push.
 
     Args:
-        state: the fleet; moved forward in place.
-        peer: who did not reply.
+        state: membership of the fleet, updated in place.
+        peer: instance that did not reply.
         now: current time, in seconds.
 
     Returns:
-        The suspicion, once enough replies are missing.
+        The suspicion, once enough replies in a row are missing.
     """
     misses = state.missed.setdefault(peer, MissedReplies())
-    # Failure: several messages go out together, the answers to all of them
-    # are late together, and a working node is suspected for one delay.
+    # Replies to messages that are sent together are late together; without the
+    # interval a single delay would make a working node a suspect.
     if now - misses.noted_at < MISS_INTERVAL_SECONDS:
         return []
     misses.count += 1
@@ -111,14 +116,14 @@
 
 
 def note_heard(state: MembershipState, *, peer: InstanceId) -> None:
-    """Note that a peer has sent something: it is there.
+    """Reset the missed replies of a peer that has sent a message.
 
-    Failure guarded here: two replies that are late minutes apart make a
-    working node a suspect. Only those in a row count.
+    Only misses in a row count. Otherwise two replies that are late minutes
+    apart would make a working node a suspect.
 
     Args:
-        state: the fleet; moved forward in place.
-        peer: who sent it.
+        state: membership of the fleet, updated in place.
+        peer: instance that sent the message.
     """
     state.missed.pop(peer, None)
 
@@ -128,14 +133,14 @@
     *,
     now: float,
 ) -> list[NewsTaken]:
-    """Call dead whoever stayed suspect, and forget whom the list dropped.
+    """Declare overdue suspects dead, and drop old news of unlisted nodes.
 
     Args:
-        state: the fleet; moved forward in place.
+        state: membership of the fleet, updated in place.
         now: current time, in seconds.
 
     Returns:
-        What changed.
+        News that changed the view of the fleet.
     """
     due = [
         structs.replace(suspect.news, state=NodeState.dead)
@@ -152,11 +157,11 @@
     *,
     records: dict[InstanceId, InstanceRecord],
 ) -> None:
-    """Take the platform's list as it is now.
+    """Replace the instance list.
 
     Args:
-        state: the fleet; moved forward in place.
-        records: by instance.
+        state: membership of the fleet, updated in place.
+        records: current entries of the list, by node.
     """
     state.records = records
     state.cached_topology = None
@@ -167,17 +172,17 @@
     *,
     to: InstanceId,
 ) -> tuple[News, ...]:
-    """Pick news to send along with a message, the freshest first.
+    """Pick the news to send along with a message, the least sent first.
 
-    What is held against the receiver itself always goes along, so that it
-    can refute it.
+    A suspicion of the receiver itself is always included, so that the
+    receiver can refute it.
 
     Args:
-        state: the fleet; counts what is sent.
-        to: the receiver.
+        state: membership of the fleet; its send counters are updated.
+        to: instance that the message is for.
 
     Returns:
-        This node's own news, then some of others.
+        News of this node itself, then news of some others.
     """
     fresh = [
         entry for entry in state.entries.values() if entry.retransmits_left > 0
@@ -204,8 +209,8 @@
 
 
 def _is_worth_sending(news: News, known: News | None) -> bool:
-    # That a listed node works is what everybody assumes: to pass on news of
-    # that kind would cost each start of the fleet a message for each pair.
+    # Every node assumes that listed nodes work. Passing on news that they do
+    # would cost a message for each pair of nodes when the fleet starts.
     if news.state in AWAY_STATES:
         return True
     return known is not None and known.state in AWAY_STATES
--- a/wagtaildale/membership/news.py
+++ b/wagtaildale/membership/news.py
@@ -1,8 +1,8 @@
-"""What nodes tell each other of nodes, faster than the platform's list.
+"""Gossip about the states of nodes, which is faster than the platform's list.
 
-News of an instance is ordered by incarnation, then by a sequence that only
-that instance itself raises, then by how grave the state is. Merging takes
-the greatest, so news may come late, twice or crossed.
+News of an instance is ordered by incarnation, then by a sequence number that
+only the instance itself raises, then by the precedence of the state. Merging
+keeps the greatest, so news may arrive late, repeatedly or out of order.
 """
 
 from __future__ import annotations
@@ -23,19 +23,20 @@
         NodeState.leaving: 4,
     },
 )
+# Nodes in these states get no new work.
 AWAY_STATES: Final = frozenset(
     (NodeState.suspect, NodeState.dead, NodeState.leaving),
 )
 
 
 class News(Struct, frozen=True, array_like=True):
-    """What is said of one node.
+    """Reported state of one node.
 
     Attributes:
-        instance: the node's instance.
-        incarnation: rises with each start of the process.
-        sequence: raised by the node itself to refute a suspicion.
-        state: what is said.
+        instance: instance of the node.
+        incarnation: number that rises with each start of the node's process.
+        sequence: number that the node raises to refute a suspicion.
+        state: reported state.
     """
 
     instance: InstanceId
@@ -45,18 +46,18 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """The key by which later news is greater."""
+        """Sort key; later news is greater."""
         return (self.incarnation, self.sequence, STATE_PRECEDENCE[self.state])
 
 
 def is_newer(news: News, *, than: News | None) -> bool:
-    """Tell whether news replaces what is known.
+    """Tell whether news replaces the known news of the same instance.
 
     Args:
-        news: that has come.
-        than: what is known, if anything.
+        news: received news.
+        than: known news, if any.
 
     Returns:
-        Whether to take it.
+        Whether the received news is later.
     """
     return than is None or news.order > than.order
--- a/wagtaildale/membership/records.py
+++ b/wagtaildale/membership/records.py
@@ -1,4 +1,4 @@
-"""An instance as the platform's list gives it."""
+"""Entries of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
     """One backend server instance and the node beside it.
 
     Attributes:
-        instance: its id; a replacement has another one.
-        service: which service it runs.
-        data_centre: where it stands.
-        region: of which region that is.
-        host: IP number of instance and node.
-        entry_port: where the node takes callers' requests.
-        owner_port: where the node takes calls from other nodes.
-        control_port: where the node takes control messages.
-        admin_port: where the node's administration API answers.
-        state: live or leaving, as the platform sees it.
-        node: by which nodes know the one beside it; the instance's own id
-            where that stays the same while the node runs.
-        slots: requests that its backend server runs at once; 0 if it is
-            not told.
-        backend_port: where its backend server listens; 0 if not told.
-        since: when it was first listed, on the platform's own count; 0 if
-            not told.
-        born: Unix millisecond of its start; 0 if not told. An instance that
-            starts again may keep its id.
+        instance: id of the instance; a replacement has another id.
+        service: service that the instance runs.
+        data_centre: data centre of the instance.
+        region: region of the data centre.
+        host: IP address of instance and node.
+        entry_port: port of the node for callers' requests.
+        owner_port: port of the node for calls from other nodes.
+        control_port: port of the node for control messages.
+        admin_port: port of the node's administration API.
+        state: live or leaving, as the platform lists it.
+        node: id of the node beside the instance; empty if it is the id of
+            the instance, which then does not change while the node runs.
+        slots: number of requests that its backend server runs at once; 0 if
+            not listed.
+        backend_port: port of the backend server; 0 if not listed.
+        since: revision of the platform at which it was first listed; 0 if not
+            listed.
+        born: start time in Unix milliseconds; 0 if not listed. An instance
+            that restarts may keep its id.
     """
 
     instance: InstanceId
@@ -70,31 +70,31 @@
 
     @property
     def age_key(self) -> tuple[int, int]:
-        """Orders the instances of one address, the latest last."""
+        """Sort key of the instances at one address; the latest is greatest."""
         return self.born, self.since
 
     @property
     def node_id(self) -> InstanceId:
-        """By which nodes know the one beside it."""
+        """Id of the node beside the instance."""
         return self.node or self.instance
 
     @property
     def backend_address(self) -> tuple[str, int]:
-        """Where its backend server listens."""
+        """Host and port of the backend server."""
         return self.host, self.backend_port
 
     @property
     def control_address(self) -> str:
-        """Where control messages go, as ZeroMQ writes it."""
+        """ZeroMQ endpoint for control messages."""
         return f'tcp://{self.host}:{self.control_port}'
 
 
 class InstanceList(Struct, frozen=True, kw_only=True):
-    """The platform's list.
+    """The platform's instance list.
 
     Attributes:
-        index: its own, increasing.
-        instances: all that are live or leaving.
+        index: revision of the list, which only increases.
+        instances: all instances that are live or leaving.
     """
 
     index: Annotated[int, Meta(ge=1)]
@@ -106,28 +106,28 @@
 
 @lru_cache(maxsize=RECORD_CACHE_SIZE)
 def decode_record(blob: bytes) -> InstanceRecord:
-    """Decode a record; each content is decoded once.
+    """Decode a record; results are cached by content.
 
     Args:
-        blob: the record's bytes.
+        blob: record as JSON.
 
     Returns:
         The record.
 
     Raises:
-        ValidationError: of msgspec, when the bytes are no record.
+        ValidationError: of msgspec, if the bytes are not a valid record.
     """
     return record_decoder.decode(blob)
 
 
 def encode_list(listing: InstanceList) -> dict[str, bytes]:
-    """Give the entries of the instance document.
+    """Encode the instance list as entries of the instance document.
 
     Args:
         listing: the platform's list.
 
     Returns:
-        By instance id, the record's bytes.
+        Records as JSON, by instance id.
     """
     return {
         str(record.instance): json.encode(record)
@@ -138,18 +138,19 @@
 def leave_out_replaced(
     records: Mapping[InstanceId, InstanceRecord],
 ) -> dict[InstanceId, InstanceRecord]:
-    """Leave out instances whose address a later one has.
+    """Leave out instances whose address is used by a later one.
 
-    Failure guarded here: a server crashes, another one starts at its
-    address, and the list names both until the first one's entry lapses.
-    Every request for the first one comes to the second one, which refuses
-    it, and its callers' attempts are used up on it.
+    If a server crashes and another one starts at its address, the list has
+    both until the entry of the first one lapses. Requests for the first one
+    would reach the second one, which refuses them, and use up the attempts of
+    their callers.
 
     Args:
-        records: by instance, those listed.
+        records: listed entries, by instance.
 
     Returns:
-        The same, with one instance for each address.
+        The entries without those that were replaced. Entries without a
+        backend port are all kept.
     """
     latest: dict[tuple[str, int], tuple[int, int]] = {}
     for record in records.values():
@@ -166,10 +167,10 @@
 def check_records(
     blobs: Mapping[str, bytes],
 ) -> Result[dict[InstanceId, InstanceRecord], Fault]:
-    """Check the entries of an instance document.
+    """Validate the entries of an instance document.
 
     Args:
-        blobs: by instance id, the record's bytes.
+        blobs: records as JSON, by instance id.
 
     Returns:
         The records, or the first fault.
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -1,4 +1,4 @@
-"""What a node knows of the fleet."""
+"""Membership of the fleet as one node knows it."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
 
+# Times that news is passed on, for each bit of the fleet's size.
 RETRANSMIT_FACTOR: Final = 4
 
 
 class NewsEntry(Struct, kw_only=True):
-    """News as a node holds it.
+    """Latest news of an instance, with its transmission state.
 
     Attributes:
-        news: the latest.
-        since: when it came, seconds.
-        retransmits_left: how often it is still passed on.
+        news: the latest news.
+        since: time when the news arrived, seconds.
+        retransmits_left: number of times that the news is still passed on.
     """
 
     news: News
@@ -39,8 +40,8 @@
     """Replies of a peer that are missing in a row.
 
     Attributes:
-        count: how many.
-        noted_at: when the last one was noted, seconds.
+        count: number of missing replies.
+        noted_at: time when the last one was counted, seconds.
     """
 
     count: int = 0
@@ -51,14 +52,15 @@
     """The fleet as one node sees it.
 
     Attributes:
-        own: the node's place.
-        incarnation: of this process.
-        sequence: raised to refute what is said of this node.
-        state: of this node.
-        records: the platform's list, by node.
-        entries: news by instance.
-        missed: by peer, what it did not reply to.
-        cached_topology: the topology, until records or news change.
+        own: instance and data centre of this node.
+        incarnation: incarnation of this process.
+        sequence: number that is raised to refute a suspicion of this node.
+        state: state of this node.
+        records: entries of the platform's list, by node.
+        entries: latest news, by instance.
+        missed: missed replies, by peer.
+        cached_topology: topology for the current records and news; nothing
+            after a change.
     """
 
     own: Member
@@ -71,10 +73,10 @@
     cached_topology: Topology | None = None
 
     def build_own_news(self) -> News:
-        """Give the news of this node itself.
+        """Build the news of this node itself.
 
         Returns:
-            Its incarnation, sequence and state.
+            Its incarnation, sequence number and state.
         """
         return News(
             self.own.instance,
@@ -84,23 +86,24 @@
         )
 
     def find_news(self, instance: InstanceId) -> News | None:
-        """Give the latest news of an instance.
+        """Find the latest news of an instance.
 
         Args:
-            instance: of whom.
+            instance: id of the instance.
 
         Returns:
-            The news, or nothing if none came yet.
+            The news, or nothing if there is none yet.
         """
         entry = self.entries.get(instance)
         return entry.news if entry else None
 
     def list_away(self) -> frozenset[InstanceId]:
-        """List who takes no new work.
+        """List the instances that accept no new work.
 
         Returns:
-            Those the list calls leaving, those whom news calls away, and
-            this node itself once it leaves.
+            Instances that are leaving according to the list, instances that
+            are leaving, suspected or dead according to gossip, and this node
+            itself once it leaves.
         """
         listed = (
             record.instance
@@ -117,15 +120,15 @@
         return frozenset((*listed, *reported, *(own if leaving else ())))
 
     def leave(self) -> None:
-        """Begin this node's planned stop."""
+        """Start the planned stop of this node."""
         self.state = NodeState.leaving
         self.cached_topology = None
 
     def list_leaving(self) -> frozenset[InstanceId]:
-        """List the nodes that have begun their planned stop.
+        """List the nodes that have announced their planned stop.
 
         Returns:
-            Those that said so, this node itself included.
+            Ids of the nodes, this one included once it leaves.
         """
         reported = self._list_in_states(NodeState.leaving)
         if self.state is NodeState.leaving:
@@ -133,11 +136,11 @@
         return reported
 
     def compute_retransmits(self) -> int:
-        """Tell how often news is passed on.
+        """Compute how often news is passed on.
 
         Returns:
             A few times the logarithm of the fleet's size, so that news
-            reaches everyone with high probability.
+            reaches all nodes with high probability.
         """
         return RETRANSMIT_FACTOR * max(1, len(self.records).bit_length())
 
@@ -145,7 +148,7 @@
         """List the suspected nodes of this data centre.
 
         Returns:
-            Those that are listed and were not called dead yet.
+            Ids of the suspected nodes that are listed.
         """
         suspects = self._list_in_states(NodeState.suspect)
         return [
@@ -156,10 +159,10 @@
         ]
 
     def list_members(self) -> list[Member]:
-        """List who is there, this node included.
+        """List the present members of the fleet, this node included.
 
         Returns:
-            The listed instances that are neither suspect nor dead.
+            The listed nodes that are neither suspected nor dead.
         """
         gone = self._list_in_states(NodeState.dead, NodeState.suspect)
         members = [
@@ -180,13 +183,13 @@
 
 
 def find_topology(state: MembershipState) -> Topology:
-    """Give a node's neighbours, computed anew after a change.
+    """Return a node's topology, recomputed only after a change.
 
     Args:
-        state: the fleet; remembers the topology.
+        state: membership of the fleet; caches the topology.
 
     Returns:
-        The topology over all that are not known to be away.
+        The topology over all members that are neither suspected nor dead.
     """
     if state.cached_topology is None:
         state.cached_topology = compute_topology(
--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -1,9 +1,10 @@
-"""Who passes what to whom: pure functions of who is in the fleet.
+"""Computes readers, push trees and gossip neighbours from the membership.
 
-Every node computes these from its own view. Two nodes with different views
-choose differently for a while; that costs a message, never correctness.
+All functions are pure, and every node evaluates them on its own view. Two
+nodes with different views disagree for a while; that costs messages, but not
+correctness.
 
-Ways weighed are in docs/design/distribution.md.
+The alternatives are discussed in docs/design/distribution.md.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 HASH_BYTES: Final = 8
 HASH_CACHE_SIZE: Final = 65536
 LOCAL_RINGS: Final = 3
-# One of them may just have ended.
+# Two, since one of them may just have ended.
 ROOTS_PER_DATA_CENTRE: Final = 2
 FLEET_RING: Final = 'fleet'
 
 
 class Member(Struct, frozen=True, array_like=True):
-    """Where an instance stands."""
+    """A member of the fleet: a node's instance and its data centre."""
 
     instance: InstanceId
     data_centre: DataCentre
@@ -38,14 +39,14 @@
 
 @lru_cache(maxsize=HASH_CACHE_SIZE)
 def hash_instance(salt: str, instance: InstanceId) -> int:
-    """Hash an instance for one purpose.
+    """Hash an instance id with a salt.
 
     Args:
-        salt: the purpose.
-        instance: its id.
+        salt: text that makes the hashes of different uses independent.
+        instance: id of the instance.
 
     Returns:
-        64 bits, the same on every node.
+        64-bit hash, the same on every node.
     """
     text = f'{salt}\0{instance}'.encode()
     digest = blake2b(text, digest_size=HASH_BYTES).digest()
@@ -60,11 +61,11 @@
     """Rank instances by rendezvous hashing.
 
     Args:
-        salt: the purpose.
-        instances: candidates.
+        salt: text that makes the ranks of different uses independent.
+        instances: ids of the candidates.
 
     Returns:
-        Best rank first.
+        Ids of the candidates, best rank first.
     """
     return sorted(instances, key=lambda name: (hash_instance(salt, name), name))
 
@@ -77,11 +78,11 @@
     """List the instances of one data centre.
 
     Args:
-        members: the fleet.
-        data_centre: which.
+        members: members of the fleet.
+        data_centre: name of the data centre.
 
     Returns:
-        Their ids.
+        Ids of the instances.
     """
     return [
         member.instance
@@ -99,9 +100,9 @@
     """List the children of an instance in the tree of its data centre.
 
     Args:
-        order: the data centre's instances by rank.
-        instance: whose children.
-        fan_out: children of each inner node.
+        order: instances of the data centre, by rank.
+        instance: parent in the tree.
+        fan_out: number of children of each inner node.
 
     Returns:
         At most ``fan_out`` ids; none for a leaf or an unknown instance.
@@ -122,15 +123,15 @@
     salt: str,
     instance: InstanceId,
 ) -> InstanceId | None:
-    """Find who follows an instance on a ring.
+    """Find the successor of an instance on a hash ring.
 
     Args:
-        ring: instances ranked by the ring's salt.
-        salt: the ring.
-        instance: who is followed; need not be on the ring itself.
+        ring: instances ranked with the salt of the ring.
+        salt: salt of the ring.
+        instance: predecessor; need not be on the ring itself.
 
     Returns:
-        The next one, or nothing if there is no other.
+        The next instance, or nothing if there is no other.
     """
     if not ring or list(ring) == [instance]:
         return None
@@ -144,14 +145,14 @@
 
 
 class Topology(Struct, frozen=True, kw_only=True):
-    """One node's neighbours.
+    """Peers of one node.
 
     Attributes:
-        readers: the data centre's instances that do not leave, best rank
-            for reading first.
-        tree: the data centre's instances in the order of the push tree.
-        neighbours: with whom digests are swapped.
-        roots: the first two of the push tree of each other data centre.
+        readers: instances of the data centre that do not leave, the best
+            ranked reader first.
+        tree: instances of the data centre in the order of the push tree.
+        neighbours: instances that digests are exchanged with.
+        roots: first two instances of the push tree of each other data centre.
     """
 
     readers: tuple[InstanceId, ...]
@@ -166,15 +167,16 @@
     own: Member,
     leaving: Collection[InstanceId] = (),
 ) -> Topology:
-    """Compute a node's neighbours from the fleet.
+    """Compute the topology of a node from the members of the fleet.
 
     Args:
-        members: who is there and not known to be away, the node included.
+        members: members that are not known to be gone, the node included.
         own: the node itself.
-        leaving: nodes that stop: they hear the news, and read nothing.
+        leaving: nodes that are stopping; they still receive documents and
+            gossip, but are no readers.
 
     Returns:
-        Its neighbours.
+        The node's topology.
     """
     local = list_local(members, data_centre=own.data_centre)
     rings = [(f'ring{number}', local) for number in range(LOCAL_RINGS)]
--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -166,15 +166,15 @@
         return 1 if known is None else known.find_share(rank, now=now)
 
     def find_accepted_share(self, instance: InstanceId, *, now: float) -> float:
-        """Find the share that an upstream accepts of its most important rank.
+        """Find the share of the first rank that is not accepted in full.
 
         Args:
             instance: id of the upstream.
             now: current time, in seconds.
 
         Returns:
-            Share of the most important rank that is not accepted in full; 1
-            if all ranks are.
+            Share of the most important rank that is not accepted in full,
+            from 0 to 1; 1 if all ranks are.
         """
         known = self._limits.get(instance)
         if known is None:
--- a/wagtaildale/routing/placement.py
+++ b/wagtaildale/routing/placement.py
@@ -107,7 +107,7 @@
         Args:
             view: snapshot that the call is routed by.
             service: service that the upstreams run.
-            excluded: upstreams that are not worth trying again.
+            excluded: upstreams to choose only if there is no other.
             request: properties of the request that the choice depends on.
             now: current time, in seconds.
 
@@ -172,7 +172,7 @@
             view: snapshot that the call is routed by.
             service: service that the upstreams run.
             key: idempotency key set by the caller.
-            excluded: upstreams that are not worth trying again.
+            excluded: upstreams to choose only if there is no other.
 
         Returns:
             The upstream; nothing if there is none.
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -9,7 +9,8 @@
 unreachable or gone; their connections are open by then.
 
 Rendezvous hashing gives every entry a different subset, puts each upstream of
-a data centre into about as many subsets, and moves few when the list changes.
+a data centre into about the same number of subsets, and moves few of them
+when the list changes.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 
     from wagtaildale.types import DataCentre, InstanceId
 
-# The statistics of each upstream must be recent, and age as their number
-# grows. A dozen servers with some slots each even out the effect of single long
-# requests on one of them.
+# The statistics of each upstream must be recent, and with more upstreams each
+# of them gets fewer requests. A dozen servers with some slots each are enough
+# to even out the effect of single long requests on one of them.
 MAX_NEAR: Final = 12
 # Services have 7 upstreams on average (2,500 in 360 services), so nearly all
 # are called whole; this bounds the rare large service.
--- a/wagtaildale/routing/suspected_requests.py
+++ b/wagtaildale/routing/suspected_requests.py
@@ -1,4 +1,4 @@
-"""Limits where a request may run that has crashed servers before.
+"""Restricts where a request that has crashed servers may run.
 
 A request that comes ten times a second and crashes each server that runs it
 would, if retried elsewhere, crash one server after the other while the first
--- a/wagtaildale/routing/tests/test_leaving_servers.py
+++ b/wagtaildale/routing/tests/test_leaving_servers.py
@@ -1,4 +1,4 @@
-"""Tests of what is remembered of servers that leave."""
+"""Tests of the announcements of servers that leave."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 SERVER = InstanceId('a')
 
 
-def test_word_holds_whatever_the_list_says() -> None:
-    """A list that lags names a leaving server as ready, and later not."""
+def test_announcement_holds_in_any_listed_state() -> None:
+    """A lagging list shows a leaving server as live for some time."""
     leaving_servers = LeavingServers()
     record = build_record(SERVER)
     assert not leaving_servers.has(record)
@@ -26,17 +26,17 @@
         assert leaving_servers.has(structs.replace(record, state=state))
 
 
-def test_word_is_of_one_start() -> None:
-    """A server that starts again under its id is left out for good."""
+def test_announcement_holds_for_one_run_of_a_server() -> None:
+    """Without this, a server that restarts under its id gets no more work."""
     leaving_servers = LeavingServers()
     leaving_servers.note(LeavingServer(SERVER, 7))
-    again = structs.replace(build_record(SERVER), born=8)
-    assert not leaving_servers.has(again)
+    restarted = structs.replace(build_record(SERVER), born=8)
+    assert not leaving_servers.has(restarted)
     assert leaving_servers.note(LeavingServer(SERVER, 8))
-    assert leaving_servers.has(again)
+    assert leaving_servers.has(restarted)
 
 
-def test_number_of_words_is_bounded() -> None:
+def test_number_of_announcements_is_bounded() -> None:
     leaving_servers = LeavingServers()
     for number in range(MAX_LEAVING_SERVERS + 1):
         leaving_servers.note(LeavingServer(InstanceId(f'i{number}')))
--- a/wagtaildale/routing/tests/test_placement.py
+++ b/wagtaildale/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of where attempts go, and replays of the loads that this answers."""
+"""Tests of the choice of upstreams, single and in replays of load."""
 
 from __future__ import annotations
 
@@ -24,9 +24,16 @@
 
 FIELD = ServiceName('casefiles')
 INTAKE = ServiceName('intake')
-PLACES = ('derby', 'coventry', 'nottingham', 'northampton', 'leicester', 'b')
-# Of the targets of a calm day: the operators' aim.
-CALM_SHARE = 0.97
+DATA_CENTRES = (
+    'derby',
+    'coventry',
+    'nottingham',
+    'northampton',
+    'leicester',
+    'b',
+)
+# Fraction of requests within target at normal load that operators require.
+MIN_SHARE_IN_TIME = 0.97
 WARM_UP_SECONDS = 4.0
 NOW = 1000.0
 
@@ -70,19 +77,19 @@
             upstream.ejection.note_failure(NOW)
 
 
-def test_no_upstream_gives_nothing() -> None:
+def test_service_without_upstream_gives_nothing() -> None:
     assert not place(build_placement(), ViewHolder())
 
 
-def test_one_that_fails_is_passed_over() -> None:
+def test_failing_upstream_is_avoided() -> None:
     placement = build_placement()
     eject(placement, 'a')
     chosen = {place(placement, build_view('a', 'b')) for _call in range(20)}
     assert chosen == {'b'}
 
 
-def test_when_most_fail_none_is_passed_over() -> None:
-    """An entry loses its line for a moment and leaves out a whole service."""
+def test_no_upstream_is_avoided_when_most_fail() -> None:
+    """An entry that loses its network for a moment must not eject a service."""
     placement = build_placement()
     eject(placement, 'a', 'b')
     holder = build_view('a', 'b', 'c')
@@ -90,13 +97,13 @@
     assert chosen == {'a', 'b', 'c'}
 
 
-def test_tried_ones_are_asked_again_when_there_is_no_other() -> None:
+def test_tried_upstream_is_used_again_if_there_is_no_other() -> None:
     placement = build_placement()
     assert place(placement, build_view('a'), excluded=('a',)) == 'a'
 
 
-def test_those_left_out_are_replaced_from_the_rest_of_the_service() -> None:
-    """A third of a large service fails, and the rest of a subset is full."""
+def test_ejected_upstreams_are_replaced_from_the_whole_service() -> None:
+    """If a third of a large service fails, its subset must not shrink."""
     placement = build_placement()
     names = [f'i{number}' for number in range(40)]
     holder = build_view(*names)
@@ -109,15 +116,15 @@
 
 
 def build_fleet(*, seed: int) -> ReplayMesh:
-    """Build two services on some two hundred machines of unlike speed.
+    """Build two services on about two hundred machines of different speed.
 
-    The load takes half of their slots.
+    The load uses half of their slots.
 
     Args:
-        seed: of what is drawn.
+        seed: seed of the random numbers.
 
     Returns:
-        The mesh, warmed up, with nothing counted.
+        The mesh after its warm-up, with the counters reset.
     """
     lookup = LoadClass(
         name='lookup',
@@ -162,37 +169,39 @@
     mesh.add(
         INTAKE,
         count=90,
-        data_centres=PLACES,
+        data_centres=DATA_CENTRES,
         speeds=(0.5, 1.0, 1.0, 1.5),
     )
-    mesh.add(FIELD, count=102, data_centres=PLACES, speeds=(0.6, 1.0, 1.4))
+    mesh.add(
+        FIELD, count=102, data_centres=DATA_CENTRES, speeds=(0.6, 1.0, 1.4)
+    )
     mesh.run(WARM_UP_SECONDS)
     mesh.count_anew()
     return mesh
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_large_fleet_with_unlike_servers_keeps_its_targets(seed: int) -> None:
-    """One lookup in ten is late in the calm seconds of a large fleet.
+def test_large_fleet_of_mixed_speeds_keeps_its_targets(seed: int) -> None:
+    """Prevents late lookups in a large fleet with half of its slots free.
 
-    Half of the slots are free. But a quarter of the servers takes twice as
-    long as the others, and two hundred entries each ask one of them every
-    few seconds, too seldom to learn it and to remember it.
+    A quarter of the servers take twice as long as the others. Each of two
+    hundred entries sends any one of them a request only every few seconds, too
+    seldom to learn its speed alone; then one lookup in ten was late.
     """
     mesh = build_fleet(seed=seed)
     mesh.run(4)
     mesh.rest(4)
     lookups = mesh.outcomes['lookup']
     assert lookups.ended > 1000
-    assert lookups.share_in_time >= CALM_SHARE
-    assert mesh.outcomes['report'].share_in_time >= CALM_SHARE
+    assert lookups.share_in_time >= MIN_SHARE_IN_TIME
+    assert mesh.outcomes['report'].share_in_time >= MIN_SHARE_IN_TIME
 
 
-def test_calm_answers_stay_in_their_data_centre() -> None:
-    """A service's bytes cross data centres though servers stand near.
+def test_answers_at_normal_load_stay_in_their_data_centre() -> None:
+    """Prevents traffic between data centres when near servers have room.
 
-    The entries drew their servers over all six data centres, and a fifth of
-    the answers came from another one.
+    When entries drew their subsets over all six data centres, a fifth of the
+    answers came from another one.
     """
     mesh = build_fleet(seed=1)
     mesh.run(3)
@@ -201,11 +210,11 @@
     assert mesh.outcomes['report'].share_far < 0.05
 
 
-def test_servers_that_are_alike_get_alike_shares() -> None:
-    """One server of a data centre gets twice the requests of its neighbours.
+def test_equal_servers_get_equal_shares() -> None:
+    """Prevents one of several equal servers from getting twice the requests.
 
-    All are equally fast. The one that answered a hair sooner was taken for
-    every request until it was half full, on a calm day for ever.
+    The one that answered minimally sooner would be chosen for every request
+    until it is half full, which at normal load is never.
     """
     placement = build_placement()
     names = 'abcdef'
@@ -246,11 +255,12 @@
 
 
 @pytest.mark.parametrize('seed', [1, 2])
-def test_servers_that_turn_slow_are_avoided_by_all(seed: int) -> None:
+def test_servers_that_become_slow_are_avoided_by_all_entries(seed: int) -> None:
     """Every seventh server takes five times as long for some seconds.
 
-    With an equal share of the requests a seventh of the lookups is late. Of
-    those at most half is to be: the others go where servers are well.
+    With equal shares of the requests a seventh of the lookups would be late.
+    At most half of those may be late; the others go to servers that are not
+    slow.
     """
     mesh = build_fleet(seed=seed)
     slow = list(mesh.servers.values())[::7]
@@ -261,8 +271,8 @@
     assert mesh.outcomes['lookup'].share_in_time > 1 - 1 / 14
 
 
-def test_servers_that_are_well_again_are_used_again() -> None:
-    """Servers were slow for a moment, and the others carry their load."""
+def test_servers_that_recover_are_used_again() -> None:
+    """Servers that were slow for a moment must not stay without requests."""
     mesh = build_fleet(seed=1)
     slow = list(mesh.servers.values())[::7]
     for server in slow:
@@ -276,11 +286,11 @@
     mesh.rest(4)
     usual = mesh.count_runs() / len(mesh.servers)
     assert sum(server.runs for server in slow) > usual * len(slow) / 2
-    assert mesh.outcomes['lookup'].share_in_time >= CALM_SHARE
+    assert mesh.outcomes['lookup'].share_in_time >= MIN_SHARE_IN_TIME
 
 
-def test_upstreams_that_leave_cost_no_request() -> None:
-    """A fifth of each service is taken away at once, by plan."""
+def test_planned_leave_of_upstreams_fails_no_request() -> None:
+    """A fifth of each service leaves at once in a planned stop."""
     mesh = build_fleet(seed=1)
     mesh.leave(20)
     mesh.run(3)
--- a/wagtaildale/routing/tests/test_speed.py
+++ b/wagtaildale/routing/tests/test_speed.py
@@ -1,4 +1,4 @@
-"""Tests of how fast an upstream is taken to be."""
+"""Tests of the estimated speed of an upstream."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
     return last.speed.find_slowness(NOW + after)
 
 
-def test_one_answer_tells_that_a_server_is_slow() -> None:
-    """Lookups stay with a server on a slow machine.
+def test_one_answer_shows_that_a_server_is_slow() -> None:
+    """Prevents lookups from staying with a server on a slow machine.
 
-    Each entry of a large fleet asks it every few seconds, and sees one run
-    at a time. The owner has seen hundreds of them.
+    Each entry of a large fleet sends it a request every few seconds and
+    measures single runs, while the owner has measured hundreds.
     """
     usual = build_report()
     slow = build_report(run=0.2, now=0.4, usual=0.4)
@@ -61,8 +61,8 @@
     assert find_slowness(usual, slow, after=SLOWNESS_DECAY_SECONDS) > 1.7
 
 
-def test_a_passing_slowness_is_forgotten_and_the_speed_kept() -> None:
-    """A server stood still for a moment and gets no requests for a minute."""
+def test_slowness_decays_sooner_than_the_usual_speed() -> None:
+    """A server that hung for a moment must not be avoided for a minute."""
     usual = build_report()
     paused = build_report(now=0.8, usual=0.2)
     assert find_slowness(usual, paused) > 3
@@ -70,8 +70,8 @@
     assert after == pytest.approx(1, abs=0.1)
 
 
-def test_a_wrong_word_is_forgotten_in_the_end() -> None:
-    """An owner tells nonsense, and its server is left alone for good."""
+def test_wrong_report_expires() -> None:
+    """A nonsensical report must not keep a server unused for good."""
     wrong = build_report(now=1e9, usual=1e9)
     assert find_slowness(build_report(), wrong) <= MAX_SLOWNESS
     after = find_slowness(
@@ -81,14 +81,14 @@
 
 
 @pytest.mark.parametrize('ratio', [0, 1e-9, 1e9, inf])
-def test_what_is_told_is_bounded(ratio: float) -> None:
+def test_reported_ratio_is_bounded(ratio: float) -> None:
     speed = Speed(now=NOW)
     speed.note_reported(ratio, usual_ratio=ratio, now=NOW)
     assert MIN_SLOWNESS <= speed.find_slowness(NOW) <= MAX_SLOWNESS
 
 
-def test_owner_that_tells_nothing_is_judged_by_what_is_seen() -> None:
-    """Half of a fleet runs an earlier build, which does not tell its times."""
+def test_speed_without_reports_follows_measured_times() -> None:
+    """Owners of an earlier build do not report the times of their runs."""
     usual = build_report()
     silent = build_report(run=0.8, now=0, usual=0)
     statistics = FleetStatistics()
--- a/wagtaildale/routing/tests/test_statistics.py
+++ b/wagtaildale/routing/tests/test_statistics.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry knows of upstreams, and of choosing by it."""
+"""Tests of upstream statistics and of the choosers that use them."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     statistics.note_speed(upstream, report, work_class='check', now=NOW)
 
 
-def test_ejection_takes_several_failures_and_ends_with_a_probe() -> None:
+def test_ejection_needs_several_failures_and_ends_with_a_probe() -> None:
     ejection = Ejection()
     outs = [ejection.note_failure(0) for _failure in range(4)]
     assert outs == [False, False, True, False]
@@ -74,29 +74,29 @@
     assert not ejection.is_ejected(1.7)
 
 
-def test_ejection_grows_longer() -> None:
+def test_repeated_ejections_last_longer() -> None:
     ejection = Ejection()
     for moment in (0, 0, 0, 2):
         ejection.note_failure(moment)
     assert ejection.is_ejected(3.5)
 
 
-def test_work_that_a_leaving_upstream_finishes_does_not_bring_it_back() -> None:
-    """A server stops, and lookups are sent to it to be refused.
+def test_answer_of_a_leaving_upstream_does_not_end_its_ejection() -> None:
+    """Prevents new requests to a server that is stopping and refuses them.
 
-    It says that it leaves and goes on with what it has. Each answer to that
-    work puts it back among those that take new work.
+    It reports that it leaves and finishes its running requests. An answer to
+    one of these must not make it a candidate for new ones.
     """
-    notes = FleetStatistics().find(InstanceId('a'), now=NOW)
+    upstream = FleetStatistics().find(InstanceId('a'), now=NOW)
     now = NOW
-    notes.ejection.note_leaving(now)
-    notes.note_answer(build_answer(), now=NOW)
-    assert notes.ejection.is_ejected(now)
-    assert not notes.ejection.is_ejected(now + LEAVING_SECONDS)
+    upstream.ejection.note_leaving(now)
+    upstream.note_answer(build_answer(), now=NOW)
+    assert upstream.ejection.is_ejected(now)
+    assert not upstream.ejection.is_ejected(now + LEAVING_SECONDS)
 
 
-def test_never_more_than_half_are_left_out() -> None:
-    """An entry loses its line for a moment and leaves out the whole service."""
+def test_never_more_than_half_of_a_service_are_left_out() -> None:
+    """An entry that loses its network for a moment must not eject a service."""
     records = [build_record(name) for name in 'abcd']
     statistics = FleetStatistics()
     for record in records[:2]:
@@ -109,24 +109,24 @@
     assert leave_out_ejected(records, statistics=statistics, now=0) == records
 
 
-def test_leaving_upstream_is_left_out_at_once() -> None:
+def test_leaving_upstream_is_ejected_at_once() -> None:
     statistics = FleetStatistics()
-    notes = statistics.find(InstanceId('a'), now=NOW)
-    notes.note_answer(build_answer(Code.draining), now=NOW)
-    assert notes.ejection.is_ejected(NOW)
+    upstream = statistics.find(InstanceId('a'), now=NOW)
+    upstream.note_answer(build_answer(Code.draining), now=NOW)
+    assert upstream.ejection.is_ejected(NOW)
 
 
 def test_new_incarnation_counts_as_cold() -> None:
-    notes = FleetStatistics().find(InstanceId('a'), now=NOW)
-    notes.known_since -= 60
-    notes.note_answer(build_answer(incarnation=1), now=NOW)
-    notes.known_since -= 60
-    warm = notes.measure_load(NOW)
-    notes.note_answer(build_answer(incarnation=2), now=NOW)
-    assert notes.measure_load(NOW) > warm + 0.4
+    upstream = FleetStatistics().find(InstanceId('a'), now=NOW)
+    upstream.known_since -= 60
+    upstream.note_answer(build_answer(incarnation=1), now=NOW)
+    upstream.known_since -= 60
+    warm = upstream.measure_load(NOW)
+    upstream.note_answer(build_answer(incarnation=2), now=NOW)
+    assert upstream.measure_load(NOW) > warm + 0.4
 
 
-def test_away_and_leaving_instances_are_no_candidates() -> None:
+def test_away_and_leaving_instances_are_not_candidates() -> None:
     holder = ViewHolder()
     holder.replace_instances(
         build_instances(
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize('name', list(ChoiceName))
-def test_every_chooser_gives_a_candidate(name: ChoiceName) -> None:
+def test_every_chooser_can_choose_each_candidate(name: ChoiceName) -> None:
     records = [build_record(name) for name in 'abc']
     chooser = make_chooser(name)
     chosen = {
@@ -192,7 +192,7 @@
     assert chosen == set(records)
 
 
-def test_loaded_data_centre_spills_over() -> None:
+def test_loaded_data_centre_spills_over_to_another() -> None:
     near = build_record('near')
     far = build_record('far', data_centre='coventry')
     statistics = FleetStatistics()
@@ -216,11 +216,11 @@
     assert far in chosen
 
 
-def test_server_that_starts_again_under_its_id_is_judged_anew() -> None:
-    """A crashed server is back, and no entry sends it anything.
+def test_restart_under_the_same_id_resets_the_statistics() -> None:
+    """Prevents a restarted server from getting no requests.
 
-    It has the id that it had, so what was seen of it before its crash (three
-    failures in a row) is held against it.
+    It keeps its id, so the three failures in a row from before its crash
+    would keep it ejected.
     """
     statistics = FleetStatistics()
     name = InstanceId('a')
@@ -234,10 +234,10 @@
 
 
 def test_short_call_does_not_queue_behind_long_requests() -> None:
-    """Short calls pile up at the near server while others have room.
+    """Prevents short calls from queueing at the near server.
 
-    Nine long requests hold its slots; the wait for them was taken to be as
-    short as the calls themselves.
+    Long requests hold its slots while other servers have room. The wait for
+    a slot must not be estimated from the time of the short calls themselves.
     """
     statistics = FleetStatistics()
     near, far = build_record('a'), build_record('b', data_centre='coventry')
@@ -260,11 +260,11 @@
     assert chosen == far
 
 
-def test_request_does_not_go_round_a_service_that_is_full() -> None:
-    """Under overload refusals cost a fleet more than answers.
+def test_request_is_not_tried_at_every_server_of_a_full_service() -> None:
+    """Prevents refusals from costing more than answers under overload.
 
-    Every server has told that it is full, and each request asked four of
-    them, two in other data centres, to hear the same again.
+    Although every server reported that it was full, each request was tried at
+    four of them, two in other data centres, and refused each time.
     """
     statistics = FleetStatistics()
     near, far = build_record('a'), build_record('b', data_centre='coventry')
@@ -284,8 +284,8 @@
     assert choose((near, far), request=refused) is None
 
 
-def test_upstreams_that_are_gone_are_forgotten() -> None:
-    """Servers come and go for months, and the entry's memory grows."""
+def test_statistics_of_unlisted_upstreams_are_removed() -> None:
+    """Otherwise an entry's memory grows as servers come and go for months."""
     statistics = FleetStatistics()
     for name in 'abc':
         statistics.note_start(InstanceId(name), born=1, now=NOW)
--- a/wagtaildale/routing/tests/test_subsets.py
+++ b/wagtaildale/routing/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Tests of which upstreams of a large service an entry calls."""
+"""Tests of the subset of a large service that an entry calls."""
 
 from __future__ import annotations
 
@@ -17,17 +17,26 @@
 from wagtaildale.testing.builders import build_record
 from wagtaildale.types import DataCentre, InstanceId
 
-PLACES = ('derby', 'coventry', 'nottingham', 'northampton', 'leicester-a', 'b')
+DATA_CENTRES = (
+    'derby',
+    'coventry',
+    'nottingham',
+    'northampton',
+    'leicester-a',
+    'b',
+)
 
 
-def build_service(count: int, places: tuple[str, ...] = PLACES) -> list[str]:
-    return [places[number % len(places)] for number in range(count)]
+def build_service(
+    count: int, data_centres: tuple[str, ...] = DATA_CENTRES
+) -> list[str]:
+    return [data_centres[number % len(data_centres)] for number in range(count)]
 
 
-def build_records(places: list[str]) -> tuple[InstanceRecord, ...]:
+def build_records(data_centres: list[str]) -> tuple[InstanceRecord, ...]:
     return tuple(
-        build_record(f'i{number}', data_centre=place)
-        for number, place in enumerate(places)
+        build_record(f'i{number}', data_centre=data_centre)
+        for number, data_centre in enumerate(data_centres)
     )
 
 
@@ -35,26 +44,25 @@
     records: tuple[InstanceRecord, ...],
     *,
     entry: int,
-    place: str,
+    data_centre: str,
 ) -> list[InstanceRecord]:
     ranked = rank_upstreams(
         records,
         entry=InstanceId(f'e{entry}'),
-        data_centre=DataCentre(place),
+        data_centre=DataCentre(data_centre),
     )
     return ranked.select(lambda _record: True)
 
 
 def test_every_entry_of_a_large_service_has_near_upstreams() -> None:
-    """Lookups cross data centres on a calm day though fifteen servers are near.
+    """Prevents traffic between data centres though fifteen servers are near.
 
-    With ninety servers in six data centres, twelve that are drawn over the
-    whole list have two near ones among them on average, and for some
-    entries none.
+    With ninety servers in six data centres, a subset of twelve drawn from the
+    whole list has two near ones on average, and for some entries none.
     """
     records = build_records(build_service(90))
     for entry in range(200):
-        subset = select(records, entry=entry, place='derby')
+        subset = select(records, entry=entry, data_centre='derby')
         near = [each for each in subset if each.data_centre == 'derby']
         assert len(near) == MAX_NEAR
         assert len(subset) == MAX_NEAR + MIN_FAR
@@ -64,7 +72,7 @@
     records = build_records(build_service(100, ('derby',)))
     used: Counter[str] = Counter()
     for entry in range(200):
-        subset = select(records, entry=entry, place='derby')
+        subset = select(records, entry=entry, data_centre='derby')
         assert len(subset) == SUBSET_SIZE
         used.update(record.instance for record in subset)
     assert len(used) == 100
@@ -72,37 +80,37 @@
 
 
 @pytest.mark.parametrize('near', [0, 1, 5])
-def test_far_upstreams_fill_up_what_is_not_near(near: int) -> None:
-    """A data centre has one server of a service, or none at all."""
-    places = [
+def test_far_upstreams_fill_the_subset_if_few_are_near(near: int) -> None:
+    """A data centre may have one server of a service, or none."""
+    data_centres = [
         *build_service(near, ('derby',)),
-        *build_service(60, PLACES[1:]),
+        *build_service(60, DATA_CENTRES[1:]),
     ]
-    subset = select(build_records(places), entry=1, place='derby')
+    subset = select(build_records(data_centres), entry=1, data_centre='derby')
     assert len(subset) == SUBSET_SIZE
     found = [each for each in subset if each.data_centre == 'derby']
     assert len(found) == near
 
 
-def test_small_service_is_called_whole() -> None:
-    records = build_records(build_service(7, PLACES[:3]))
-    assert set(select(records, entry=1, place='derby')) == set(records)
+def test_subset_of_a_small_service_has_all_upstreams() -> None:
+    records = build_records(build_service(7, DATA_CENTRES[:3]))
+    assert set(select(records, entry=1, data_centre='derby')) == set(records)
 
 
-def test_a_change_of_the_list_moves_few() -> None:
+def test_change_of_the_list_moves_few_upstreams() -> None:
     records = build_records(build_service(90))
-    before = select(records, entry=1, place='derby')
-    after = select(records[6:], entry=1, place='derby')
+    before = select(records, entry=1, data_centre='derby')
+    after = select(records[6:], entry=1, data_centre='derby')
     assert len(set(before) - set(after)) <= 3
 
 
-def test_limited_upstreams_count_as_the_part_that_they_take() -> None:
-    """All near servers take a third, and four far ones get the rest."""
+def test_limited_upstreams_count_by_the_share_they_accept() -> None:
+    """If all near servers accept a third, four far ones would get the rest."""
     records = build_records(build_service(600))
     ranked = rank_upstreams(
         records,
         entry=InstanceId('e1'),
-        data_centre=DataCentre(PLACES[0]),
+        data_centre=DataCentre(DATA_CENTRES[0]),
     )
     whole = ranked.select(_want)
     thirds = ranked.select(_want, weigh=lambda _record: 1 / 3)
--- a/wagtaildale/routing/tests/test_table.py
+++ b/wagtaildale/routing/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of finding the class of a request."""
+"""Tests of the routing table."""
 
 from __future__ import annotations
 
@@ -47,7 +47,9 @@
         ('GET', '/', None),
     ],
 )
-def test_find(method: str, path: str, template: str | None) -> None:
+def test_request_matches_the_most_specific_route(
+    method: str, path: str, template: str | None
+) -> None:
     match = build_table().find(method, path)
     found = match.template if match else None
     assert found == template
--- a/wagtaildale/routing/tests/test_throttling.py
+++ b/wagtaildale/routing/tests/test_throttling.py
@@ -1,4 +1,4 @@
-"""Tests of how entries share out what limited servers take."""
+"""Tests of throttling to what limited servers accept."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 PER_SECOND: Final = LOOKUPS_PER_SECOND + BOOKINGS_PER_SECOND
 DATA_CENTRES: Final = ('a', 'b', 'c', 'd')
 SEEDS: Final = (1, 2)
-# Until a limit is known, and what it changes has settled.
+# Time until all entries know a changed limit and the load has settled.
 SETTLE_SECONDS: Final = 3.0
 SECONDS: Final = 5.0
-# Of what a server takes: what it gets at the least, and what may come to its
-# owner.
-TAKEN_LEAST: Final = 0.8
-ASKED_MOST: Final = 1.3
+# Bounds relative to what a limited server accepts: the requests that it runs,
+# and those that are sent to its owner.
+MIN_RUN_SHARE: Final = 0.8
+MAX_SENT_SHARE: Final = 1.3
 
 
 def build_mesh(*, seed: int, times: int = 1) -> ReplayMesh:
-    """Build a service whose load takes four fifths of its slots.
+    """Build a service whose load uses four fifths of its slots.
 
     Args:
-        seed: of what is drawn.
-        times: how many times six servers.
+        seed: seed of the random numbers.
+        times: multiple of six servers, and of their load.
 
     Returns:
-        The mesh, warmed up, with nothing counted.
+        The mesh after its warm-up, with the counters reset.
     """
     lookup = LoadClass(
         name=LOOKUPS,
@@ -69,7 +69,7 @@
 
 
 def limit(mesh: ReplayMesh, per_second: float, *, count: int) -> None:
-    """Let some servers name a limit, and wait until that has settled."""
+    """Set a rate limit at some servers, and wait until the load settles."""
     for server in list(mesh.servers.values())[:count]:
         server.limit = per_second
     mesh.run(SETTLE_SECONDS)
@@ -77,20 +77,20 @@
 
 
 def assert_shared_out(mesh: ReplayMesh, per_second: float) -> None:
-    """Assert that limited servers get what they take, and few are refused."""
+    """Assert that limited servers get what they accept, with few refusals."""
     limited = [each for each in mesh.servers.values() if each.limit is not None]
-    taken = per_second * len(limited) * SECONDS
-    assert sum(each.runs for each in limited) >= TAKEN_LEAST * taken
-    assert sum(each.asked for each in limited) <= ASKED_MOST * taken
+    accepted = per_second * len(limited) * SECONDS
+    assert sum(each.runs for each in limited) >= MIN_RUN_SHARE * accepted
+    assert sum(each.asked for each in limited) <= MAX_SENT_SHARE * accepted
 
 
 @pytest.mark.parametrize('seed', SEEDS)
 @pytest.mark.parametrize('per_second', [25.0, 8.0])
-def test_others_take_what_limited_servers_do_not(
+def test_other_servers_take_what_limited_ones_refuse(
     seed: int,
     per_second: float,
 ) -> None:
-    """Two of six servers are in need, and requests are refused by them."""
+    """Two of six servers are limited, which must not end in refusals."""
     mesh = build_mesh(seed=seed)
     limit(mesh, per_second, count=2)
     mesh.run(SECONDS)
@@ -99,20 +99,20 @@
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_least_important_are_rejected_where_they_come_in(seed: int) -> None:
-    """Every server is in need, and each request is refused by three."""
+def test_least_important_requests_are_rejected_at_the_entry(seed: int) -> None:
+    """If every server is limited, each request would be refused by three."""
     mesh = build_mesh(seed=seed)
     limit(mesh, PER_SECOND / 3 / 6, count=6)
     mesh.run(SECONDS)
     assert_shared_out(mesh, PER_SECOND / 3 / 6)
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
     lookups = mesh.outcomes[LOOKUPS]
-    # No class is turned away altogether for a more important one.
+    # No class is rejected entirely in favour of a more important one.
     assert lookups.in_time >= 0.05 * lookups.ended
 
 
 def test_many_limited_servers_are_shared_by_many_entries() -> None:
-    """Thirty entries each send a server as much as it takes from all."""
+    """Each of thirty entries would send a server what it accepts from all."""
     mesh = build_mesh(seed=1, times=5)
     limit(mesh, 10, count=30)
     mesh.run(SECONDS)
@@ -120,8 +120,8 @@
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_limit_that_ends_leaves_nobody_out(seed: int) -> None:
-    """Servers are well again, and entries go on to reject requests."""
+def test_no_request_is_rejected_after_limits_end(seed: int) -> None:
+    """Entries must not go on rejecting requests once servers recover."""
     mesh = build_mesh(seed=seed)
     limit(mesh, 5, count=6)
     for server in mesh.servers.values():
@@ -134,11 +134,11 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 @pytest.mark.parametrize('limits', [(60.0, 15.0), (15.0, 60.0)])
-def test_limit_that_changes_is_shared_anew(
+def test_changed_limit_is_followed(
     seed: int,
     limits: tuple[float, float],
 ) -> None:
-    """Servers change their limit, and entries go by the one before."""
+    """Entries must not go on using the limit before the change."""
     mesh = build_mesh(seed=seed)
     for per_second in limits:
         limit(mesh, per_second, count=6)
@@ -148,19 +148,19 @@
 
 @pytest.mark.parametrize('seed', SEEDS)
 @pytest.mark.parametrize('gone', [3, 4])
-def test_what_stands_of_a_service_is_used_to_the_full(
+def test_remaining_servers_of_a_service_are_fully_used(
     seed: int,
     gone: int,
 ) -> None:
-    """Most servers are gone, and each request is refused by three others."""
+    """If most servers are gone, each request would be refused by the others."""
     mesh = build_mesh(seed=seed)
     mesh.leave(gone)
     mesh.run(SETTLE_SECONDS)
     mesh.count_anew()
     mesh.run(SECONDS)
-    stand = list(mesh.servers.values())[gone:]
-    room = sum(each.record.slots for each in stand) * SECONDS
-    assert sum(each.slot_seconds for each in stand) >= 0.95 * room
-    runs = sum(each.runs for each in stand)
-    assert sum(each.asked for each in stand) <= 4 * runs
+    remaining = list(mesh.servers.values())[gone:]
+    room = sum(each.record.slots for each in remaining) * SECONDS
+    assert sum(each.slot_seconds for each in remaining) >= 0.95 * room
+    runs = sum(each.runs for each in remaining)
+    assert sum(each.asked for each in remaining) <= 4 * runs
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
--- a/wagtaildale/routing/tests/test_view.py
+++ b/wagtaildale/routing/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the snapshot that calls are routed by."""
+"""Tests of the snapshots that calls are routed by."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 def test_later_instance_at_an_address_replaces_the_earlier() -> None:
-    """After all machines lost power half of all requests are refused.
+    """Prevents refusals of half of all requests after a power failure.
 
-    The dead servers' entries stand in the list for some seconds, beside
-    those of the servers that started at the same addresses. Requests for
-    the dead ones reach the new ones, which refuse them.
+    The entries of the dead servers stay in the list for some seconds, beside
+    those of the servers that started at the same addresses. Requests for the
+    dead ones reach the new ones, which refuse them.
     """
     dead = build_at('dead', port=8145, since=3)
     started = build_at('started', port=8145, since=40)
@@ -40,30 +40,30 @@
     assert list_known(started, dead) == {'started'}
 
 
-def test_instances_at_other_ports_stay() -> None:
+def test_instances_at_different_ports_are_kept() -> None:
     first = build_at('first', port=8145, since=3)
     second = build_at('second', port=8150, since=40)
     assert list_known(first, second) == {'first', 'second'}
 
 
-def test_platform_that_tells_no_address_replaces_nobody() -> None:
+def test_instances_without_a_listed_address_are_kept() -> None:
     first = build_at('first', port=0, since=0)
     second = build_at('second', port=0, since=0)
     assert list_known(first, second) == {'first', 'second'}
 
 
-def test_later_start_counts_before_the_later_entry() -> None:
-    """Two servers say that they have one address; one of them is gone."""
+def test_start_time_takes_precedence_over_entry_order() -> None:
+    """Two servers are listed at one address, and one of them is gone."""
     dead = structs.replace(build_at('dead', port=8145, since=40), born=100)
     started = structs.replace(build_at('alive', port=8145, since=3), born=900)
     assert list_known(dead, started) == {'alive'}
 
 
-def test_service_that_nobody_published_displaces_no_server() -> None:
-    """A server vanishes though it runs, and its service is refused.
+def test_entry_of_an_unpublished_service_replaces_no_server() -> None:
+    """Prevents a running server from disappearing from its service.
 
-    Another writer has put an entry beside it with the server's address and
-    a service of its own making; the later entry was taken for the server.
+    Another writer lists an entry with the server's address and a service that
+    nobody published; as the later entry it would replace the server.
     """
     view = ViewHolder()
     view.replace_configuration(build_configuration())
@@ -76,7 +76,7 @@
     assert set(view.current.records) == {'a'}
 
 
-def test_service_published_after_its_servers_are_listed() -> None:
+def test_service_may_be_published_after_its_servers_are_listed() -> None:
     view = ViewHolder()
     view.replace_instances(build_instances(build_at('a', port=8145, since=3)))
     view.replace_configuration(build_configuration())
