--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -39,7 +39,7 @@
 from wagtaildale.membership.decisions import (
     expire_suspects,
     merge_news,
-    note_heard,
+    reset_missed_replies,
 )
 from wagtaildale.suspects.messages import (
     EndsNoted,
@@ -81,7 +81,7 @@
     now: float,
 ) -> list[messages.Effect]:
     envelope = message.envelope
-    note_heard(state.members, peer=envelope.sender)
+    reset_missed_replies(state.members, peer=envelope.sender)
     taken = merge_news(state.members, received=envelope.news, now=now)
     context = Context(
         state=state,
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -115,7 +115,7 @@
     return merge_news(state, received=(suspicion,), now=now)
 
 
-def note_heard(state: MembershipState, *, peer: InstanceId) -> None:
+def reset_missed_replies(state: MembershipState, *, peer: InstanceId) -> None:
     """Reset the missed replies of a peer that has sent a message.
 
     Only misses in a row count. Otherwise two replies that are late minutes
@@ -184,11 +184,11 @@
     Returns:
         News of this node itself, then news of some others.
     """
-    fresh = [
+    sendable = [
         entry for entry in state.entries.values() if entry.retransmits_left > 0
     ]
-    fresh.sort(key=_read_retransmits_left, reverse=True)
-    chosen = fresh[:NEWS_PER_MESSAGE]
+    sendable.sort(key=_read_retransmits_left, reverse=True)
+    chosen = sendable[:NEWS_PER_MESSAGE]
     for passed_on in chosen:
         passed_on.retransmits_left -= 1
     held = state.find_news(to)
--- a/wagtaildale/membership/records.py
+++ b/wagtaildale/membership/records.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's instance list."""
+"""Records of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -141,15 +141,15 @@
     """Leave out instances whose address is used by a later one.
 
     If a server crashes and another one starts at its address, the list has
-    both until the entry of the first one lapses. Requests for the first one
+    both until the record of the first one lapses. Requests for the first one
     would reach the second one, which refuses them, and use up the attempts of
     their callers.
 
     Args:
-        records: listed entries, by instance.
+        records: listed records, by instance.
 
     Returns:
-        The entries without those that were replaced. Entries without a
+        The records without those that were replaced. Records without a
         backend port are all kept.
     """
     latest: dict[tuple[str, int], tuple[int, int]] = {}
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
 
-# Times that news is passed on, for each bit of the fleet's size.
+# Number of retransmissions per bit of the fleet's size (its base-2 logarithm).
 RETRANSMIT_FACTOR: Final = 4
 
 
--- a/wagtaildale/routing/ejection.py
+++ b/wagtaildale/routing/ejection.py
@@ -113,7 +113,10 @@
         self._silent_until = now + SILENCE_SECONDS
 
     def note_chosen(self, now: float) -> None:
-        """Note that a call goes to the upstream, as a probe after an ejection.
+        """Note that a call goes to the upstream.
+
+        After an ejection the call is a probe: no other call follows until it
+        is answered, or for ``PROBE_SECONDS``.
 
         Args:
             now: current time, in seconds.
@@ -127,8 +130,8 @@
         Returns:
             Whether the answer ended an ejection.
         """
-        was_out = self._failures >= FAILURES_TO_EJECT
+        was_ejected = self._failures >= FAILURES_TO_EJECT
         self._failures = 0
         self._ejection_seconds = FIRST_EJECTION_SECONDS
         self._ejected_until = float(0)
-        return was_out
+        return was_ejected
--- a/wagtaildale/routing/expected_time.py
+++ b/wagtaildale/routing/expected_time.py
@@ -24,7 +24,7 @@
     from wagtaildale.routing.statistics import FleetStatistics
 
 # Multiple of the usual time that is reserved for a slower answer. With the
-# spread seen in production services (a third of the mean), nine in ten answers
+# spread of times in users' services (a third of the mean), nine in ten answers
 # take less.
 SAFETY_FACTOR: Final = 1.5
 # As a fraction of the time left until the target: a wait up to this is short,
@@ -41,7 +41,7 @@
     """A candidate with the times that are expected of it.
 
     Attributes:
-        record: the candidate's entry in the instance list.
+        record: the candidate's record in the instance list.
         wait: seconds until the request would get a slot.
         total: seconds until the answer, with a safety margin.
         cost: ``total`` plus the handicap of another data centre, seconds.
@@ -105,7 +105,8 @@
 
 
 def _find_best(options: list[ScoredUpstream]) -> ScoredUpstream:
-    # Entries with equal options should not all choose the same upstream.
+    # The shuffle keeps all entries from choosing the same of several equal
+    # upstreams.
     random.shuffle(options)
     return min(options, key=_read_cost)
 
--- a/wagtaildale/routing/leaving_servers.py
+++ b/wagtaildale/routing/leaving_servers.py
@@ -82,7 +82,7 @@
         """Tell whether a server has announced that it leaves.
 
         Args:
-            record: current entry of the server in the instance list.
+            record: current record of the server in the instance list.
 
         Returns:
             Whether the listed run of the server has announced it.
--- a/wagtaildale/routing/placement.py
+++ b/wagtaildale/routing/placement.py
@@ -30,7 +30,7 @@
     """The upstream that an attempt is sent to.
 
     Attributes:
-        record: the upstream's entry in the instance list.
+        record: the upstream's record in the instance list.
         is_only_candidate: whether no other upstream may take the attempt.
         share: fraction of the requests of its rank that may be sent to the
             upstream, from 0 to 1.
--- a/wagtaildale/routing/speed.py
+++ b/wagtaildale/routing/speed.py
@@ -132,18 +132,18 @@
         self._decay_seconds = SLOWNESS_DECAY_SECONDS
 
 
-def decay_linearly(figure: float, *, to: float, share: float) -> float:
+def decay_linearly(start: float, *, to: float, share: float) -> float:
     """Interpolate linearly between two numbers.
 
     Args:
-        figure: number at the start.
+        start: number at the start.
         to: number at the end.
         share: elapsed fraction of the decay; 1 or more is the end.
 
     Returns:
         The interpolated number.
     """
-    return to if share >= 1 else to + (figure - to) * (1 - share)
+    return to if share >= 1 else to + (start - to) * (1 - share)
 
 
 def _bound(ratio: float) -> float:
--- a/wagtaildale/routing/tests/test_placement.py
+++ b/wagtaildale/routing/tests/test_placement.py
@@ -22,7 +22,7 @@
     ServiceName,
 )
 
-FIELD = ServiceName('casefiles')
+CASEFILES = ServiceName('casefiles')
 INTAKE = ServiceName('intake')
 DATA_CENTRES = (
     'derby',
@@ -61,7 +61,7 @@
 ) -> str:
     placed = placement.choose(
         holder.current,
-        FIELD,
+        CASEFILES,
         excluded=[InstanceId(name) for name in excluded],
         request=RequestContext(data_centre=DataCentre('derby')),
         now=NOW,
@@ -107,7 +107,7 @@
     placement = build_placement()
     names = [f'i{number}' for number in range(40)]
     holder = build_view(*names)
-    subset = placement.list_subset(holder.current, FIELD, now=NOW)
+    subset = placement.list_subset(holder.current, CASEFILES, now=NOW)
     failing = [record.instance for record in subset[:4]]
     eject(placement, *failing)
     chosen = {place(placement, holder) for _call in range(400)}
@@ -149,7 +149,7 @@
     )
     report = LoadClass(
         name='report',
-        service=FIELD,
+        service=CASEFILES,
         per_second=270,
         run_seconds=0.8,
         within=2.2,
@@ -158,7 +158,7 @@
     )
     photo = LoadClass(
         name='photo',
-        service=FIELD,
+        service=CASEFILES,
         per_second=0,
         run_seconds=0.06,
         within=0.26,
@@ -173,7 +173,7 @@
         speeds=(0.5, 1.0, 1.0, 1.5),
     )
     mesh.add(
-        FIELD, count=102, data_centres=DATA_CENTRES, speeds=(0.6, 1.0, 1.4)
+        CASEFILES, count=102, data_centres=DATA_CENTRES, speeds=(0.6, 1.0, 1.4)
     )
     mesh.run(WARM_UP_SECONDS)
     mesh.count_anew()
@@ -244,7 +244,7 @@
     chosen = Counter(
         placement.choose(
             holder.current,
-            FIELD,
+            CASEFILES,
             excluded=(),
             request=request,
             now=NOW,
--- a/wagtaildale/routing/tests/test_statistics.py
+++ b/wagtaildale/routing/tests/test_statistics.py
@@ -33,7 +33,7 @@
     from wagtaildale.membership.records import InstanceRecord
 
 DERBY = DataCentre('derby')
-FIELD = ServiceName('casefiles')
+CASEFILES = ServiceName('casefiles')
 NOW = 1000.0
 
 
@@ -138,7 +138,7 @@
     holder.replace_away(frozenset((InstanceId('b'), InstanceId('c'))))
     found = list_candidates(
         holder.current,
-        service=FIELD,
+        service=CASEFILES,
         tried=(),
         leaving_servers=LeavingServers(),
     )
@@ -153,7 +153,7 @@
     tried = (InstanceId('a'),)
     found = list_candidates(
         holder.current,
-        service=FIELD,
+        service=CASEFILES,
         tried=tried,
         leaving_servers=LeavingServers(),
     )
@@ -161,7 +161,7 @@
     holder.replace_away(frozenset((InstanceId('b'),)))
     guess = list_candidates(
         holder.current,
-        service=FIELD,
+        service=CASEFILES,
         tried=tried,
         leaving_servers=LeavingServers(),
     )
@@ -169,7 +169,7 @@
     both = (InstanceId('a'), InstanceId('b'))
     again = list_candidates(
         holder.current,
-        service=FIELD,
+        service=CASEFILES,
         tried=both,
         leaving_servers=LeavingServers(),
     )
--- a/wagtaildale/routing/tests/test_throttling.py
+++ b/wagtaildale/routing/tests/test_throttling.py
@@ -26,12 +26,12 @@
 MAX_SENT_SHARE: Final = 1.3
 
 
-def build_mesh(*, seed: int, times: int = 1) -> ReplayMesh:
+def build_mesh(*, seed: int, scale: int = 1) -> ReplayMesh:
     """Build a service whose load uses four fifths of its slots.
 
     Args:
         seed: seed of the random numbers.
-        times: multiple of six servers, and of their load.
+        scale: multiple of six servers, and of their load.
 
     Returns:
         The mesh after its warm-up, with the counters reset.
@@ -39,7 +39,7 @@
     lookup = LoadClass(
         name=LOOKUPS,
         service=INTAKE,
-        per_second=LOOKUPS_PER_SECOND * times,
+        per_second=LOOKUPS_PER_SECOND * scale,
         run_seconds=0.06,
         within=0.2,
         deadline=1.2,
@@ -48,7 +48,7 @@
     booking = LoadClass(
         name=BOOKINGS,
         service=INTAKE,
-        per_second=BOOKINGS_PER_SECOND * times,
+        per_second=BOOKINGS_PER_SECOND * scale,
         run_seconds=0.078,
         spread=0.8,
         within=0.25,
@@ -58,7 +58,7 @@
     mesh = ReplayMesh([lookup, booking], seed=seed)
     mesh.add(
         INTAKE,
-        count=6 * times,
+        count=6 * scale,
         data_centres=DATA_CENTRES,
         slots=9,
         speeds=(0.7, 0.7, 1.6),
@@ -68,7 +68,7 @@
     return mesh
 
 
-def limit(mesh: ReplayMesh, per_second: float, *, count: int) -> None:
+def set_limit(mesh: ReplayMesh, per_second: float, *, count: int) -> None:
     """Set a rate limit at some servers, and wait until the load settles."""
     for server in list(mesh.servers.values())[:count]:
         server.limit = per_second
@@ -92,7 +92,7 @@
 ) -> None:
     """Two of six servers are limited, which must not end in refusals."""
     mesh = build_mesh(seed=seed)
-    limit(mesh, per_second, count=2)
+    set_limit(mesh, per_second, count=2)
     mesh.run(SECONDS)
     assert_shared_out(mesh, per_second)
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.85
@@ -102,7 +102,7 @@
 def test_least_important_requests_are_rejected_at_the_entry(seed: int) -> None:
     """If every server is limited, each request would be refused by three."""
     mesh = build_mesh(seed=seed)
-    limit(mesh, PER_SECOND / 3 / 6, count=6)
+    set_limit(mesh, PER_SECOND / 3 / 6, count=6)
     mesh.run(SECONDS)
     assert_shared_out(mesh, PER_SECOND / 3 / 6)
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
@@ -113,8 +113,8 @@
 
 def test_many_limited_servers_are_shared_by_many_entries() -> None:
     """Each of thirty entries would send a server what it accepts from all."""
-    mesh = build_mesh(seed=1, times=5)
-    limit(mesh, 10, count=30)
+    mesh = build_mesh(seed=1, scale=5)
+    set_limit(mesh, 10, count=30)
     mesh.run(SECONDS)
     assert_shared_out(mesh, 10)
 
@@ -123,7 +123,7 @@
 def test_no_request_is_rejected_after_limits_end(seed: int) -> None:
     """Entries must not go on rejecting requests once servers recover."""
     mesh = build_mesh(seed=seed)
-    limit(mesh, 5, count=6)
+    set_limit(mesh, 5, count=6)
     for server in mesh.servers.values():
         server.limit = None
     mesh.run(SETTLE_SECONDS)
@@ -141,7 +141,7 @@
     """Entries must not go on using the limit before the change."""
     mesh = build_mesh(seed=seed)
     for per_second in limits:
-        limit(mesh, per_second, count=6)
+        set_limit(mesh, per_second, count=6)
         mesh.run(SECONDS)
         assert_shared_out(mesh, per_second)
 
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -15,8 +15,10 @@
 from wagtaildale.routing.speed import Speed, decay_linearly
 from wagtaildale.types import ANY_INCARNATION, Incarnation, InstanceId
 
+# Concurrency limit that is assumed before the first report.
 INITIAL_LIMIT: Final = 10
 WARM_UP_SECONDS: Final = 10.0
+# Additional load that a new incarnation counts with at first.
 COLD_LOAD: Final = 0.5
 STALE_LOAD_SECONDS: Final = 1.0
 # A reported fullness decays linearly to 0 over this time: single requests
@@ -86,7 +88,8 @@
         queued: number of requests waiting for a slot, as last reported.
         slot_seconds: smoothed seconds that a request of any class holds a
             slot, as last reported; 0 while unknown.
-        known_since: time of the first answer of this incarnation, seconds.
+        known_since: time when this entry first learned of the incarnation,
+            seconds.
         load_reported_at: time of the last load report, seconds.
         speed: slowness of the upstream compared to the fleet.
     """
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -56,7 +56,7 @@
         """Tell whether an instance accepts no new work.
 
         Args:
-            record: the instance's entry in the list.
+            record: the instance's record in the list.
 
         Returns:
             Whether the instance or the node beside it is leaving, suspected
@@ -78,7 +78,7 @@
         """List the instances of all services.
 
         Yields:
-            The entry of each instance.
+            The record of each instance.
         """
         for records in self.upstreams.values():
             yield from records
@@ -129,12 +129,12 @@
         *,
         held: Iterable[InstanceRecord] = (),
     ) -> None:
-        """Replace the entries that differ from the platform's list.
+        """Replace the records that differ from the platform's list.
 
         Args:
-            records: entries of instances that stay in use though the list no
+            records: records of instances that stay in use though the list no
                 longer has them.
-            held: entries to use in place of the listed ones.
+            held: records to use in place of the listed ones.
         """
         self._lapsed = {record.instance: record for record in records}
         self._held = {record.instance: record for record in held}
@@ -150,9 +150,9 @@
         self.current = structs.replace(self.current, away=away)
 
     def _merge_records(self) -> dict[InstanceId, InstanceRecord]:
-        # Another writer may list an entry with the address of a running server
-        # and a service that nobody published. As the later entry at that
-        # address it would replace the server, so entries of services without
+        # Another writer may list a record with the address of a running server
+        # and a service that nobody published. As the later record at that
+        # address it would replace the server, so records of services without
         # configuration are dropped; no route leads to them anyway.
         records = {**self._lapsed, **self._listed, **self._held}
         parts = self.current.parts
