--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -62,7 +62,7 @@
             now: current time, in seconds.
 
         Returns:
-            Share from 0 to 1.
+            Share above 0, at most 1.
         """
         overdue = max(0, now - self.reported_at - FULL_WEIGHT_SECONDS)
         share = self.server_limit.share.find(rank)
@@ -160,7 +160,7 @@
             now: current time, in seconds.
 
         Returns:
-            Share from 0 to 1.
+            Share above 0, at most 1.
         """
         known = self._limits.get(instance)
         return 1 if known is None else known.find_share(rank, now=now)
@@ -174,7 +174,7 @@
 
         Returns:
             Share of the most important rank that is not accepted in full,
-            from 0 to 1; 1 if all ranks are.
+            above 0; 1 if all ranks are.
         """
         known = self._limits.get(instance)
         if known is None:
--- a/wagtaildale/routing/throttling.py
+++ b/wagtaildale/routing/throttling.py
@@ -119,7 +119,7 @@
         now: current time, in seconds.
 
     Returns:
-        Share from 0 to 1.
+        Share above 0, at most 1.
     """
     return max(
         limits.find_share(record.instance, request.pass_rank, now=now)
