--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -20,7 +20,7 @@
     CallFields,
 )
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.leavers import Leaver
+from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.types import CallNumber, InstanceId
 
 LENGTH_PREFIX: Final = struct.Struct('>I')
@@ -213,7 +213,7 @@
     slowness_percent: int = 0
     rate_milli: int = UNKNOWN_RATE
     share: PassShare | None = None
-    leaving: Leaver | None = None
+    leaving: LeavingServer | None = None
 
 
 class DrainNotice(Struct, frozen=True, array_like=True, tag=13, gc=False):
--- a/wagtaildale/calls/load_notifier.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from wagtaildale.admission.gate import Gate
-    from wagtaildale.routing.leavers import Leaver
+    from wagtaildale.routing.leaving_servers import LeavingServer
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.types import InstanceId
 
@@ -46,7 +46,7 @@
         """
         self.listeners: list[Callable[[LoadReport], None]] = []
         self._is_up = True
-        self._leaving: Leaver | None = None
+        self._leaving: LeavingServer | None = None
         self._gate = gate
         self._instance = instance
         self._recorder = recorder
@@ -59,7 +59,7 @@
         if demand.update_announcement(self._share_out(now), now=now) or percent:
             self._notify_listeners(self._describe_load(percent))
 
-    def notify_leaving(self, leaving: Leaver) -> None:
+    def notify_leaving(self, leaving: LeavingServer) -> None:
         """Notify entries that the backend server is leaving.
 
         Args:
--- a/wagtaildale/calls/server_feedback.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -22,7 +22,7 @@
     from wagtaildale.admission.gate import Gate
     from wagtaildale.calls.dialect import Dialect
     from wagtaildale.calls.parsing import Message
-    from wagtaildale.routing.leavers import Leaver
+    from wagtaildale.routing.leaving_servers import LeavingServer
     from wagtaildale.telemetry.events import EventRecorder
 
 DECIMAL: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
@@ -145,7 +145,7 @@
             )
         self._gate.handle_server_message(ServerRestarted())
 
-    def note_leaving(self, _leaver: Leaver) -> None:
+    def note_leaving(self, _leaver: LeavingServer) -> None:
         """Refuse the requests that wait for a leaving server.
 
         Args:
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from wagtaildale.routing.leavers import Leaver, Leavers
+from wagtaildale.routing.leaving_servers import LeavingServer, LeavingServers
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import ListedState
 
@@ -36,10 +36,10 @@
             recorder: recorder of an event when the server announces that it
                 is leaving.
         """
-        self.listeners: list[Callable[[Leaver], None]] = []
+        self.listeners: list[Callable[[LeavingServer], None]] = []
         self._find_record = find_record
         self._recorder = recorder
-        self._leavers = Leavers()
+        self._leavers = LeavingServers()
 
     def is_leaving(self, instance: InstanceId) -> bool:
         """Tell whether an instance is leaving.
@@ -55,7 +55,7 @@
             return True
         return self.find_leaver(instance) is not None
 
-    def find_leaver(self, instance: InstanceId) -> Leaver | None:
+    def find_leaver(self, instance: InstanceId) -> LeavingServer | None:
         """Find the announcement of an instance that it is leaving.
 
         Args:
@@ -69,14 +69,18 @@
             return None
         record = self._find_record(instance)
         if record is None:
-            return Leaver(instance) if self._leavers.knows(instance) else None
+            return (
+                LeavingServer(instance)
+                if self._leavers.knows(instance)
+                else None
+            )
         if self._leavers.has(record):
-            return Leaver(instance, record.born)
+            return LeavingServer(instance, record.born)
         return None
 
     def note_started(self) -> None:
         """Clear the announcements, because a new server process started."""
-        self._leavers = Leavers()
+        self._leavers = LeavingServers()
 
     def note_announced(self, instance: InstanceId) -> None:
         """Record the server's announcement that it is leaving.
@@ -85,7 +89,7 @@
             instance: instance that answered.
         """
         record = self._find_record(instance)
-        leaver = Leaver(instance, 0 if record is None else record.born)
+        leaver = LeavingServer(instance, 0 if record is None else record.born)
         if self._leavers.note(leaver):
             self._recorder.record(EventKind.server_leaving, subject=instance)
             for notify in self.listeners:
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -9,7 +9,7 @@
 from wagtaildale.calls.server_end_detector import ServerEndDetector
 from wagtaildale.calls.serial_runs import SerialRuns
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.trials import list_places
+from wagtaildale.routing.suspected_requests import list_allowed_upstreams
 from wagtaildale.suspects.recent_answers import RecentAnswers
 from wagtaildale.suspects.fingerprints import (
     FingerprintInput,
@@ -236,7 +236,7 @@
         if not judgement.nodes:
             # The entry knows of a crash that this node does not know of yet.
             return
-        places = list_places(
+        places = list_allowed_upstreams(
             self._view.current,
             ServiceName(fields.work_class.partition('/')[0]),
             fingerprint=fingerprint,
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -8,8 +8,8 @@
 
 from wagtaildale.calls.suspect_trials import build_suspect_refusal
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.placement import Placed
-from wagtaildale.routing.trials import list_places
+from wagtaildale.routing.placement import ChosenUpstream
+from wagtaildale.routing.suspected_requests import list_allowed_upstreams
 from wagtaildale.suspects.snapshots import Judgement
 from wagtaildale.suspects.fingerprints import (
     FingerprintInput,
@@ -105,7 +105,7 @@
     *,
     suspect: Suspect,
     statistics: FleetStatistics,
-) -> Placed | None:
+) -> ChosenUpstream | None:
     """Choose the upstream for an attempt of a suspected request.
 
     Args:
@@ -130,7 +130,7 @@
             judgement,
             nodes=_find_last_node(view, attempts),
         )
-    places = list_places(
+    places = list_allowed_upstreams(
         view,
         routed.service,
         fingerprint=suspect.fingerprint,
@@ -143,7 +143,7 @@
         place
         for place in places
         if place.instance not in attempts.tried
-        and not statistics.leavers.has(place)
+        and not statistics.leaving_servers.has(place)
     ]
     up = [
         place
@@ -157,7 +157,7 @@
             ends=attempts.ends,
             wait_seconds=RESTART_SECONDS,
         )
-    return Placed(record=(up or untried)[0], is_only=True)
+    return ChosenUpstream(record=(up or untried)[0], is_only_candidate=True)
 
 
 def _find_last_node(
--- a/wagtaildale/calls/tests/test_owner_listener.py
+++ b/wagtaildale/calls/tests/test_owner_listener.py
@@ -10,7 +10,7 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.frames import LoadReport
 from wagtaildale.calls.owner_listener import OwnerListener
-from wagtaildale.routing.leavers import Leaver
+from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.telemetry.events import EventKind
@@ -40,7 +40,7 @@
             structs.replace(build_record(OWN, host=ADDRESS.host), born=7),
             build_record(OTHER, host='127.0.9.2'),
         )
-        self.view.take_instances(build_instances(*self.records))
+        self.view.replace_instances(build_instances(*self.records))
         self.listener = OwnerListener(
             self.view,
             statistics=self.statistics,
@@ -58,9 +58,11 @@
 
 def test_owner_reports_leaving_only_for_its_own_server(entry: Entry) -> None:
     """A node reports that all servers leave, and a service has none left."""
-    entry.receive(structs.replace(LOAD, leaving=Leaver(OTHER)))
-    entry.receive(structs.replace(LOAD, leaving=Leaver(OWN)))
-    leave = [entry.statistics.leavers.has(each) for each in entry.records]
+    entry.receive(structs.replace(LOAD, leaving=LeavingServer(OTHER)))
+    entry.receive(structs.replace(LOAD, leaving=LeavingServer(OWN)))
+    leave = [
+        entry.statistics.leaving_servers.has(each) for each in entry.records
+    ]
     assert leave == [True, False]
     kinds = [event.kind for event in entry.recorder.read_since(0)]
     assert kinds == [EventKind.message_refused, EventKind.upstream_leaving]
@@ -90,10 +92,10 @@
             LOAD,
             is_up=False,
             rate_milli=1000,
-            leaving=Leaver(OWN),
+            leaving=LeavingServer(OWN),
         ),
     )
     assert entry.statistics.limits.has(OWN)
     entry.receive(LOAD)
     assert not entry.statistics.limits.has(OWN)
-    assert not entry.statistics.leavers.has(entry.records[0])
+    assert not entry.statistics.leaving_servers.has(entry.records[0])
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -43,7 +43,7 @@
 from wagtaildale.membership.decisions import (
     expire_suspects,
     merge_news,
-    note_heard,
+    reset_missed_replies,
 )
 from wagtaildale.suspects.messages import (
     EndsNoted,
@@ -87,8 +87,8 @@
     now: float,
 ) -> list[messages.Effect]:
     envelope = message.envelope
-    note_heard(state.members, peer=envelope.sender)
-    changes = merge_news(state.members, heard=envelope.news, now=now)
+    reset_missed_replies(state.members, peer=envelope.sender)
+    changes = merge_news(state.members, received=envelope.news, now=now)
     context = Context(
         state=state,
         sender=envelope.sender,
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -18,7 +18,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariant
 from wagtaildale.telemetry.events import EventKind, Inputs
-from wagtaildale.membership.news import AWAY
+from wagtaildale.membership.news import AWAY_STATES
 from wagtaildale.suspects.records import TRIAL_ENDS
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import InstanceId, Kind, NodeState
@@ -111,11 +111,11 @@
     if not _check_invariants(effect, dependencies):
         return
     if document.kind is Kind.configuration:
-        dependencies.view.take_configuration(document)
+        dependencies.view.replace_configuration(document)
         kind = EventKind.version_applied
     else:
-        dependencies.view.take_instances(document)
-        dependencies.view.take_away(sender.state.members.list_away())
+        dependencies.view.replace_instances(document)
+        dependencies.view.replace_away(sender.state.members.list_away())
         kind = EventKind.instances_applied
     dependencies.recorder.record(
         kind,
@@ -146,8 +146,8 @@
 @execute.register
 def _change_lapsed(effect: messages.LapsedChanged, sender: Sender) -> None:
     dependencies = sender.dependencies
-    dependencies.view.take_lapsed(effect.retained, held=effect.departed)
-    dependencies.view.take_away(sender.state.members.list_away())
+    dependencies.view.replace_lapsed(effect.retained, held=effect.departed)
+    dependencies.view.replace_away(sender.state.members.list_away())
     dependencies.recorder.record(
         EventKind.lapsed_changed,
         version=dependencies.view.current.list_index,
@@ -197,10 +197,10 @@
     effect: messages.FleetChanged,
     sender: Sender,
 ) -> None:
-    sender.dependencies.view.take_away(sender.state.members.list_away())
+    sender.dependencies.view.replace_away(sender.state.members.list_away())
     for change in effect.changes:
         kind = PEER_EVENTS.get(change.news.state)
-        if kind is None and change.before in AWAY:
+        if kind is None and change.before in AWAY_STATES:
             kind = EventKind.peer_refuted
         if kind is not None:
             sender.dependencies.recorder.record(
@@ -218,7 +218,7 @@
     if effect.state is NodeState.ready:
         kind = EventKind.node_ready
     away = sender.state.members.list_away()
-    sender.dependencies.view.take_away(away)
+    sender.dependencies.view.replace_away(away)
     held = sender.state.stores[Kind.configuration].held
     sender.dependencies.recorder.record(kind, version=held.version)
 
@@ -227,7 +227,7 @@
 def _record_refusal(effect: messages.VersionRefused, sender: Sender) -> None:
     rejected = effect.rejected
     kind = EventKind.version_ignored
-    if rejected.fresh:
+    if rejected.is_first:
         kind = EventKind.version_refused
     sender.dependencies.recorder.record(
         kind,
--- a/wagtaildale/distribution/lapses.py
+++ b/wagtaildale/distribution/lapses.py
@@ -17,7 +17,7 @@
 from wagtaildale.distribution.messages import LapsedChanged, PlatformReturned
 from wagtaildale.distribution.state import NEVER, DistributionState
 from wagtaildale.document.eras import find_era, find_revision
-from wagtaildale.membership.decisions import take_records
+from wagtaildale.membership.decisions import replace_records
 from wagtaildale.membership.records import InstanceRecord, decode_record
 from wagtaildale.types import InstanceId, Kind, ListedState, Version
 
@@ -155,7 +155,7 @@
     lapses.departed = departed
     known = {**retained, **lapses.listed, **departed}
     records = {record.node_id: record for record in known.values()}
-    take_records(state.members, records=records)
+    replace_records(state.members, records=records)
     if not changed:
         return []
     return [
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -12,7 +12,7 @@
 from wagtaildale.distribution.swaps import make_fleet_change
 from wagtaildale.distribution.wire import Push, Swap
 from wagtaildale.document.model import make_delta
-from wagtaildale.membership.decisions import note_missed
+from wagtaildale.membership.decisions import note_missed_reply
 from wagtaildale.membership.state import find_topology
 from wagtaildale.membership.topology import list_children
 
@@ -112,7 +112,7 @@
         if push.attempts < MAX_PUSH_ATTEMPTS:
             effects.append(_push_to(state, peer, kind, now, push.attempts + 1))
             continue
-        changes = note_missed(state.members, peer=peer, now=now)
+        changes = note_missed_reply(state.members, peer=peer, now=now)
         effects.extend(make_fleet_change(changes))
         effects.append(PeerBehind(peer=peer, version=push.version))
         effects.extend(
--- a/wagtaildale/distribution/staleness.py
+++ b/wagtaildale/distribution/staleness.py
@@ -14,7 +14,7 @@
     DistributionState,
     Freshness,
 )
-from wagtaildale.membership.news import AWAY
+from wagtaildale.membership.news import AWAY_STATES
 from wagtaildale.membership.state import find_topology
 
 # Delay for each rank as a share of the usual step, if the last reader is known
@@ -102,7 +102,7 @@
 ) -> float | None:
     """Find when this node learned that the last reader stops or is dead."""
     entry = state.members.entries.get(last.local_reader)
-    if entry is None or entry.news.state not in AWAY:
+    if entry is None or entry.news.state not in AWAY_STATES:
         return None
     return entry.since
 
--- a/wagtaildale/distribution/tests/test_handover.py
+++ b/wagtaildale/distribution/tests/test_handover.py
@@ -16,7 +16,7 @@
 )
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.distribution.wire import Push
-from wagtaildale.membership.topology import ROOTS_TOLD
+from wagtaildale.membership.topology import ROOTS_PER_DATA_CENTRE
 from wagtaildale.testing.builders import build_instances
 from wagtaildale.types import InstanceId
 
@@ -38,7 +38,7 @@
 )
 # Each of two readers pushes to two nodes of the other data centre, one of which
 # may push to the root of its push tree.
-COPIES_ACROSS: Final = 2 * (ROOTS_TOLD + 1)
+COPIES_ACROSS: Final = 2 * (ROOTS_PER_DATA_CENTRE + 1)
 # A planned stop is announced, so the reader is replaced at the next review.
 HANDOVER_SECONDS: Final = 0.5
 # How long a reader waits for a watch after the time that the platform holds it.
--- a/wagtaildale/distribution/tests/test_returns.py
+++ b/wagtaildale/distribution/tests/test_returns.py
@@ -135,12 +135,12 @@
     """A node sends calls to a server that it knows to have left."""
     view = ViewHolder()
     listed = build_instances(*network.records)
-    view.take_instances(listed)
+    view.replace_instances(listed)
     departed = mark_leaving(network.records)[3]
-    view.take_lapsed((), held=(departed,))
-    view.take_instances(listed)
+    view.replace_lapsed((), held=(departed,))
+    view.replace_instances(listed)
     assert view.current.is_away(view.current.records[D])
-    view.take_lapsed(())
+    view.replace_lapsed(())
     assert not view.current.is_away(view.current.records[D])
 
 
--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -1,7 +1,8 @@
-"""Decides what becomes of an offered version.
+"""Decides whether a document store applies an offered version.
 
-Deterministic: no clock, no socket. A version is taken whole or not at all,
-never an older one, and one that failed is not tried again.
+The functions are deterministic and use no clock or socket. A version is
+applied as a whole or not at all; older versions are ignored, and a version
+that failed validation is not tried again.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
     assemble_document,
     digest_outline,
 )
-from wagtaildale.document.state import Pending, StoreState
+from wagtaildale.document.state import PendingVersion, StoreState
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 from wagtaildale.types import Digest, Version
@@ -40,19 +41,21 @@
 
 @singledispatch
 def decide_offer(message: object, state: StoreState) -> list[StoreEffect]:
-    """Decide on one message to a store.
+    """Handle a message to a document store.
 
     Args:
-        message: what was offered.
-        state: the store; moved forward in place.
+        message: a ``DeltaOffered``, ``OutlineOffered`` or ``BlobsOffered``.
+        state: state of the store, updated in place.
 
     Returns:
-        What follows from it.
+        The effects to carry out.
 
     Raises:
-        TypeError: for a message that no store knows.
+        TypeError: for a message of any other type.
     """
-    raise TypeError(f'got {message!r}, expected an offer to a store')
+    raise TypeError(
+        f'got {message!r}, expected an offered delta, outline or blobs'
+    )
 
 
 @decide_offer.register
@@ -61,7 +64,7 @@
     state: StoreState,
 ) -> list[StoreEffect]:
     delta = message.delta
-    rejected = _judge(state, delta.version, delta.digest)
+    rejected = _screen_version(state, delta.version, delta.digest)
     if rejected is not None:
         return rejected
     held = state.held
@@ -80,7 +83,7 @@
 ) -> list[StoreEffect]:
     outline = message.outline
     digest = digest_outline(outline)
-    rejected = _judge(state, outline.version, digest)
+    rejected = _screen_version(state, outline.version, digest)
     if rejected is not None:
         return rejected
     pending = state.pending
@@ -109,7 +112,7 @@
     return _complete(state, message.origin)
 
 
-def _judge(
+def _screen_version(
     state: StoreState,
     version: Version,
     digest: Digest,
@@ -122,9 +125,9 @@
     if version < held.version:
         return [_reject(state, version, Code.version_older)]
     if version == held.version:
-        # Failure: a publisher uses a number twice. It shows as nodes with
-        # one version and different routes. Whichever came first stays, so
-        # no node moves without a rising version.
+        # A publisher used a version number twice, which would show as nodes
+        # with one version and different routes. A node keeps the document that
+        # it received first, so that it changes only to a higher version.
         return [_reject(state, version, Code.version_reused)]
     return None
 
@@ -140,7 +143,7 @@
             got=f'version {version}',
             expected=f'a version above {held.version}',
         ),
-        fresh=code is Code.version_reused,
+        is_first=code is Code.version_reused,
     )
 
 
@@ -153,13 +156,13 @@
         code=Code.delta_mismatch,
         where=f'{document.kind.name} from {origin or "the platform"}',
         got=f'digest {document.digest.hex()}',
-        expected='the digest that the delta names',
+        expected='the digest stated in the delta',
     )
     return Rejected(
         kind=state.held.kind,
         version=document.version,
         fault=fault,
-        fresh=True,
+        is_first=True,
     )
 
 
@@ -167,7 +170,7 @@
     state: StoreState,
     outline: Outline,
     digest: Digest,
-) -> Pending:
+) -> PendingVersion:
     wanted = set(outline.entries.values())
     held = state.held
     found = {
@@ -177,7 +180,7 @@
     }
     if state.pending is not None:
         found.update(state.pending.found)
-    return Pending(outline=outline, digest=digest, found=found)
+    return PendingVersion(outline=outline, digest=digest, found=found)
 
 
 def _complete(state: StoreState, origin: Origin) -> list[StoreEffect]:
@@ -212,7 +215,7 @@
                 kind=document.kind,
                 version=document.version,
                 fault=verdict.err_value,
-                fresh=True,
+                is_first=True,
             ),
         ]
     before = state.held
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -1,4 +1,8 @@
-"""Decides on news of the fleet: merge, suspect, refute, pass on."""
+"""Decides on gossip about nodes: merge, suspect, refute and pass on.
+
+As in SWIM, a node that misses replies is suspected, and is declared dead
+unless it refutes the suspicion in time.
+"""
 
 from __future__ import annotations
 
@@ -6,8 +10,12 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.membership.news import AWAY, News, is_newer
-from wagtaildale.membership.state import MembershipState, Misses, NewsEntry
+from wagtaildale.membership.news import AWAY_STATES, News, is_newer
+from wagtaildale.membership.state import (
+    MembershipState,
+    MissedReplies,
+    NewsEntry,
+)
 from wagtaildale.types import Incarnation, InstanceId, NodeState
 
 if TYPE_CHECKING:
@@ -16,8 +24,9 @@
     from wagtaildale.membership.records import InstanceRecord
 
 MISSES_TO_SUSPECT: Final = 2
-# Between two misses of one peer; digests go out once a second.
-MISS_SECONDS: Final = 0.75
+# Minimum time between two counted misses of a peer; digests go out once a
+# second.
+MISS_INTERVAL_SECONDS: Final = 0.75
 SUSPECT_SECONDS: Final = 6.0
 NEWS_PER_MESSAGE: Final = 16
 
@@ -26,8 +35,8 @@
     """News that changed the view of the fleet.
 
     Attributes:
-        news: what is held now.
-        before: the state held until now, if any.
+        news: news that is held from now on.
+        before: state of the node until now; nothing if it was not known.
     """
 
     news: News
@@ -37,38 +46,43 @@
 def merge_news(
     state: MembershipState,
     *,
-    heard: Iterable[News],
+    received: Iterable[News],
     now: float,
 ) -> list[NewsTaken]:
-    """Merge what another node said.
+    """Merge news from another node.
 
-    Failure guarded here: a node is called dead that only was slow, shown by
-    its neighbours sending it nothing more. When it hears so of itself it
-    raises its sequence, which outranks every suspicion of before. A leaving
-    node does not refute: that state is final for its incarnation.
+    A node that was only slow may be declared dead, and its neighbours then
+    send it nothing more. When it receives such news of itself it raises its
+    sequence number, which overrides all earlier suspicions. A leaving node
+    does not refute, because that state is final for its incarnation.
 
     Args:
-        state: the fleet; moved forward in place.
-        heard: news from a peer.
-        now: seconds.
+        state: membership of the fleet, updated in place.
+        received: news from a peer.
+        now: current time, in seconds.
 
     Returns:
-        What changed.
+        News that changed the view of the fleet.
     """
     taken: list[NewsTaken] = []
-    for news in heard:
+    for news in received:
         if news.instance == state.own.instance:
-            _answer_for_self(state, news)
+            _refute_own(state, news)
             continue
         known = state.find_news(news.instance)
         if is_newer(news, than=known):
-            _hold(state, news, now, matters=_matters(news, known))
+            _store_news(
+                state,
+                news,
+                now,
+                is_worth_sending=_is_worth_sending(news, known),
+            )
             before = known.state if known else None
             taken.append(NewsTaken(news=news, before=before))
     return taken
 
 
-def note_missed(
+def note_missed_reply(
     state: MembershipState,
     *,
     peer: InstanceId,
@@ -77,17 +91,17 @@
     """Note that a peer did not reply to a digest or a push.
 
     Args:
-        state: the fleet; moved forward in place.
-        peer: who did not reply.
-        now: seconds.
+        state: membership of the fleet, updated in place.
+        peer: instance that did not reply.
+        now: current time, in seconds.
 
     Returns:
-        The suspicion, once enough replies are missing.
+        The suspicion, once enough replies in a row are missing.
     """
-    misses = state.missed.setdefault(peer, Misses())
-    # Failure: several messages go out together, the answers to all of them
-    # are late together, and a working node is suspected for one delay.
-    if now - misses.noted_at < MISS_SECONDS:
+    misses = state.missed.setdefault(peer, MissedReplies())
+    # Replies to messages that are sent together are late together; without the
+    # interval a single delay would make a working node a suspect.
+    if now - misses.noted_at < MISS_INTERVAL_SECONDS:
         return []
     misses.count += 1
     misses.noted_at = now
@@ -95,21 +109,21 @@
         return []
     unknown = News(peer, Incarnation(0), 0, NodeState.ready)
     base = state.find_news(peer) or unknown
-    if base.state in AWAY:
+    if base.state in AWAY_STATES:
         return []
     suspicion = structs.replace(base, state=NodeState.suspect)
-    return merge_news(state, heard=(suspicion,), now=now)
+    return merge_news(state, received=(suspicion,), now=now)
 
 
-def note_heard(state: MembershipState, *, peer: InstanceId) -> None:
-    """Note that a peer has sent something: it is there.
+def reset_missed_replies(state: MembershipState, *, peer: InstanceId) -> None:
+    """Reset the missed replies of a peer that has sent a message.
 
-    Failure guarded here: two replies that are late minutes apart make a
-    working node a suspect. Only those in a row count.
+    Only misses in a row count. Otherwise two replies that are late minutes
+    apart would make a working node a suspect.
 
     Args:
-        state: the fleet; moved forward in place.
-        peer: who sent it.
+        state: membership of the fleet, updated in place.
+        peer: instance that sent the message.
     """
     state.missed.pop(peer, None)
 
@@ -119,14 +133,14 @@
     *,
     now: float,
 ) -> list[NewsTaken]:
-    """Call dead whoever stayed suspect, and forget whom the list dropped.
+    """Declare overdue suspects dead, and drop old news of unlisted nodes.
 
     Args:
-        state: the fleet; moved forward in place.
-        now: seconds.
+        state: membership of the fleet, updated in place.
+        now: current time, in seconds.
 
     Returns:
-        What changed.
+        News that changed the view of the fleet.
     """
     due = [
         structs.replace(suspect.news, state=NodeState.dead)
@@ -135,22 +149,22 @@
         and now - suspect.since > SUSPECT_SECONDS
     ]
     _forget_unlisted(state, now)
-    return merge_news(state, heard=due, now=now)
+    return merge_news(state, received=due, now=now)
 
 
-def take_records(
+def replace_records(
     state: MembershipState,
     *,
     records: dict[InstanceId, InstanceRecord],
 ) -> None:
-    """Take the platform's list as it is now.
+    """Replace the instance list.
 
     Args:
-        state: the fleet; moved forward in place.
-        records: by instance.
+        state: membership of the fleet, updated in place.
+        records: current entries of the list, by node.
     """
     state.records = records
-    state.cached = None
+    state.cached_topology = None
 
 
 def pick_news(
@@ -158,64 +172,66 @@
     *,
     to: InstanceId,
 ) -> tuple[News, ...]:
-    """Pick news to send along with a message, the freshest first.
+    """Pick the news to send along with a message, the least sent first.
 
-    What is held against the receiver itself always goes along, so that it
-    can refute it.
+    A suspicion of the receiver itself is always included, so that the
+    receiver can refute it.
 
     Args:
-        state: the fleet; counts what is sent.
-        to: the receiver.
+        state: membership of the fleet; its send counters are updated.
+        to: instance that the message is for.
 
     Returns:
-        This node's own news, then some of others.
+        News of this node itself, then news of some others.
     """
-    fresh = [entry for entry in state.entries.values() if entry.sends_left > 0]
-    fresh.sort(key=_read_sends_left, reverse=True)
-    chosen = fresh[:NEWS_PER_MESSAGE]
+    sendable = [
+        entry for entry in state.entries.values() if entry.retransmits_left > 0
+    ]
+    sendable.sort(key=_read_retransmits_left, reverse=True)
+    chosen = sendable[:NEWS_PER_MESSAGE]
     for passed_on in chosen:
-        passed_on.sends_left -= 1
+        passed_on.retransmits_left -= 1
     held = state.find_news(to)
-    against = [held] if held and held.state in AWAY else []
-    others = dict.fromkeys((*against, *(entry.news for entry in chosen)))
-    return (state.tell_own(), *others)
+    to_refute = [held] if held and held.state in AWAY_STATES else []
+    others = dict.fromkeys((*to_refute, *(entry.news for entry in chosen)))
+    return (state.build_own_news(), *others)
 
 
-def _read_sends_left(entry: NewsEntry) -> int:
-    return entry.sends_left
+def _read_retransmits_left(entry: NewsEntry) -> int:
+    return entry.retransmits_left
 
 
-def _answer_for_self(state: MembershipState, news: News) -> None:
-    own = state.tell_own()
+def _refute_own(state: MembershipState, news: News) -> None:
+    own = state.build_own_news()
     if is_newer(news, than=own) and state.state is not NodeState.leaving:
         state.incarnation = Incarnation(max(own.incarnation, news.incarnation))
         state.sequence = news.sequence + 1
 
 
-def _matters(news: News, known: News | None) -> bool:
-    # That a listed node works is what everybody assumes: to pass on news of
-    # that kind would cost each start of the fleet a message for each pair.
-    if news.state in AWAY:
+def _is_worth_sending(news: News, known: News | None) -> bool:
+    # Every node assumes that listed nodes work. Passing on news that they do
+    # would cost a message for each pair of nodes when the fleet starts.
+    if news.state in AWAY_STATES:
         return True
-    return known is not None and known.state in AWAY
+    return known is not None and known.state in AWAY_STATES
 
 
-def _hold(
+def _store_news(
     state: MembershipState,
     news: News,
     now: float,
     *,
-    matters: bool,
+    is_worth_sending: bool,
 ) -> None:
     state.entries[news.instance] = NewsEntry(
         news=news,
         since=now,
-        sends_left=state.count_sends() if matters else 0,
+        retransmits_left=state.compute_retransmits() if is_worth_sending else 0,
     )
-    if news.state not in AWAY:
+    if news.state not in AWAY_STATES:
         state.missed.pop(news.instance, None)
-    if matters:
-        state.cached = None
+    if is_worth_sending:
+        state.cached_topology = None
 
 
 def _forget_unlisted(state: MembershipState, now: float) -> None:
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -1,4 +1,4 @@
-"""What a node knows of the fleet."""
+"""Membership of the fleet as one node knows it."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from msgspec import Struct, field
 
-from wagtaildale.membership.news import AWAY, News
-from wagtaildale.membership.topology import Place, Topology, compute_topology
+from wagtaildale.membership.news import AWAY_STATES, News
+from wagtaildale.membership.topology import Member, Topology, compute_topology
 from wagtaildale.types import (
     Incarnation,
     InstanceId,
@@ -18,29 +18,30 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
 
-SPREAD_FACTOR: Final = 4
+# Number of retransmissions per bit of the fleet's size (its base-2 logarithm).
+RETRANSMIT_FACTOR: Final = 4
 
 
 class NewsEntry(Struct, kw_only=True):
-    """News as a node holds it.
+    """Latest news of an instance, with its transmission state.
 
     Attributes:
-        news: the latest.
-        since: when it came, seconds.
-        sends_left: how often it is still passed on.
+        news: the latest news.
+        since: time when the news arrived, seconds.
+        retransmits_left: number of times that the news is still passed on.
     """
 
     news: News
     since: float
-    sends_left: int
+    retransmits_left: int
 
 
-class Misses(Struct, kw_only=True):
+class MissedReplies(Struct, kw_only=True):
     """Replies of a peer that are missing in a row.
 
     Attributes:
-        count: how many.
-        noted_at: when the last one was noted, seconds.
+        count: number of missing replies.
+        noted_at: time when the last one was counted, seconds.
     """
 
     count: int = 0
@@ -51,30 +52,31 @@
     """The fleet as one node sees it.
 
     Attributes:
-        own: the node's place.
-        incarnation: of this process.
-        sequence: raised to refute what is said of this node.
-        state: of this node.
-        records: the platform's list, by node.
-        entries: news by instance.
-        missed: by peer, what it did not reply to.
-        cached: the topology, until records or news change.
+        own: instance and data centre of this node.
+        incarnation: incarnation of this process.
+        sequence: number that is raised to refute a suspicion of this node.
+        state: state of this node.
+        records: entries of the platform's list, by node.
+        entries: latest news, by instance.
+        missed: missed replies, by peer.
+        cached_topology: topology for the current records and news; nothing
+            after a change.
     """
 
-    own: Place
+    own: Member
     incarnation: Incarnation
     sequence: int = 0
     state: NodeState = NodeState.joining
     records: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
     entries: dict[InstanceId, NewsEntry] = field(default_factory=dict)
-    missed: dict[InstanceId, Misses] = field(default_factory=dict)
-    cached: Topology | None = None
+    missed: dict[InstanceId, MissedReplies] = field(default_factory=dict)
+    cached_topology: Topology | None = None
 
-    def tell_own(self) -> News:
-        """Give the news of this node itself.
+    def build_own_news(self) -> News:
+        """Build the news of this node itself.
 
         Returns:
-            Its incarnation, sequence and state.
+            Its incarnation, sequence number and state.
         """
         return News(
             self.own.instance,
@@ -84,70 +86,71 @@
         )
 
     def find_news(self, instance: InstanceId) -> News | None:
-        """Give the latest news of an instance.
+        """Find the latest news of an instance.
 
         Args:
-            instance: of whom.
+            instance: id of the instance.
 
         Returns:
-            The news, or nothing if none came yet.
+            The news, or nothing if there is none yet.
         """
         entry = self.entries.get(instance)
         return entry.news if entry else None
 
     def list_away(self) -> frozenset[InstanceId]:
-        """List who takes no new work.
+        """List the instances that accept no new work.
 
         Returns:
-            Those the list calls leaving, those whom news calls away, and
-            this node itself once it leaves.
+            Instances that are leaving according to the list, instances that
+            are leaving, suspected or dead according to gossip, and this node
+            itself once it leaves.
         """
         listed = (
             record.instance
             for record in self.records.values()
             if record.state is ListedState.leaving
         )
-        told = (
+        reported = (
             name
             for name, entry in self.entries.items()
-            if entry.news.state in AWAY
+            if entry.news.state in AWAY_STATES
         )
         own = (self.own.instance,)
         leaving = self.state is NodeState.leaving
-        return frozenset((*listed, *told, *(own if leaving else ())))
+        return frozenset((*listed, *reported, *(own if leaving else ())))
 
     def leave(self) -> None:
-        """Begin this node's planned stop."""
+        """Start the planned stop of this node."""
         self.state = NodeState.leaving
-        self.cached = None
+        self.cached_topology = None
 
     def list_leaving(self) -> frozenset[InstanceId]:
-        """List the nodes that have begun their planned stop.
+        """List the nodes that have announced their planned stop.
 
         Returns:
-            Those that said so, this node itself included.
+            Ids of the nodes, this one included once it leaves.
         """
-        told = self._list_said(NodeState.leaving)
+        reported = self._list_in_states(NodeState.leaving)
         if self.state is NodeState.leaving:
-            return told | {self.own.instance}
-        return told
+            return reported | {self.own.instance}
+        return reported
 
-    def count_sends(self) -> int:
-        """Tell how often news is passed on.
+    def compute_retransmits(self) -> int:
+        """Compute how often news is passed on.
 
         Returns:
             A few times the logarithm of the fleet's size, so that news
-            reaches everyone with high probability.
+            reaches all nodes with high probability.
         """
-        return SPREAD_FACTOR * max(1, len(self.records).bit_length())
+        return RETRANSMIT_FACTOR * max(1, len(self.records).bit_length())
 
     def list_suspects(self) -> list[InstanceId]:
         """List the suspected nodes of this data centre.
 
         Returns:
-            Those that are listed and were not called dead yet.
+            Ids of the suspected nodes that are listed.
         """
-        suspects = self._list_said(NodeState.suspect)
+        suspects = self._list_in_states(NodeState.suspect)
         return [
             record.node_id
             for record in self.records.values()
@@ -155,23 +158,23 @@
             and record.data_centre == self.own.data_centre
         ]
 
-    def list_places(self) -> list[Place]:
-        """List who is there, this node included.
+    def list_members(self) -> list[Member]:
+        """List the present members of the fleet, this node included.
 
         Returns:
-            The listed instances that are neither suspect nor dead.
+            The listed nodes that are neither suspected nor dead.
         """
-        gone = self._list_said(NodeState.dead, NodeState.suspect)
-        places = [
-            Place(record.node_id, record.data_centre)
+        gone = self._list_in_states(NodeState.dead, NodeState.suspect)
+        members = [
+            Member(record.node_id, record.data_centre)
             for record in self.records.values()
             if record.node_id not in gone
         ]
-        if self.own not in places:
-            places.append(self.own)
-        return places
+        if self.own not in members:
+            members.append(self.own)
+        return members
 
-    def _list_said(self, *states: NodeState) -> frozenset[InstanceId]:
+    def _list_in_states(self, *states: NodeState) -> frozenset[InstanceId]:
         return frozenset(
             name
             for name, entry in self.entries.items()
@@ -180,18 +183,18 @@
 
 
 def find_topology(state: MembershipState) -> Topology:
-    """Give a node's neighbours, computed anew after a change.
+    """Return a node's topology, recomputed only after a change.
 
     Args:
-        state: the fleet; remembers the topology.
+        state: membership of the fleet; caches the topology.
 
     Returns:
-        The topology over all that are not known to be away.
+        The topology over all members that are neither suspected nor dead.
     """
-    if state.cached is None:
-        state.cached = compute_topology(
-            state.list_places(),
+    if state.cached_topology is None:
+        state.cached_topology = compute_topology(
+            state.list_members(),
             own=state.own,
             leaving=state.list_leaving(),
         )
-    return state.cached
+    return state.cached_topology
--- a/wagtaildale/routing/plain.py
+++ b/wagtaildale/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines of the benchmarks: choices that look at no load."""
+"""Baseline strategies for benchmarks, which ignore the load."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from wagtaildale.routing.choice import Chooser, Need
+from wagtaildale.routing.choice import Chooser, RequestContext
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -16,10 +16,10 @@
 
 
 class RoundRobin(Chooser):
-    """Every upstream in turn."""
+    """Chooses the upstreams in turn."""
 
     def __init__(self) -> None:
-        """Begin with the first."""
+        """Start with the first candidate."""
         self._turn = itertools.count()
 
     def choose(
@@ -27,43 +27,43 @@
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord:
-        """Choose the next one; see ``Chooser``.
+        """Choose the next upstream; see ``Chooser``.
 
         Args:
-            candidates: at least one.
-            statistics: not looked at.
-            need: not looked at.
-            now: not looked at.
+            candidates: upstreams that may take the attempt; at least one.
+            statistics: ignored.
+            request: ignored.
+            now: ignored.
 
         Returns:
-            The one that takes the attempt.
+            The chosen upstream.
         """
         return candidates[next(self._turn) % len(candidates)]
 
 
 class RandomChoice(Chooser):
-    """Any upstream."""
+    """Chooses upstreams at random, with equal probability."""
 
     def choose(
         self,
         candidates: Sequence[InstanceRecord],
         *,
         statistics: FleetStatistics,
-        need: Need,
+        request: RequestContext,
         now: float,
     ) -> InstanceRecord:
-        """Choose any one; see ``Chooser``.
+        """Choose a random upstream; see ``Chooser``.
 
         Args:
-            candidates: at least one.
-            statistics: not looked at.
-            need: not looked at.
-            now: not looked at.
+            candidates: upstreams that may take the attempt; at least one.
+            statistics: ignored.
+            request: ignored.
+            now: ignored.
 
         Returns:
-            The one that takes the attempt.
+            The chosen upstream.
         """
         return random.choice(candidates)
--- /dev/null
+++ b/wagtaildale/routing/leaving_servers.py
@@ -0,0 +1,90 @@
+"""Remembers the servers that have announced that they leave.
+
+A server announces in its answers that it leaves. The platform's list may lag,
+lapse or list the server as ready all the while, and requests would go to it
+again some seconds later. So the announcement holds until the server restarts.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Final
+
+from msgspec import Struct
+
+from wagtaildale.types import InstanceId
+
+if TYPE_CHECKING:
+    from wagtaildale.membership.records import InstanceRecord
+
+# The oldest announcements are dropped beyond this number.
+MAX_LEAVING_SERVERS: Final = 1024
+
+
+class LeavingServer(Struct, frozen=True, array_like=True, gc=False):
+    """One run of a server that has announced that it leaves.
+
+    Attributes:
+        instance: id of the server's instance.
+        born: listed start time in Unix milliseconds; 0 if not known.
+    """
+
+    instance: InstanceId
+    born: int = 0
+
+
+class LeavingServers:
+    """Servers that have announced that they leave, by instance."""
+
+    def __init__(self) -> None:
+        """Start without any."""
+        self._born_by_instance: dict[InstanceId, int] = {}
+
+    def __bool__(self) -> bool:
+        """Tell whether any server has announced that it leaves."""
+        return bool(self._born_by_instance)
+
+    def note(self, server: LeavingServer) -> bool:
+        """Note that a server has announced that it leaves.
+
+        Args:
+            server: instance and start time of the server.
+
+        Returns:
+            Whether that was not known before.
+        """
+        born = server.born
+        is_known = self._born_by_instance.pop(server.instance, None) == born
+        self._born_by_instance[server.instance] = born
+        if len(self._born_by_instance) > MAX_LEAVING_SERVERS:
+            self._born_by_instance.pop(next(iter(self._born_by_instance)))
+        return not is_known
+
+    def forget(self, instance: InstanceId) -> None:
+        """Remove the announcement of a server that has restarted.
+
+        Args:
+            instance: id of the server's instance.
+        """
+        self._born_by_instance.pop(instance, None)
+
+    def knows(self, instance: InstanceId) -> bool:
+        """Tell whether any run of a server has announced that it leaves.
+
+        Args:
+            instance: id of the server's instance.
+
+        Returns:
+            Whether one has.
+        """
+        return instance in self._born_by_instance
+
+    def has(self, record: InstanceRecord) -> bool:
+        """Tell whether a server has announced that it leaves.
+
+        Args:
+            record: current record of the server in the instance list.
+
+        Returns:
+            Whether the listed run of the server has announced it.
+        """
+        return self._born_by_instance.get(record.instance) == record.born
--- a/wagtaildale/routing/tests/test_statistics.py
+++ b/wagtaildale/routing/tests/test_statistics.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry knows of upstreams, and of choosing by it."""
+"""Tests of upstream statistics and of the choosers that use them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     leave_out_ejected,
     list_candidates,
 )
-from wagtaildale.routing.choice import ChoiceName, Need
+from wagtaildale.routing.choice import ChoiceName, RequestContext
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.ejection import LEAVING_SECONDS, Ejection
-from wagtaildale.routing.leavers import Leavers
+from wagtaildale.routing.leaving_servers import LeavingServers
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.upstream import OwnerReport
 from wagtaildale.routing.view import ViewHolder
@@ -33,7 +33,7 @@
     from wagtaildale.membership.records import InstanceRecord
 
 DERBY = DataCentre('derby')
-FIELD = ServiceName('casefiles')
+CASEFILES = ServiceName('casefiles')
 NOW = 1000.0
 
 
@@ -63,40 +63,40 @@
     statistics.note_speed(upstream, report, work_class='check', now=NOW)
 
 
-def test_ejection_takes_several_failures_and_ends_with_a_probe() -> None:
+def test_ejection_needs_several_failures_and_ends_with_a_probe() -> None:
     ejection = Ejection()
     outs = [ejection.note_failure(0) for _failure in range(4)]
     assert outs == [False, False, True, False]
-    assert (ejection.is_out(0.5), ejection.is_out(1.5)) == (True, False)
+    assert (ejection.is_ejected(0.5), ejection.is_ejected(1.5)) == (True, False)
     ejection.note_chosen(1.5)
-    assert ejection.is_out(1.6), 'one probe at a time'
+    assert ejection.is_ejected(1.6), 'one probe at a time'
     assert ejection.note_answer()
-    assert not ejection.is_out(1.7)
+    assert not ejection.is_ejected(1.7)
 
 
-def test_ejection_grows_longer() -> None:
+def test_repeated_ejections_last_longer() -> None:
     ejection = Ejection()
     for moment in (0, 0, 0, 2):
         ejection.note_failure(moment)
-    assert ejection.is_out(3.5)
+    assert ejection.is_ejected(3.5)
 
 
-def test_work_that_a_leaving_upstream_finishes_does_not_bring_it_back() -> None:
-    """A server stops, and lookups are sent to it to be refused.
+def test_answer_of_a_leaving_upstream_does_not_end_its_ejection() -> None:
+    """Prevents new requests to a server that is stopping and refuses them.
 
-    It says that it leaves and goes on with what it has. Each answer to that
-    work puts it back among those that take new work.
+    It reports that it leaves and finishes its running requests. An answer to
+    one of these must not make it a candidate for new ones.
     """
-    notes = FleetStatistics().find(InstanceId('a'), now=NOW)
+    upstream = FleetStatistics().find(InstanceId('a'), now=NOW)
     now = NOW
-    notes.ejection.note_leaving(now)
-    notes.note_answer(build_answer(), now=NOW)
-    assert notes.ejection.is_out(now)
-    assert not notes.ejection.is_out(now + LEAVING_SECONDS)
+    upstream.ejection.note_leaving(now)
+    upstream.note_answer(build_answer(), now=NOW)
+    assert upstream.ejection.is_ejected(now)
+    assert not upstream.ejection.is_ejected(now + LEAVING_SECONDS)
 
 
-def test_never_more_than_half_are_left_out() -> None:
-    """An entry loses its line for a moment and leaves out the whole service."""
+def test_never_more_than_half_of_a_service_are_left_out() -> None:
+    """An entry that loses its network for a moment must not eject a service."""
     records = [build_record(name) for name in 'abcd']
     statistics = FleetStatistics()
     for record in records[:2]:
@@ -109,68 +109,82 @@
     assert leave_out_ejected(records, statistics=statistics, now=0) == records
 
 
-def test_leaving_upstream_is_left_out_at_once() -> None:
+def test_leaving_upstream_is_ejected_at_once() -> None:
     statistics = FleetStatistics()
-    notes = statistics.find(InstanceId('a'), now=NOW)
-    notes.note_answer(build_answer(Code.draining), now=NOW)
-    assert notes.ejection.is_out(NOW)
+    upstream = statistics.find(InstanceId('a'), now=NOW)
+    upstream.note_answer(build_answer(Code.draining), now=NOW)
+    assert upstream.ejection.is_ejected(NOW)
 
 
 def test_new_incarnation_counts_as_cold() -> None:
-    notes = FleetStatistics().find(InstanceId('a'), now=NOW)
-    notes.known_since -= 60
-    notes.note_answer(build_answer(incarnation=1), now=NOW)
-    notes.known_since -= 60
-    warm = notes.measure_load(NOW)
-    notes.note_answer(build_answer(incarnation=2), now=NOW)
-    assert notes.measure_load(NOW) > warm + 0.4
+    upstream = FleetStatistics().find(InstanceId('a'), now=NOW)
+    upstream.known_since -= 60
+    upstream.note_answer(build_answer(incarnation=1), now=NOW)
+    upstream.known_since -= 60
+    warm = upstream.measure_load(NOW)
+    upstream.note_answer(build_answer(incarnation=2), now=NOW)
+    assert upstream.measure_load(NOW) > warm + 0.4
 
 
-def test_away_and_leaving_instances_are_no_candidates() -> None:
+def test_away_and_leaving_instances_are_not_candidates() -> None:
     holder = ViewHolder()
-    holder.take_instances(
+    holder.replace_instances(
         build_instances(
             build_record('a'),
             build_record('b', state=ListedState.leaving),
             build_record('c'),
         ),
     )
-    holder.take_away(frozenset((InstanceId('b'), InstanceId('c'))))
+    holder.replace_away(frozenset((InstanceId('b'), InstanceId('c'))))
     found = list_candidates(
-        holder.current, service=FIELD, tried=(), leavers=Leavers()
+        holder.current,
+        service=CASEFILES,
+        tried=(),
+        leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in found] == ['a']
 
 
 def test_tried_upstreams_come_last() -> None:
     holder = ViewHolder()
-    holder.take_instances(build_instances(build_record('a'), build_record('b')))
+    holder.replace_instances(
+        build_instances(build_record('a'), build_record('b'))
+    )
     tried = (InstanceId('a'),)
     found = list_candidates(
-        holder.current, service=FIELD, tried=tried, leavers=Leavers()
+        holder.current,
+        service=CASEFILES,
+        tried=tried,
+        leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in found] == ['b']
-    holder.take_away(frozenset((InstanceId('b'),)))
+    holder.replace_away(frozenset((InstanceId('b'),)))
     guess = list_candidates(
-        holder.current, service=FIELD, tried=tried, leavers=Leavers()
+        holder.current,
+        service=CASEFILES,
+        tried=tried,
+        leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in guess] == ['b']
     both = (InstanceId('a'), InstanceId('b'))
     again = list_candidates(
-        holder.current, service=FIELD, tried=both, leavers=Leavers()
+        holder.current,
+        service=CASEFILES,
+        tried=both,
+        leaving_servers=LeavingServers(),
     )
     assert len(again) == 2
 
 
 @pytest.mark.parametrize('name', list(ChoiceName))
-def test_every_chooser_gives_a_candidate(name: ChoiceName) -> None:
+def test_every_chooser_can_choose_each_candidate(name: ChoiceName) -> None:
     records = [build_record(name) for name in 'abc']
     chooser = make_chooser(name)
     chosen = {
         chooser.choose(
             records,
             statistics=FleetStatistics(),
-            need=Need(data_centre=DERBY),
+            request=RequestContext(data_centre=DERBY),
             now=NOW,
         )
         for _call in range(100)
@@ -178,7 +192,7 @@
     assert chosen == set(records)
 
 
-def test_loaded_data_centre_spills_over() -> None:
+def test_loaded_data_centre_spills_over_to_another() -> None:
     near = build_record('near')
     far = build_record('far', data_centre='coventry')
     statistics = FleetStatistics()
@@ -187,7 +201,7 @@
     chooser = make_chooser(ChoiceName.least_loaded)
     args = {
         'statistics': statistics,
-        'need': Need(data_centre=DERBY),
+        'request': RequestContext(data_centre=DERBY),
         'now': NOW,
     }
     assert chooser.choose((near, far), **args) is near  # type: ignore[arg-type]
@@ -202,11 +216,11 @@
     assert far in chosen
 
 
-def test_server_that_starts_again_under_its_id_is_judged_anew() -> None:
-    """A crashed server is back, and no entry sends it anything.
+def test_restart_under_the_same_id_resets_the_statistics() -> None:
+    """Prevents a restarted server from getting no requests.
 
-    It has the id that it had, so what was seen of it before its crash (three
-    failures in a row) is held against it.
+    It keeps its id, so the three failures in a row from before its crash
+    would keep it ejected.
     """
     statistics = FleetStatistics()
     name = InstanceId('a')
@@ -214,16 +228,16 @@
     for _failure in range(3):
         statistics.find(name, now=NOW).ejection.note_failure(0)
     statistics.note_start(name, born=100, now=NOW)
-    assert statistics.find(name, now=NOW).ejection.is_out(0.5)
+    assert statistics.find(name, now=NOW).ejection.is_ejected(0.5)
     statistics.note_start(name, born=200, now=NOW)
-    assert not statistics.find(name, now=NOW).ejection.is_out(0.5)
+    assert not statistics.find(name, now=NOW).ejection.is_ejected(0.5)
 
 
 def test_short_call_does_not_queue_behind_long_requests() -> None:
-    """Short calls pile up at the near server while others have room.
+    """Prevents short calls from queueing at the near server.
 
-    Nine long requests hold its slots; the wait for them was taken to be as
-    short as the calls themselves.
+    Long requests hold its slots while other servers have room. The wait for
+    a slot must not be estimated from the time of the short calls themselves.
     """
     statistics = FleetStatistics()
     near, far = build_record('a'), build_record('b', data_centre='coventry')
@@ -236,7 +250,7 @@
     chosen = make_chooser(ChoiceName.expected_time).choose(
         (near, far),
         statistics=statistics,
-        need=Need(
+        request=RequestContext(
             data_centre=near.data_centre,
             work_class='check',
             slack_seconds=0.1,
@@ -246,11 +260,11 @@
     assert chosen == far
 
 
-def test_request_does_not_go_round_a_service_that_is_full() -> None:
-    """Under overload refusals cost a fleet more than answers.
+def test_request_is_not_tried_at_every_server_of_a_full_service() -> None:
+    """Prevents refusals from costing more than answers under overload.
 
-    Every server has told that it is full, and each request asked four of
-    them, two in other data centres, to hear the same again.
+    Although every server reported that it was full, each request was tried at
+    four of them, two in other data centres, and refused each time.
     """
     statistics = FleetStatistics()
     near, far = build_record('a'), build_record('b', data_centre='coventry')
@@ -259,19 +273,19 @@
         full = structs.replace(build_answer(in_flight=60), slot_seconds=0.1)
         statistics.find(record.instance, now=NOW).note_answer(full, now=NOW)
     chooser = make_chooser(ChoiceName.expected_time)
-    need = Need(
+    request = RequestContext(
         data_centre=near.data_centre,
         work_class='check',
         slack_seconds=0.2,
     )
     choose = partial(chooser.choose, statistics=statistics, now=NOW)
-    assert choose((near, far), need=need) is not None
-    refused = structs.replace(need, may_wait=True)
-    assert choose((near, far), need=refused) is None
+    assert choose((near, far), request=request) is not None
+    refused = structs.replace(request, may_wait=True)
+    assert choose((near, far), request=refused) is None
 
 
-def test_upstreams_that_are_gone_are_forgotten() -> None:
-    """Servers come and go for months, and the entry's memory grows."""
+def test_statistics_of_unlisted_upstreams_are_removed() -> None:
+    """Otherwise an entry's memory grows as servers come and go for months."""
     statistics = FleetStatistics()
     for name in 'abc':
         statistics.note_start(InstanceId(name), born=1, now=NOW)
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -20,7 +20,7 @@
 from wagtaildale.admission.server_messages import RateReported, SlotsPublished
 from wagtaildale.admission.capacity import compute_pass_share
 from wagtaildale.admission.state import make_admission
-from wagtaildale.routing.known_limits import NamedLimit
+from wagtaildale.routing.known_limits import ServerLimit
 from wagtaildale.routing.upstream import OwnerReport
 from wagtaildale.types import Incarnation
 
@@ -183,12 +183,12 @@
             queued=len(state.queue),
             slot_seconds=state.slot_seconds,
             class_seconds=usual.recent,
-            class_usual=usual.reliable_mean,
+            class_usual_seconds=usual.reliable_mean,
             code=code,
-            named=self.describe_limit(),
+            server_limit=self.describe_limit(),
         )
 
-    def describe_limit(self) -> NamedLimit | None:
+    def describe_limit(self) -> ServerLimit | None:
         """Say how many requests the backend server takes.
 
         Returns:
@@ -197,7 +197,7 @@
         state = self.state
         if not state.rate.is_observed:
             return None
-        return NamedLimit(
+        return ServerLimit(
             per_second=state.rate.per_second,
             share=compute_pass_share(state, now=self._clock.now),
         )
