--- a/properties/test_distribution.py
+++ b/properties/test_distribution.py
@@ -79,7 +79,7 @@
     def publish(self, services: int, within_ms: int) -> None:
         self.version += 1
         self.valid_versions.add(self.version)
-        self.network.source.show(
+        self.network.source.publish(
             build_configuration(
                 self.version,
                 services=SERVICES[:services],
@@ -120,14 +120,14 @@
         name = self._pick(choice)
         known = self._find_suspects(name).records.get(HARMFUL, NOTHING_KNOWN)
         suspicion = Suspicion(HARMFUL, known.clearings, known.ends + 1)
-        self.network.tell(name, EndsNoted((suspicion,)))
+        self.network.dispatch(name, EndsNoted((suspicion,)))
 
     @rule(choice=st.integers(0, 5))
     def answer(self, choice: int) -> None:
         """Let a server answer the harmful request."""
         name = self._pick(choice)
         if self._find_suspects(name).get_snapshot().find(HARMFUL).ends:
-            self.network.tell(name, RequestAnswered(HARMFUL))
+            self.network.dispatch(name, RequestAnswered(HARMFUL))
 
     @rule(down=st.booleans())
     def toggle_source(self, down: bool) -> None:
@@ -142,16 +142,16 @@
     def read_source(self, choice: int) -> None:
         self.network.read_source(self._pick(choice))
 
-    @precondition(lambda self: self.network.flying)
+    @precondition(lambda self: self.network.in_flight)
     @rule(choice=st.integers(0, 1000), keep=st.booleans())
     def deliver(self, choice: int, keep: bool) -> None:
-        index = choice % len(self.network.flying)
+        index = choice % len(self.network.in_flight)
         self.network.deliver(index, keep=keep)
 
-    @precondition(lambda self: self.network.flying)
+    @precondition(lambda self: self.network.in_flight)
     @rule(choice=st.integers(0, 1000))
     def lose(self, choice: int) -> None:
-        self.network.flying.pop(choice % len(self.network.flying))
+        self.network.in_flight.pop(choice % len(self.network.in_flight))
 
     @rule(one=st.integers(0, 5), other=st.integers(0, 5))
     def cut(self, one: int, other: int) -> None:
@@ -172,22 +172,22 @@
     @rule(choice=st.integers(0, 5))
     def wake(self, choice: int) -> None:
         self.network.now += PAUSE_SECONDS
-        self.network.wake(self._pick(choice), late_by=PAUSE_SECONDS)
+        self.network.resume(self._pick(choice), late_by=PAUSE_SECONDS)
 
     @precondition(lambda self: self.has_active_nodes_beyond(count=1))
     @rule(choice=st.integers(0, 5))
     def leave(self, choice: int) -> None:
         """Let a node leave unless it is the last, which has to read."""
-        self.network.tell(self._pick(choice), Leave())
+        self.network.dispatch(self._pick(choice), Leave())
 
     @rule()
     def pass_round(self) -> None:
-        self.network.pass_round()
+        self.network.run_round()
 
     @invariant()
     def versions_never_go_back(self) -> None:
         for node in self.network.nodes.values():
-            for seen in node.seen.values():
+            for seen in node.held_versions.values():
                 assert seen == sorted(set(seen))
 
     @invariant()
@@ -201,14 +201,14 @@
         self.network.heal()
         self.network.source.down = False
         for instance in self.network.nodes:
-            self.network.wake(instance, late_by=PAUSE_SECONDS)
+            self.network.resume(instance, late_by=PAUSE_SECONDS)
         self._list(find_revision(self._find_listed()) + 1, len(NAMES))
         self.publish(services=2, within_ms=150)
         self.network.settle(rounds=90)
         assert self.network.is_converged()
         rounds_left = AGREEMENT_ROUNDS
         while rounds_left:
-            self.network.pass_round()
+            self.network.run_round()
             rounds_left -= 1
         # All nodes agree on the restricted requests.
         checksums = {
@@ -223,12 +223,12 @@
 
     def _find_listed(self) -> Version:
         source = self.network.source
-        return source.shown[Kind.instances].version
+        return source.published[Kind.instances].version
 
     def _list(self, revision: int, listed: int) -> None:
         version = make_version(Era(self.era), revision=revision)
         records = self.network.records[:listed]
-        self.network.source.show(build_instances(*records, version=version))
+        self.network.source.publish(build_instances(*records, version=version))
 
     def _show(self, version: int, part: bytes) -> None:
         document = make_document(
@@ -236,7 +236,7 @@
             version=Version(version),
             blobs={'casefiles': part},
         )
-        self.network.source.show(document)
+        self.network.source.publish(document)
 
     def _pick(self, choice: int) -> InstanceId:
         names = tuple(self.network.nodes)
--- a/wagtaildale/calls/tests/fleets.py
+++ b/wagtaildale/calls/tests/fleets.py
@@ -50,7 +50,7 @@
     def show(self, *records: InstanceRecord) -> None:
         """Show the instance records of these servers to every node."""
         for node in self.nodes:
-            node.show(*records)
+            node.set_instances(*records)
 
     def ask(self, path: str, *, entry: int = 0, method: str = 'GET') -> bytes:
         """Send a request to an entry and return the raw response."""
@@ -66,7 +66,7 @@
         record = self.records[number]
         self.owners[number].close()
         self.owners[number] = self._make_node(record)
-        self.owners[number].show(*self.records)
+        self.owners[number].set_instances(*self.records)
 
     def close(self) -> None:
         for node in self.nodes:
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -20,7 +20,7 @@
     encode_frame,
 )
 from wagtaildale.errors.codes import Code
-from wagtaildale.testing.mesh import BACKEND_PORT, MeshNode, build_pair
+from wagtaildale.testing.mesh import BACKEND_PORT, MeshNode, build_record_pair
 from wagtaildale.types import CallNumber, Incarnation, InstanceId, RequestId
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     """
 
     def __init__(self) -> None:
-        near_record, far_record = build_pair()
+        near_record, far_record = build_record_pair()
         self.backend = HostedBackend(
             'b',
             host=far_record.host,
@@ -46,7 +46,7 @@
         )
         self.near = MeshNode(near_record)
         self.far = MeshNode(far_record)
-        self.near.show(far_record)
+        self.near.set_instances(far_record)
 
     def close(self) -> None:
         self.near.close()
--- a/wagtaildale/calls/tests/replaced_servers.py
+++ b/wagtaildale/calls/tests/replaced_servers.py
@@ -82,7 +82,7 @@
         self.owners = [_make_node(record) for record in self.records]
         self.entry = _make_node(build_record('e', host='127.0.9.29'))
         for node in (self.entry, *self.owners):
-            node.show(*self.records)
+            node.set_instances(*self.records)
 
     def publish_health_path(self) -> None:
         """Publish a configuration that names the path of the health check."""
--- a/wagtaildale/calls/tests/test_crashing_servers.py
+++ b/wagtaildale/calls/tests/test_crashing_servers.py
@@ -167,8 +167,8 @@
         for record in fleet.records
     ]
     for owner in fleet.owners:
-        owner.show(*leaving)
+        owner.set_instances(*leaving)
     for entry in fleet.entries:
-        entry.show(*fleet.records)
+        entry.set_instances(*fleet.records)
     fleet.ask(FATAL)
     assert not fleet.suspects.table.records
--- a/wagtaildale/calls/tests/test_dialect.py
+++ b/wagtaildale/calls/tests/test_dialect.py
@@ -65,7 +65,7 @@
     """A node beside its backend server, without a configuration so far."""
     record = build_record('i-7', host=HOST)
     created = MeshNode(record, mesh_text='', dialect=PLATFORM_DIALECT)
-    created.show(record)
+    created.set_instances(record)
     yield created
     created.close()
 
@@ -123,7 +123,7 @@
 ) -> None:
     """Callers of a service without any server retry in a tight loop."""
     node.publish(MESH_TEXT)
-    node.show()
+    node.set_instances()
     answer = send_request(node)
     assert answer.startswith(b'HTTP/1.1 503')
     assert float(find_field(answer, b'retry-after')[0]) >= 0.1
--- a/wagtaildale/calls/tests/test_entry.py
+++ b/wagtaildale/calls/tests/test_entry.py
@@ -29,7 +29,7 @@
 
 
 def test_response_from_own_backend_server(pair: Pair) -> None:
-    pair.far.show(pair.far.record)
+    pair.far.set_instances(pair.far.record)
     connection = HTTPConnection(*pair.far.entry, timeout=TIMEOUT_SECONDS)
     connection.request('GET', '/files/7')
     assert connection.getresponse().status == 200
@@ -208,7 +208,7 @@
     one rejects it.
     """
     old = structs.replace(pair.far.record, instance=InstanceId('gone'))
-    pair.near.show(old)
+    pair.near.set_instances(old)
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.wrong_instance
     assert response.headers[OUTCOME_HEADER].startswith('not-run')
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -30,7 +30,7 @@
     """A second owner, which rejects every request."""
     node = MeshNode(build_record('c', host='127.0.9.3'))
     node.drain()
-    pair.near.show(pair.far.record, node.record)
+    pair.near.set_instances(pair.far.record, node.record)
     yield node
     node.close()
 
@@ -92,7 +92,9 @@
     with ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/files/1')
         wait_until(lambda: bool(far.gate.state.queue))
-        far.show(structs.replace(far.record, state=ListedState.leaving))
+        far.set_instances(
+            structs.replace(far.record, state=ListedState.leaving)
+        )
         for ticket in held:
             free_slot(far, ticket)
         response, _text = asked.result(TIMEOUT_SECONDS)
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -102,7 +102,7 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
-        pair.near.show(pair.far.record, other)
+        pair.near.set_instances(pair.far.record, other)
         backend.faults.service_ms = 40
         while pair.backend.counts.runs < 40:
             pair.ask('GET', '/files/7')
@@ -125,7 +125,7 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
-        pair.near.show(pair.far.record, other)
+        pair.near.set_instances(pair.far.record, other)
         pair.backend.faults.close_share = 1
         for claim in range(20):
             response, _text = pair.ask('GET', f'/files/{claim}')
@@ -236,7 +236,7 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
-        pair.near.show(pair.far.record, other)
+        pair.near.set_instances(pair.far.record, other)
         pair.backend.faults.draining = True
         statuses = {
             pair.ask('GET', f'/files/{claim}')[0].status for claim in range(10)
@@ -345,7 +345,7 @@
         pair.far.record,
         data_centre=DataCentre('coventry'),
     )
-    pair.near.show(*gone, far)
+    pair.near.set_instances(*gone, far)
     statuses = [
         pair.ask('GET', f'/files/{claim}')[0].status for claim in range(30)
     ]
--- a/wagtaildale/calls/tests/test_server_end_detector.py
+++ b/wagtaildale/calls/tests/test_server_end_detector.py
@@ -54,7 +54,7 @@
         self.answered = RecentAnswers()
         self.resolved: list[int] = []
         self.detector = ServerEndDetector(
-            self.suspects.make_board(),
+            self.suspects.make_holder(),
             node=InstanceId('n-1'),
             answered=self.answered,
             recorder=self.recorder,
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -140,7 +140,7 @@
     with backend, MeshNode(other), ThreadPoolExecutor() as executor:
         submitted = executor.submit(pair_without_owner.ask, 'GET', '/files/1')
         assert owner.has_run.wait(TIMEOUT_SECONDS)
-        near.show(pair_without_owner.far.record, other)
+        near.set_instances(pair_without_owner.far.record, other)
         response, text = submitted.result(TIMEOUT_SECONDS)
         assert response.status == 200
         assert json.decode(text)['by'] == 'c'
@@ -165,7 +165,9 @@
                 pair_without_owner.ask, 'GET', '/files/1'
             )
             wait_until(lambda: owner.unanswered_pings >= SILENT_PINGS)
-            pair_without_owner.near.show(pair_without_owner.far.record, other)
+            pair_without_owner.near.set_instances(
+                pair_without_owner.far.record, other
+            )
             response, text = submitted.result(TIMEOUT_SECONDS)
     assert response.status == 200
     assert json.decode(text)['by'] == 'c'
--- a/wagtaildale/calls/tests/test_slow_servers.py
+++ b/wagtaildale/calls/tests/test_slow_servers.py
@@ -49,6 +49,6 @@
 
 
 def test_node_learns_that_its_own_server_slows_down(pair: Pair) -> None:
-    pair.far.show(pair.far.record)
+    pair.far.set_instances(pair.far.record)
     set_slowness(pair, SLOWNESS_RATIO)
     assert find_slowness(pair.far, pair) > SLOWNESS_RATIO / 2
--- a/wagtaildale/calls/tests/test_transit.py
+++ b/wagtaildale/calls/tests/test_transit.py
@@ -43,7 +43,7 @@
         (record.host, PROXY_PORT),
         target=(record.host, record.owner_port),
     )
-    pair.near.show(structs.replace(record, owner_port=PROXY_PORT))
+    pair.near.set_instances(structs.replace(record, owner_port=PROXY_PORT))
     yield created
     created.close()
 
--- a/wagtaildale/distribution/tests/networks.py
+++ b/wagtaildale/distribution/tests/networks.py
@@ -28,7 +28,7 @@
         data_centres=data_centres,
         tuning=tuning,
     )
-    network.source.show(build_configuration(1))
+    network.source.publish(build_configuration(1))
     network.settle()
     assert_held(network, 1)
     return network
@@ -47,7 +47,7 @@
 
 def offer(network: FakeNetwork, document: Document) -> None:
     """Let every node read a document at the same time, and let it spread."""
-    network.source.show(document)
+    network.source.publish(document)
     for instance in network.nodes:
         network.read_source(instance)
     network.settle()
--- a/wagtaildale/distribution/tests/test_appointments.py
+++ b/wagtaildale/distribution/tests/test_appointments.py
@@ -30,13 +30,13 @@
     readers = find_topology(network.nodes[A].state.members).readers[:2]
     for reader in readers:
         network.nodes[reader].running = False
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     network.settle()
     assert network.is_converged()
     for reader in readers:
         network.restart(reader)
     for _second in range(60):
-        network.pass_round()
+        network.run_round()
     appointed = [name for name, node in network.nodes.items() if node.watching]
     assert set(appointed) == set(readers)
 
@@ -65,7 +65,7 @@
     """
     network = build_slow_network(InstanceId(fast))
     for _round in range(30):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
     assert list_readers(network) == [fast]
 
 
@@ -73,11 +73,11 @@
     """Changes are never read after the only node on a fast line dies."""
     network = build_slow_network(A)
     for _round in range(30):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
     network.nodes[A].running = False
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     for _round in range(10):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
     assert {
         read_version(network.nodes[InstanceId(name)]) for name in 'bcd'
     } == {2}
@@ -99,11 +99,11 @@
     network.restart(best)
     network.nodes[best].running = False
     listed = [each for each in network.records if each.instance != best]
-    network.source.show(build_instances(*listed, version=2))
+    network.source.publish(build_instances(*listed, version=2))
     for _round in range(30):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
     assert list_readers(network) == [fast]
-    network.source.show(build_instances(*network.records, version=3))
+    network.source.publish(build_instances(*network.records, version=3))
     for _round in range(5):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
         assert fast in list_readers(network)
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -33,7 +33,7 @@
     for one in sides[0]:
         for other in sides[1]:
             network.cut(one, other)
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     for _second in range(60):
         network.now += HOUR / 60
         for instance in network.nodes:
@@ -65,10 +65,10 @@
     """
     network = build_network()
     network.nodes[B].paused = True
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     for _second in range(30):
-        network.pass_round()
-    network.wake(B, late_by=30)
+        network.run_round()
+    network.resume(B, late_by=30)
     assert not network.nodes[B].state.pushes
     network.settle()
     assert_held(network, 2)
@@ -85,14 +85,14 @@
     network = build_network(8, tuning=Tuning(fan_out=1, readers=1))
     order = find_topology(network.nodes[A].state.members).tree
     network.nodes[order[1]].running = False
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     for name in network.nodes:
         network.read_source(name)
     network.flush()
     for _wait in range(6):
         network.now += 0.3
         for name in network.nodes:
-            network.tell(name, messages.DeadlineReached())
+            network.dispatch(name, messages.DeadlineReached())
         network.flush()
     held = {
         name: read_version(node)
@@ -106,11 +106,11 @@
     network = build_network()
     network.nodes[B].running = False
     for _second in range(20):
-        network.pass_round()
+        network.run_round()
     assert B in network.nodes[A].state.members.list_away()
     network.restart(B)
     for _second in range(30):
-        network.pass_round()
+        network.run_round()
     assert B not in network.nodes[A].state.members.list_away()
 
 
@@ -122,18 +122,18 @@
     network = build_network()
     network.nodes[B].paused = True
     for _second in range(20):
-        network.pass_round()
+        network.run_round()
     assert B in network.nodes[A].state.members.list_away()
-    network.wake(B, late_by=20)
+    network.resume(B, late_by=20)
     for _second in range(30):
-        network.pass_round()
+        network.run_round()
     for node in network.nodes.values():
         assert not node.state.members.list_away()
 
 
 def test_leaving_node_is_known_to_all_immediately() -> None:
     network = build_network(8)
-    network.tell(B, messages.Leave())
+    network.dispatch(B, messages.Leave())
     network.flush()
     for name, node in network.nodes.items():
         if name != B:
@@ -142,7 +142,7 @@
 
 def test_instance_removed_from_the_list_is_dropped() -> None:
     network = build_network(3)
-    network.source.show(build_instances(*network.records[:2], version=2))
+    network.source.publish(build_instances(*network.records[:2], version=2))
     network.settle()
     assert InstanceId('c') not in network.nodes[A].state.members.records
 
@@ -150,9 +150,9 @@
 def test_reply_to_a_swap_gets_no_reply() -> None:
     network = build_network(2)
     body = network.nodes[B].state.make_swap(network.now, is_reply=True)
-    network.flying.clear()
-    network.tell(A, network.wrap(B, to=A, body=body))
-    assert not network.flying
+    network.in_flight.clear()
+    network.dispatch(A, network.wrap(B, to=A, body=body))
+    assert not network.in_flight
 
 
 def test_pulled_version_is_pushed_to_the_root() -> None:
@@ -171,7 +171,7 @@
     )
     delta = make_delta(build_configuration(1), target=target)
     body = Push(delta, holding, bypasses_tree=True)
-    network.tell(leaf, network.wrap(root, to=leaf, body=body))
+    network.dispatch(leaf, network.wrap(root, to=leaf, body=body))
     network.flush()
     assert_held(network, 2)
 
@@ -183,9 +183,9 @@
     """
     network = build_network(6)
     readers = find_topology(network.nodes[A].state.members).readers
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     network.read_source(readers[0])
-    network.flying.clear()
+    network.in_flight.clear()
     network.nodes[readers[0]].running = False
     network.settle()
     assert network.is_converged()
@@ -199,11 +199,11 @@
         for other in sides[1]:
             network.cut(one, other)
     for version in (2, 3):
-        network.source.show(build_configuration(version))
+        network.source.publish(build_configuration(version))
         for _second in range(30):
-            network.pass_round()
+            network.run_round()
         assert_held(network, version)
     network.heal()
-    network.source.show(build_configuration(4))
+    network.source.publish(build_configuration(4))
     network.settle()
     assert_held(network, 4)
--- a/wagtaildale/distribution/tests/test_delays.py
+++ b/wagtaildale/distribution/tests/test_delays.py
@@ -30,14 +30,14 @@
         data_centres=('derby',),
         tuning=make_tuning(apply_seconds=APPLY_SECONDS),
     )
-    network.source.show(build_configuration(1))
+    network.source.publish(build_configuration(1))
     network.settle()
     for _round in range(ROUNDS):
-        network.pass_round()
+        network.run_round()
     reader, other = sorted(network.nodes, key=network.is_idle)
     network.read_source(reader)
     sent_at = network.now
-    assert any(each.to == other for each in network.flying)
+    assert any(each.to == other for each in network.in_flight)
     network.now += DELAY_SECONDS
     network.flush()
     fresh = network.nodes[other].state.freshness[Kind.configuration]
--- a/wagtaildale/distribution/tests/test_handover.py
+++ b/wagtaildale/distribution/tests/test_handover.py
@@ -198,11 +198,11 @@
     """
     fleet = WatchedFleet(NODES, slow=SLOW_NAMES)
     records = fleet.network.records
-    fleet.network.source.show(build_instances(version=1))
+    fleet.network.source.publish(build_instances(version=1))
     most = 0
     for count in range(NODES):
         listing = build_instances(*records[:count], version=count + 1)
-        fleet.network.source.show(listing)
+        fleet.network.source.publish(listing)
         fleet.pass_time(LIST_INTERVAL_SECONDS)
         most = max(most, len(fleet.watchers))
     assert most <= 2 * len(FAST_NUMBERS)
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -45,10 +45,10 @@
     """
     network = build_network()
     offer(network, build_configuration(4))
-    network.source.show(build_configuration(2, within_ms=100))
+    network.source.publish(build_configuration(2, within_ms=100))
     network.restart(B)
     for _second in range(15):
-        network.pass_round()
+        network.run_round()
     assert read_version(network.nodes[B]) == 4
     assert network.nodes[B].state.members.state is NodeState.ready
 
@@ -74,7 +74,7 @@
     network.source.down = True
     network.restart(B)
     for _round in range(ROUNDS_TO_JOIN):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
     assert read_version(network.nodes[B]) == 1
     assert network.nodes[B].state.members.state is NodeState.ready
 
@@ -88,7 +88,7 @@
     for name in tuple(network.nodes):
         network.restart(name)
     for _round in range(ROUNDS_TO_JOIN):
-        network.pass_round(seconds=ROUND_SECONDS)
+        network.run_round(seconds=ROUND_SECONDS)
     states = {node.state.members.state for node in network.nodes.values()}
     assert states == {NodeState.ready}
 
@@ -109,9 +109,9 @@
     network = build_network(tuning=make_tuning(apply_seconds=2.0))
     for name in tuple(network.nodes):
         network.restart(name)
-    network.pass_round(seconds=0)
+    network.run_round(seconds=0)
     for _round in range(5):
-        network.pass_round(seconds=0.05)
+        network.run_round(seconds=0.05)
     states = {node.state.members.state for node in network.nodes.values()}
     assert states == {NodeState.ready}
 
@@ -122,7 +122,7 @@
     network.restart(B)
     state = network.nodes[B].state
     assert find_wait(state, now=network.now) == 0
-    network.tell(B, messages.DeadlineReached())
+    network.dispatch(B, messages.DeadlineReached())
     assert find_wait(state, now=network.now) <= 0.05
 
 
@@ -138,11 +138,11 @@
         network.restart(name)
     before = network.source.reads[Kind.configuration.name]
     for _round in range(200):
-        network.pass_round(seconds=0.05)
+        network.run_round(seconds=0.05)
     reads = network.source.reads[Kind.configuration.name] - before
     assert reads <= 35 * len(network.nodes)
     network.source.down = False
     for _round in range(20):
-        network.pass_round(seconds=0.05)
+        network.run_round(seconds=0.05)
     states = {node.state.members.state for node in network.nodes.values()}
     assert states == {NodeState.ready}
--- a/wagtaildale/distribution/tests/test_lapses.py
+++ b/wagtaildale/distribution/tests/test_lapses.py
@@ -26,7 +26,7 @@
 
 def build_network() -> FakeNetwork:
     network = FakeNetwork(NAMES, data_centres=('derby',))
-    network.source.show(build_configuration(1))
+    network.source.publish(build_configuration(1))
     network.settle()
     return network
 
@@ -43,7 +43,7 @@
 def simulate_outage(network: FakeNetwork, *, seconds: int) -> None:
     network.source.down = True
     for _second in range(seconds):
-        network.pass_round()
+        network.run_round()
     network.source.down = False
 
 
@@ -60,11 +60,11 @@
     """
     network = build_network()
     simulate_outage(network, seconds=OUTAGE_SECONDS)
-    network.source.show(list_without(network, *NAMES[1:]))
+    network.source.publish(list_without(network, *NAMES[1:]))
     network.settle()
     for name in network.nodes:
         assert list_known(network, name) == set(NAMES)
-    network.source.show(build_instances(*network.records, version=3))
+    network.source.publish(build_instances(*network.records, version=3))
     network.settle()
     assert not network.nodes[A].state.lapses.retained
     assert list_known(network, A) == set(NAMES)
@@ -78,11 +78,11 @@
     """
     network = build_network()
     simulate_outage(network, seconds=OUTAGE_SECONDS)
-    network.source.show(list_without(network, D))
-    network.pass_round(seconds=0.1)
+    network.source.publish(list_without(network, D))
+    network.run_round(seconds=0.1)
     assert D in list_known(network, A)
-    network.pass_round(seconds=RELIST_SECONDS)
-    network.pass_round(seconds=0.1)
+    network.run_round(seconds=RELIST_SECONDS)
+    network.run_round(seconds=0.1)
     assert D not in list_known(network, A)
 
 
@@ -93,8 +93,8 @@
     left.
     """
     network = build_network()
-    network.pass_round()
-    network.source.show(list_without(network, D))
+    network.run_round()
+    network.source.publish(list_without(network, D))
     network.settle()
     assert D not in list_known(network, A)
 
@@ -110,10 +110,10 @@
         network.records[-1],
         state=ListedState.leaving,
     )
-    network.source.show(build_instances(*network.records, version=2))
+    network.source.publish(build_instances(*network.records, version=2))
     network.settle()
     simulate_outage(network, seconds=OUTAGE_SECONDS)
-    network.source.show(list_without(network, D, version=3))
+    network.source.publish(list_without(network, D, version=3))
     network.settle()
     assert D not in list_known(network, A)
 
@@ -131,7 +131,7 @@
         node=D,
     )
     listed = [*network.records[:-1], successor]
-    network.source.show(build_instances(*listed, version=2))
+    network.source.publish(build_instances(*listed, version=2))
     network.settle()
     assert not network.nodes[A].state.lapses.retained
 
@@ -150,7 +150,7 @@
     simulate_outage(network, seconds=OUTAGE_SECONDS)
     shorter = list_without(network, D)
     node = network.nodes[A]
-    network.source.show(shorter)
+    network.source.publish(shorter)
     effects = []
     for reader in network.nodes:
         network.read_source(reader)
--- a/wagtaildale/distribution/tests/test_returns.py
+++ b/wagtaildale/distribution/tests/test_returns.py
@@ -30,7 +30,7 @@
     made = build_network(6, data_centres=('derby', 'coventry'))
     made.settle()
     show_list(made, made.records, era=1, revision=COPY_REVISION - 1)
-    made.pass_round(seconds=2 * RELIST_SECONDS)
+    made.run_round(seconds=2 * RELIST_SECONDS)
     return made
 
 
@@ -42,7 +42,7 @@
     revision: int,
 ) -> None:
     version = make_version(Era(era), revision=revision)
-    network.source.show(build_instances(*records, version=version))
+    network.source.publish(build_instances(*records, version=version))
     network.settle()
 
 
@@ -105,7 +105,7 @@
     show_list(network, gone, era=1, revision=LATE_REVISION)
     show_list(network, live, era=2, revision=COPY_REVISION)
     for _second in range(HOLD_ROUNDS):
-        network.pass_round()
+        network.run_round()
     assert list_states(network) == {ListedState.live}
 
 
@@ -127,7 +127,7 @@
     older = [record for record in network.records if record.instance != D]
     show_list(network, older, era=2, revision=COPY_REVISION)
     assert list_states(network) == {ListedState.live}
-    network.pass_round(seconds=2 * RELIST_SECONDS)
+    network.run_round(seconds=2 * RELIST_SECONDS)
     assert list_states(network) == {None}
 
 
--- a/wagtaildale/distribution/tests/test_sources.py
+++ b/wagtaildale/distribution/tests/test_sources.py
@@ -21,13 +21,13 @@
     )
     reported: list[Code] = []
     for _read in range(3):
-        network.tell(A, failed)
+        network.dispatch(A, failed)
         reported.extend(list_source_changes(network))
     answered = messages.SourceConfirmed(
         kind=Kind.configuration,
         version=Version(1),
     )
-    network.tell(A, answered)
+    network.dispatch(A, answered)
     reported.extend(list_source_changes(network))
     assert reported == [Code.source_unreachable, Code.ok]
 
@@ -47,5 +47,5 @@
         blobs=(),
         missing=(Digest(b'gone'),),
     )
-    network.tell(A, read)
+    network.dispatch(A, read)
     assert list_source_changes(network) == [Code.part_missing]
--- a/wagtaildale/distribution/tests/test_suspicions.py
+++ b/wagtaildale/distribution/tests/test_suspicions.py
@@ -34,7 +34,7 @@
 
 def report_ends(network: FakeNetwork, node: InstanceId, ends: int) -> None:
     suspicion = build_suspicion(ends=ends)
-    network.tell(node, EndsNoted((suspicion,)))
+    network.dispatch(node, EndsNoted((suspicion,)))
 
 
 def list_ends(network: FakeNetwork) -> list[int]:
@@ -47,7 +47,7 @@
 
 def pass_time(network: FakeNetwork) -> None:
     for _second in range(SECONDS):
-        network.pass_round()
+        network.run_round()
 
 
 @pytest.mark.parametrize('ends', [1, 2, 3])
@@ -89,7 +89,7 @@
     """A harmless request is refused after it was answered at another node."""
     report_ends(network, A, 3)
     network.flush()
-    network.tell(B, RequestAnswered(FINGERPRINT))
+    network.dispatch(B, RequestAnswered(FINGERPRINT))
     network.flush()
     assert set(list_ends(network)) == {0}
 
@@ -98,7 +98,7 @@
     """A popular request is blamed for ends although it was answered between."""
     report_ends(network, A, 1)
     network.flush()
-    network.tell(B, RequestAnswered(FINGERPRINT))
+    network.dispatch(B, RequestAnswered(FINGERPRINT))
     network.flush()
     report_ends(network, A, 2)
     network.flush()
--- a/wagtaildale/distribution/tests/test_swaps.py
+++ b/wagtaildale/distribution/tests/test_swaps.py
@@ -41,7 +41,7 @@
     peer = find_topology(members).neighbours[0]
     assert not note_missed(members, peer=peer, now=network.now)
     reply = Swap((), is_reply=True)
-    network.tell(own, network.wrap(peer, to=own, body=reply))
+    network.dispatch(own, network.wrap(peer, to=own, body=reply))
     assert not note_missed(members, peer=peer, now=network.now)
     assert note_missed(members, peer=peer, now=network.now + 1)
 
--- a/wagtaildale/distribution/tests/test_version_origins.py
+++ b/wagtaildale/distribution/tests/test_version_origins.py
@@ -30,7 +30,7 @@
     listing = build_instances(*network.records[:-1], version=2)
     blobs = tuple(listing.blobs.values())
     read = messages.SourceRead(outline=make_outline(listing), blobs=blobs)
-    network.tell(reader, read)
+    network.dispatch(reader, read)
     assert list_origins(network) == {reader: None}
     network.deliver(0)
     origins = list_origins(network)
--- a/wagtaildale/distribution/tests/test_versions.py
+++ b/wagtaildale/distribution/tests/test_versions.py
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize('count', [1, 2, 5, 8])
 def test_version_reaches_every_node(count: int) -> None:
     network = build_network(count)
-    network.source.show(build_configuration(2))
+    network.source.publish(build_configuration(2))
     network.settle()
     assert_held(network, 2)
 
@@ -111,17 +111,17 @@
     earlier = make_delta(versions[0], target=versions[1])
     state = network.nodes[A].state
     holding = state.describe_holding(Kind.configuration, network.now)
-    network.source.show(versions[2])
+    network.source.publish(versions[2])
     network.nodes[B].watching.add(Kind.configuration)
     network.read_source(B)
-    network.flying.clear()
+    network.in_flight.clear()
     for delta in (later, earlier):
         body = Push(delta, holding)
-        network.tell(A, network.wrap(B, to=A, body=body))
+        network.dispatch(A, network.wrap(B, to=A, body=body))
     network.settle()
     assert_held(network, 3)
-    assert network.nodes[A].seen[Kind.configuration] == sorted(
-        network.nodes[A].seen[Kind.configuration],
+    assert network.nodes[A].held_versions[Kind.configuration] == sorted(
+        network.nodes[A].held_versions[Kind.configuration],
     )
 
 
@@ -133,7 +133,7 @@
     delta.changed['casefiles'] = build_part('casefiles', within_ms=6)
     state = network.nodes[A].state
     holding = state.describe_holding(Kind.configuration, network.now)
-    network.tell(A, network.wrap(B, to=A, body=Push(delta, holding)))
+    network.dispatch(A, network.wrap(B, to=A, body=Push(delta, holding)))
     assert_held(network, 1)
 
 
@@ -145,11 +145,11 @@
     """
     network = build_network(3)
     document = build_configuration(2, within_ms=77)
-    network.source.show(document)
+    network.source.publish(document)
     hidden = dict(network.source.blobs)
     network.source.blobs.clear()
     for _second in range(10):
-        network.pass_round()
+        network.run_round()
     assert_held(network, 1)
     network.source.blobs.update(hidden)
     network.settle()
@@ -170,13 +170,13 @@
         within_ms=99,
     )
     hidden = second.blobs['intake']
-    network.source.show(second)
+    network.source.publish(second)
     network.source.blobs.pop(second.entries['intake'])
     network.read_source(A)
-    network.source.show(third)
+    network.source.publish(third)
     network.read_source(A)
     late = messages.SourceBlobs(kind=Kind.configuration, blobs=(hidden,))
-    network.tell(A, late)
+    network.dispatch(A, late)
     held = network.nodes[A].state.stores[Kind.configuration].held
     assert held.digest == third.digest
-    assert network.nodes[A].seen[Kind.configuration] == [1, 3]
+    assert network.nodes[A].held_versions[Kind.configuration] == [1, 3]
--- a/wagtaildale/distribution/tests/watched_fleet.py
+++ b/wagtaildale/distribution/tests/watched_fleet.py
@@ -58,7 +58,7 @@
             data_centres=(NEAR, FAR),
             tuning=make_tuning(apply_seconds=DRAIN_SECONDS),
         )
-        self.network.source.show(build_configuration(1))
+        self.network.source.publish(build_configuration(1))
         self.near = rank_instances(
             'reader',
             instances=map(InstanceId, names[::2]),
@@ -91,7 +91,7 @@
 
     def leave(self, instance: InstanceId) -> None:
         """Begin the planned stop of a node."""
-        self.network.tell(instance, messages.Leave())
+        self.network.dispatch(instance, messages.Leave())
 
     def publish_leaving(self, instance: InstanceId) -> Version:
         """Mark a server as leaving in the platform's list.
@@ -105,7 +105,7 @@
             for record in self.network.records
         ]
         listing = build_instances(*self.network.records, version=version)
-        self.network.source.show(listing)
+        self.network.source.publish(listing)
         return version
 
     def measure_spread(self, version: Version) -> float:
@@ -155,8 +155,8 @@
             steps = round(seconds / STEP_SECONDS)
             if (self._steps + number) % steps == 0:
                 tick = Tick(name=timer, now=self.network.now)
-                self.network.tell(name, tick)
-        self.network.tell(name, messages.DeadlineReached())
+                self.network.dispatch(name, tick)
+        self.network.dispatch(name, messages.DeadlineReached())
 
     def _watch(self, name: InstanceId) -> None:
         node = self.network.nodes[name]
@@ -181,11 +181,11 @@
             self._watch_began[name] = now
             self._next_read_at[name] = now + tuning.gather_seconds
             for document in shown:
-                self.network.tell(name, _read(document))
+                self.network.dispatch(name, _read(document))
         elif now - began >= tuning.watch_seconds:
             self._watch_began[name] = now
             for document in shown:
-                self.network.tell(name, _confirm(document))
+                self.network.dispatch(name, _confirm(document))
 
 
 def suspect_node(network: FakeNetwork, instance: InstanceId) -> None:
@@ -199,7 +199,7 @@
 
 
 def _find_shown(network: FakeNetwork, kind: Kind) -> Document:
-    return network.source.shown[kind]
+    return network.source.published[kind]
 
 
 def _read_list_version(node: FakeNode) -> Version:
--- a/wagtaildale/lifecycle/tests/test_owner_stop.py
+++ b/wagtaildale/lifecycle/tests/test_owner_stop.py
@@ -97,13 +97,13 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other), ThreadPoolExecutor(2) as executor:
-        pair.near.show(relayed)
+        pair.near.set_instances(relayed)
         pair.ask('GET', '/files/1')
         returned = relay.returned_bytes
         relay.pause()
         asked = executor.submit(pair.ask, 'GET', '/files/2')
         wait_until(lambda: relay.held_bytes > 0)
-        pair.near.show(relayed, other)
+        pair.near.set_instances(relayed, other)
         ended = executor.submit(leaving.end_process)
         wait_until(lambda: ended.done() or relay.returned_bytes > returned)
         relay.resume()
@@ -161,7 +161,7 @@
     backend = HostedBackend('a', host=near.host, port=BACKEND_PORT)
     pair.near.publish(CHAIN_MESH)
     pair.far.publish(CHAIN_MESH)
-    pair.far.show(near)
+    pair.far.set_instances(near)
     pair.backend.faults.service_ms = 300
     with backend, ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/chain/1')
--- a/wagtaildale/routing/tests/test_placement.py
+++ b/wagtaildale/routing/tests/test_placement.py
@@ -124,8 +124,8 @@
         service=INTAKE,
         per_second=500,
         run_seconds=0.24,
-        within=0.62,
-        deadline=5.0,
+        target_seconds=0.62,
+        deadline_seconds=5.0,
         rank=2,
         calls='photo',
         calls_share=0.7,
@@ -136,8 +136,8 @@
         per_second=180,
         run_seconds=0.31,
         spread=0.5,
-        within=0.81,
-        deadline=5.0,
+        target_seconds=0.81,
+        deadline_seconds=5.0,
         idempotent=False,
     )
     report = LoadClass(
@@ -145,8 +145,8 @@
         service=FIELD,
         per_second=270,
         run_seconds=0.8,
-        within=2.2,
-        deadline=12.0,
+        target_seconds=2.2,
+        deadline_seconds=12.0,
         rank=2,
     )
     photo = LoadClass(
@@ -154,8 +154,8 @@
         service=FIELD,
         per_second=0,
         run_seconds=0.06,
-        within=0.26,
-        deadline=0.82,
+        target_seconds=0.26,
+        deadline_seconds=0.82,
         rank=2,
     )
     mesh = ReplayMesh((lookup, booking, report, photo), seed=seed)
@@ -167,7 +167,7 @@
     )
     mesh.add(FIELD, count=102, data_centres=PLACES, speeds=(0.6, 1.0, 1.4))
     mesh.run(WARM_UP_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     return mesh
 
 
@@ -181,7 +181,7 @@
     """
     mesh = build_fleet(seed=seed)
     mesh.run(4)
-    mesh.rest(4)
+    mesh.run_without_load(4)
     lookups = mesh.outcomes['lookup']
     assert lookups.ended > 1000
     assert lookups.share_in_time >= CALM_SHARE
@@ -196,9 +196,9 @@
     """
     mesh = build_fleet(seed=1)
     mesh.run(3)
-    mesh.rest(4)
-    assert mesh.outcomes['lookup'].share_far < 0.05
-    assert mesh.outcomes['report'].share_far < 0.05
+    mesh.run_without_load(4)
+    assert mesh.outcomes['lookup'].share_remote < 0.05
+    assert mesh.outcomes['report'].share_remote < 0.05
 
 
 def test_servers_that_are_alike_get_alike_shares() -> None:
@@ -257,7 +257,7 @@
     for server in slow:
         server.slowness = 5
     mesh.run(5)
-    mesh.rest(5)
+    mesh.run_without_load(5)
     assert mesh.outcomes['lookup'].share_in_time > 1 - 1 / 14
 
 
@@ -271,9 +271,9 @@
     for server in slow:
         server.slowness = 1
     mesh.run(4)
-    mesh.count_anew()
+    mesh.reset_counts()
     mesh.run(3)
-    mesh.rest(4)
+    mesh.run_without_load(4)
     usual = mesh.count_runs() / len(mesh.servers)
     assert sum(server.runs for server in slow) > usual * len(slow) / 2
     assert mesh.outcomes['lookup'].share_in_time >= CALM_SHARE
@@ -282,9 +282,9 @@
 def test_upstreams_that_leave_cost_no_request() -> None:
     """A fifth of each service is taken away at once, by plan."""
     mesh = build_fleet(seed=1)
-    mesh.leave(20)
+    mesh.mark_leaving(20)
     mesh.run(3)
-    mesh.rest(5)
+    mesh.run_without_load(5)
     for name in ('lookup', 'booking', 'report'):
         outcomes = mesh.outcomes[name]
         assert outcomes.ended
--- a/wagtaildale/routing/tests/test_throttling.py
+++ b/wagtaildale/routing/tests/test_throttling.py
@@ -41,8 +41,8 @@
         service=INTAKE,
         per_second=LOOKUPS_PER_SECOND * times,
         run_seconds=0.06,
-        within=0.2,
-        deadline=1.2,
+        target_seconds=0.2,
+        deadline_seconds=1.2,
         rank=2,
     )
     booking = LoadClass(
@@ -51,8 +51,8 @@
         per_second=BOOKINGS_PER_SECOND * times,
         run_seconds=0.078,
         spread=0.8,
-        within=0.25,
-        deadline=1.5,
+        target_seconds=0.25,
+        deadline_seconds=1.5,
         idempotent=False,
     )
     mesh = ReplayMesh([lookup, booking], seed=seed)
@@ -64,7 +64,7 @@
         speeds=(0.7, 0.7, 1.6),
     )
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     return mesh
 
 
@@ -73,7 +73,7 @@
     for server in list(mesh.servers.values())[:count]:
         server.limit = per_second
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
 
 
 def assert_shared_out(mesh: ReplayMesh, per_second: float) -> None:
@@ -81,7 +81,7 @@
     limited = [each for each in mesh.servers.values() if each.limit is not None]
     taken = per_second * len(limited) * SECONDS
     assert sum(each.runs for each in limited) >= TAKEN_LEAST * taken
-    assert sum(each.asked for each in limited) <= ASKED_MOST * taken
+    assert sum(each.requests_received for each in limited) <= ASKED_MOST * taken
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -127,7 +127,7 @@
     for server in mesh.servers.values():
         server.limit = None
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     mesh.run(SECONDS)
     assert mesh.outcomes[LOOKUPS].share_in_time >= 0.95
 
@@ -154,13 +154,13 @@
 ) -> None:
     """Most servers are gone, and each request is refused by three others."""
     mesh = build_mesh(seed=seed)
-    mesh.leave(gone)
+    mesh.mark_leaving(gone)
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     mesh.run(SECONDS)
     stand = list(mesh.servers.values())[gone:]
     room = sum(each.record.slots for each in stand) * SECONDS
     assert sum(each.slot_seconds for each in stand) >= 0.95 * room
     runs = sum(each.runs for each in stand)
-    assert sum(each.asked for each in stand) <= 4 * runs
+    assert sum(each.requests_received for each in stand) <= 4 * runs
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -54,7 +54,7 @@
     Example:
         >>> record = build_record('a', host='127.0.9.1')
         >>> with MeshNode(record) as node:
-        ...     node.show(record)
+        ...     node.set_instances(record)
     """
 
     def __init__(
@@ -94,7 +94,7 @@
                 recorder=self.recorder,
                 invariants=self.invariants,
                 states=[NodeState.ready],
-                suspects=(suspects or SharedSuspects()).make_board(),
+                suspects=(suspects or SharedSuspects()).make_holder(),
             ),
         )
         self._executor = ThreadPoolExecutor(1)
@@ -136,7 +136,7 @@
         )
         self.view.take_configuration(document)
 
-    def show(self, *records: InstanceRecord) -> None:
+    def set_instances(self, *records: InstanceRecord) -> None:
         """Let the node know these instances.
 
         Args:
@@ -215,7 +215,7 @@
     )
 
 
-def build_pair() -> tuple[InstanceRecord, InstanceRecord]:
+def build_record_pair() -> tuple[InstanceRecord, InstanceRecord]:
     """Build the records of two instances of one service.
 
     Returns:
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -42,7 +42,7 @@
 SEED: Final = 'seed'
 
 
-class Flying(Struct, frozen=True, kw_only=True):
+class MessageInFlight(Struct, frozen=True, kw_only=True):
     """A message under way."""
 
     sender: InstanceId
@@ -54,24 +54,24 @@
     """The platform as nodes read it.
 
     Attributes:
-        shown: what a read gives, by kind.
+        published: what a read gives, by kind.
         blobs: what can be read by content hash.
         down: whether reads fail.
         reads: how many there were, by kind of read.
     """
 
-    shown: dict[Kind, Document]
+    published: dict[Kind, Document]
     blobs: dict[Digest, bytes] = field(default_factory=dict)
     down: bool = False
     reads: Counter[str] = field(default_factory=Counter)
 
-    def show(self, document: Document) -> None:
+    def publish(self, document: Document) -> None:
         """Publish a document.
 
         Args:
             document: what reads give from now on.
         """
-        self.shown[document.kind] = document
+        self.published[document.kind] = document
         for blob in document.blobs.values():
             self.blobs[hash_part(blob)] = blob
 
@@ -84,7 +84,7 @@
         watching: kinds that it is appointed to watch.
         running: whether it runs.
         paused: whether its process is stopped for now.
-        seen: versions that it has held since its start, by kind.
+        held_versions: versions that it has held since its start, by kind.
         effects: what its decisions asked for, the latest few.
     """
 
@@ -92,7 +92,7 @@
     watching: set[Kind] = field(default_factory=set)
     running: bool = True
     paused: bool = False
-    seen: dict[Kind, list[Version]] = field(default_factory=dict)
+    held_versions: dict[Kind, list[Version]] = field(default_factory=dict)
     effects: list[messages.Effect] = field(default_factory=list)
 
     def appoint(self, effect: messages.Watch) -> None:
@@ -134,11 +134,11 @@
             tuning: the figures of distribution.
         """
         self.now = float(100)
-        self.flying: list[Flying] = []
+        self.in_flight: list[MessageInFlight] = []
         self.sent: Counter[type[Body]] = Counter()
         self.cuts: set[frozenset[InstanceId]] = set()
         self.source = FakeSource(
-            shown={kind: make_empty(kind) for kind in Kind},
+            published={kind: make_empty(kind) for kind in Kind},
         )
         self.records = [
             build_record(
@@ -147,7 +147,7 @@
             )
             for number, name in enumerate(names)
         ]
-        self.source.show(build_instances(*self.records))
+        self.source.publish(build_instances(*self.records))
         self._tuning = tuning or Tuning()
         self._starts = 0
         self.nodes = {
@@ -176,7 +176,7 @@
         """Mend every cut."""
         self.cuts.clear()
 
-    def tell(self, instance: InstanceId, message: object) -> None:
+    def dispatch(self, instance: InstanceId, message: object) -> None:
         """Give a node a message and carry out what it decides.
 
         Args:
@@ -198,13 +198,13 @@
             index: which one.
             keep: leave it under way too, so that it comes twice.
         """
-        flying = self.flying[index]
+        in_flight = self.in_flight[index]
         if not keep:
-            self.flying.pop(index)
-        if frozenset((flying.sender, flying.to)) in self.cuts:
+            self.in_flight.pop(index)
+        if frozenset((in_flight.sender, in_flight.to)) in self.cuts:
             return
-        envelope = decode_envelope(flying.frame).unwrap()
-        self.tell(flying.to, messages.Received(envelope=envelope))
+        envelope = decode_envelope(in_flight.frame).unwrap()
+        self.dispatch(in_flight.to, messages.Received(envelope=envelope))
 
     def tick(self, instance: InstanceId) -> None:
         """Let a node's timers strike.
@@ -213,10 +213,10 @@
             instance: the node.
         """
         for name in (TimerName.rank, TimerName.digest):
-            self.tell(instance, Tick(name=name, now=self.now))
-        self.tell(instance, messages.DeadlineReached())
+            self.dispatch(instance, Tick(name=name, now=self.now))
+        self.dispatch(instance, messages.DeadlineReached())
 
-    def wake(self, instance: InstanceId, *, late_by: float) -> None:
+    def resume(self, instance: InstanceId, *, late_by: float) -> None:
         """Let a paused node go on.
 
         Args:
@@ -224,7 +224,7 @@
             late_by: seconds that it slept.
         """
         self.nodes[instance].paused = False
-        self.tell(instance, WokeLate(now=self.now, late_by=late_by))
+        self.dispatch(instance, WokeLate(now=self.now, late_by=late_by))
 
     def is_idle(self, instance: InstanceId) -> bool:
         """Tell whether a node leaves the platform to others.
@@ -254,10 +254,10 @@
         """
         left = rounds
         while left and not self.is_converged():
-            self.pass_round()
+            self.run_round()
             left -= 1
 
-    def pass_round(self, *, seconds: float = ROUND_SECONDS) -> None:
+    def run_round(self, *, seconds: float = ROUND_SECONDS) -> None:
         """Let time pass: timers, watches, every message under way.
 
         Args:
@@ -271,7 +271,7 @@
 
     def flush(self) -> None:
         """Deliver every message under way, and those that follow."""
-        while self.flying:
+        while self.in_flight:
             self.deliver(0)
 
     def wrap(
@@ -307,9 +307,9 @@
         Returns:
             Whether versions and digests agree, and all are ready.
         """
-        shown = self.source.shown
+        published = self.source.published
         return all(
-            store.held.digest == shown[kind].digest
+            store.held.digest == published[kind].digest
             for node in self.nodes.values()
             if node.running and not node.paused
             for kind, store in node.state.stores.items()
@@ -330,7 +330,7 @@
             seeds=(SEED,),
             now=self.now,
         )
-        return FakeNode(state=state, seen={kind: [] for kind in Kind})
+        return FakeNode(state=state, held_versions={kind: [] for kind in Kind})
 
     def _carry_out(self, instance: InstanceId, effect: messages.Effect) -> None:
         node = self.nodes[instance]
@@ -342,7 +342,7 @@
             node.appoint(effect)
         elif isinstance(effect, messages.DocumentUpdated):
             document = effect.document
-            node.seen[document.kind].append(document.version)
+            node.held_versions[document.kind].append(document.version)
         else:
             self._fetch(instance, effect)
 
@@ -354,14 +354,16 @@
 
     def _read(self, instance: InstanceId, kind: Kind) -> None:
         self.source.reads[kind.name] += 1
-        document = self.source.shown[kind]
+        document = self.source.published[kind]
         if self.source.down or not document.version:
             return
         blobs: tuple[bytes, ...] = ()
         if kind is Kind.instances:
             blobs = tuple(document.blobs.values())
         outline = make_outline(document)
-        self.tell(instance, messages.SourceRead(outline=outline, blobs=blobs))
+        self.dispatch(
+            instance, messages.SourceRead(outline=outline, blobs=blobs)
+        )
 
     def _read_blobs(
         self,
@@ -374,7 +376,7 @@
         found = [self.source.blobs.get(digest) for digest in effect.digests]
         blobs = tuple(blob for blob in found if blob is not None)
         read = messages.SourceBlobs(kind=effect.kind, blobs=blobs)
-        self.tell(instance, read)
+        self.dispatch(instance, read)
 
     def _find_seed(self, instance: InstanceId) -> InstanceId:
         others = [name for name in self.nodes if name != instance]
@@ -391,7 +393,9 @@
         wrapped = self.wrap(sender, to=to, body=effect.body)
         self.sent[type(effect.body)] += 1
         frame = encode_envelope(wrapped.envelope)
-        self.flying.append(Flying(sender=sender, to=to, frame=frame))
+        self.in_flight.append(
+            MessageInFlight(sender=sender, to=to, frame=frame)
+        )
 
 
 def _read_kind(kind: Kind) -> str:
--- a/wagtaildale/testing/replay/callers.py
+++ b/wagtaildale/testing/replay/callers.py
@@ -52,8 +52,8 @@
         self._entry.ask(
             Asked(
                 work_class=work_class,
-                due=self._since + work_class.within,
-                deadline=self._since + work_class.deadline,
+                due=self._since + work_class.target_seconds,
+                deadline=self._since + work_class.deadline_seconds,
                 on_answer=self._take_answer,
                 on_failure=self._take_failure,
             ),
@@ -63,11 +63,11 @@
         self._outcomes.note_answer(
             self._clock.now - self._since,
             is_far=is_far,
-            within=self._work_class.within,
+            target_seconds=self._work_class.target_seconds,
         )
 
     def _take_failure(self, failure: CallFailed) -> None:
-        left = self._since + self._work_class.deadline - self._clock.now
+        left = self._since + self._work_class.deadline_seconds - self._clock.now
         if self._tries_left and left > 0:
             wait = failure.retry_after or USUAL_WAIT_SECONDS
             self._clock.set(min(wait, left * LONGEST_WAIT_SHARE), self.ask)
@@ -115,8 +115,10 @@
         entry.ask(
             Asked(
                 work_class=work_class,
-                due=self._since + work_class.within,
-                deadline=min(deadline, self._since + work_class.deadline),
+                due=self._since + work_class.target_seconds,
+                deadline=min(
+                    deadline, self._since + work_class.deadline_seconds
+                ),
                 on_answer=self._take_answer,
                 on_failure=self._take_failure,
             ),
@@ -127,7 +129,7 @@
         self._outcomes.note_answer(
             took,
             is_far=is_far,
-            within=self._work_class.within,
+            target_seconds=self._work_class.target_seconds,
         )
         self._server.finish(self._ticket)
 
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -274,7 +274,7 @@
             )
 
     def _plan_hedge(self, sent: Sent) -> None:
-        within = self._asked.work_class.within * MILLISECONDS
+        within = self._asked.work_class.target_seconds * MILLISECONDS
         clock = self._entry.hedge_delays.find(self._asked.work_class.name)
         delay = clock.find_delay(within_ms=within)
         if delay is None or len(self._running) > 1:
--- a/wagtaildale/testing/replay/load.py
+++ b/wagtaildale/testing/replay/load.py
@@ -19,8 +19,8 @@
         per_second: first tries of all callers together.
         run_seconds: at a backend server of speed 1, on average.
         spread: standard deviation of the logarithm of that.
-        within: target, seconds.
-        deadline: seconds that a caller waits.
+        target_seconds: target, seconds.
+        deadline_seconds: seconds that a caller waits.
         rank: 0 goes first.
         idempotent: whether a request may run twice.
         tries: that a caller makes, its first one included.
@@ -32,8 +32,8 @@
     service: ServiceName
     per_second: float
     run_seconds: float
-    within: float
-    deadline: float
+    target_seconds: float
+    deadline_seconds: float
     spread: float = 0.3
     rank: int = 1
     idempotent: bool = True
@@ -77,19 +77,19 @@
         seconds: float,
         *,
         is_far: bool,
-        within: float,
+        target_seconds: float,
     ) -> None:
         """Count an answer.
 
         Args:
             seconds: since the first try.
             is_far: whether another data centre gave it.
-            within: target, seconds.
+            target_seconds: target, seconds.
         """
         self.ended += 1
         self.far += is_far
-        self.in_time += seconds <= within
-        self.late += seconds > within
+        self.in_time += seconds <= target_seconds
+        self.late += seconds > target_seconds
 
     def note_failure(self, outcome: Outcome) -> None:
         """Count a request without an answer.
@@ -109,6 +109,6 @@
         return self.in_time / max(1, self.ended)
 
     @property
-    def share_far(self) -> float:
+    def share_remote(self) -> float:
         """Of the answers, those from another data centre."""
         return self.far / max(1, self.in_time + self.late)
--- a/wagtaildale/testing/replay/mesh.py
+++ b/wagtaildale/testing/replay/mesh.py
@@ -102,7 +102,7 @@
         listed = build_instances(*records, version=self._version)
         self.view.take_instances(listed)
 
-    def leave(self, count: int) -> None:
+    def mark_leaving(self, count: int) -> None:
         """Let upstreams leave: they finish what they have.
 
         Args:
@@ -131,7 +131,7 @@
                 self._plan(work_class, until)
         self.clock.run(until=until)
 
-    def rest(self, seconds: float) -> None:
+    def run_without_load(self, seconds: float) -> None:
         """Let what is under way end, without new requests.
 
         Args:
@@ -171,12 +171,12 @@
         call.ask(self.entries[server.record.instance], deadline=deadline)
         return True
 
-    def count_anew(self) -> None:
+    def reset_counts(self) -> None:
         """Count nothing of what was until now."""
         for name in self.outcomes:
             self.outcomes[name] = Outcomes()
         for server in self.servers.values():
-            server.asked = 0
+            server.requests_received = 0
             server.runs = 0
             server.slot_seconds = 0
 
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -68,7 +68,7 @@
         record: as listed.
         speed: of the backend server; 2 takes half as long.
         slowness: what a fault multiplies its times by.
-        asked: requests that came to its owner.
+        requests_received: requests that came to its owner.
         runs: that were begun.
         slot_seconds: for which slots were held by runs that are over.
         limit: requests a second that it names; nothing for none.
@@ -98,7 +98,7 @@
         self.record = record
         self.speed = speed
         self.slowness = float(1)
-        self.asked = 0
+        self.requests_received = 0
         self.runs = 0
         self.slot_seconds = float(0)
         self.limit: float | None = None
@@ -122,7 +122,7 @@
             By which it can be cancelled.
         """
         self._last += 1
-        self.asked += 1
+        self.requests_received += 1
         ticket = TicketId(self._last)
         self._jobs[ticket] = job
         self._tell(structs.replace(arrived, ticket=ticket))
--- a/wagtaildale/testing/suspects.py
+++ b/wagtaildale/testing/suspects.py
@@ -32,7 +32,7 @@
         self._boards: list[SuspectsHolder] = []
         self._lock = threading.Lock()
 
-    def make_board(self) -> SuspectsHolder:
+    def make_holder(self) -> SuspectsHolder:
         """Make the board of one more node.
 
         Returns:
