--- a/wagtaildale/testing/replay/__init__.py
+++ b/wagtaildale/testing/replay/__init__.py
@@ -1,8 +1,9 @@
-"""A replay of load for the decisions on calls, on a virtual clock.
+"""Load simulation of placement, retries and admission on a virtual clock.
 
-Entries place, retry and hedge, owners admit, queue and refuse, by the
-product's own decisions; backend servers and callers are modelled. There is
-no socket and no control plane: the list of upstreams is what a test makes it.
+Entries and owners run the production code that places, retries and hedges
+requests and admits, queues and refuses them. Backend servers and callers are
+models. There are no sockets and no control plane: the test sets the list of
+upstreams.
 """
 
 from wagtaildale.testing.replay.callers import Caller
--- a/wagtaildale/testing/replay/callers.py
+++ b/wagtaildale/testing/replay/callers.py
@@ -1,10 +1,10 @@
-"""Who asks: a caller that comes back when told to, a run that calls."""
+"""Simulated callers that retry, and calls made by running requests."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.testing.replay.entries import Asked
+from wagtaildale.testing.replay.entries import ReplayRequest
 
 if TYPE_CHECKING:
     from wagtaildale.admission.messages import TicketId
@@ -14,14 +14,14 @@
     from wagtaildale.testing.replay.load import LoadClass, Outcomes
     from wagtaildale.testing.replay.servers import ReplayServer
 
-# Of the time that is left: the longest that a caller waits to come back.
-LONGEST_WAIT_SHARE: Final = 1 / 3
-# What it waits where nobody tells it when to come back.
-USUAL_WAIT_SECONDS: Final = 0.05
+# Longest wait before a retry, as a share of the time left until the deadline.
+MAX_WAIT_SHARE: Final = 1 / 3
+# Wait before a retry if the failure names no retry delay.
+DEFAULT_WAIT_SECONDS: Final = 0.05
 
 
 class Caller:
-    """One caller's request, with all its tries."""
+    """A caller's request with its retries."""
 
     def __init__(
         self,
@@ -30,53 +30,59 @@
         *,
         outcomes: Outcomes,
     ) -> None:
-        """Prepare.
+        """Create the request without sending it.
 
         Args:
-            entry: that it asks.
-            work_class: of the request.
-            outcomes: count what becomes of it.
+            entry: entry that receives every try.
+            work_class: class of the request.
+            outcomes: counts that its outcome is added to.
         """
         self._entry = entry
         self._work_class = work_class
         self._outcomes = outcomes
         self._clock = entry.mesh.clock
-        self._since = self._clock.now
+        self._started_at = self._clock.now
         self._tries_left = work_class.tries
 
-    def ask(self) -> None:
-        """Make a try."""
+    def send(self) -> None:
+        """Send one try to the entry."""
         self._tries_left -= 1
         self._outcomes.tries += 1
         work_class = self._work_class
-        self._entry.ask(
-            Asked(
+        self._entry.take_request(
+            ReplayRequest(
                 work_class=work_class,
-                due=self._since + work_class.target_seconds,
-                deadline=self._since + work_class.deadline_seconds,
+                target_at=self._started_at + work_class.target_seconds,
+                deadline=self._started_at + work_class.deadline_seconds,
                 on_answer=self._take_answer,
                 on_failure=self._take_failure,
             ),
         )
 
-    def _take_answer(self, is_far: bool) -> None:
+    def _take_answer(self, is_remote: bool) -> None:
         self._outcomes.note_answer(
-            self._clock.now - self._since,
-            is_far=is_far,
+            self._clock.now - self._started_at,
+            is_remote=is_remote,
             target_seconds=self._work_class.target_seconds,
         )
 
     def _take_failure(self, failure: CallFailed) -> None:
-        left = self._since + self._work_class.deadline_seconds - self._clock.now
-        if self._tries_left and left > 0:
-            wait = failure.retry_after or USUAL_WAIT_SECONDS
-            self._clock.set(min(wait, left * LONGEST_WAIT_SHARE), self.ask)
+        remaining = (
+            self._started_at
+            + self._work_class.deadline_seconds
+            - self._clock.now
+        )
+        if self._tries_left and remaining > 0:
+            wait = failure.retry_after or DEFAULT_WAIT_SECONDS
+            self._clock.schedule(
+                min(wait, remaining * MAX_WAIT_SHARE), self.send
+            )
             return
         self._outcomes.note_failure(failure.outcome)
 
 
-class InnerCall:
-    """The call that a run makes of another service."""
+class NestedCall:
+    """A call to another service, made by a running request."""
 
     def __init__(
         self,
@@ -87,48 +93,48 @@
         outcomes: Outcomes,
         clock: VirtualClock,
     ) -> None:
-        """Prepare.
+        """Create the call without sending it.
 
         Args:
-            server: where the run is.
-            ticket: of the run.
-            work_class: of the call.
-            outcomes: count what becomes of it.
-            clock: of the replay.
+            server: server of the running request.
+            ticket: ticket of that request at the server.
+            work_class: class of the call.
+            outcomes: counts that the outcome of the call is added to.
+            clock: clock of the simulation.
         """
         self._server = server
         self._ticket = ticket
         self._work_class = work_class
         self._outcomes = outcomes
         self._clock = clock
-        self._since = clock.now
+        self._started_at = clock.now
 
-    def ask(self, entry: ReplayEntry, *, deadline: float) -> None:
-        """Make the call.
+    def send(self, entry: ReplayEntry, *, deadline: float) -> None:
+        """Send the call to an entry.
 
         Args:
-            entry: beside the server.
-            deadline: of the run, seconds.
+            entry: entry beside the server.
+            deadline: deadline of the running request, seconds on the clock.
         """
         work_class = self._work_class
         self._outcomes.tries += 1
-        entry.ask(
-            Asked(
+        entry.take_request(
+            ReplayRequest(
                 work_class=work_class,
-                due=self._since + work_class.target_seconds,
+                target_at=self._started_at + work_class.target_seconds,
                 deadline=min(
-                    deadline, self._since + work_class.deadline_seconds
+                    deadline, self._started_at + work_class.deadline_seconds
                 ),
                 on_answer=self._take_answer,
                 on_failure=self._take_failure,
             ),
         )
 
-    def _take_answer(self, is_far: bool) -> None:
-        took = self._clock.now - self._since
+    def _take_answer(self, is_remote: bool) -> None:
+        took = self._clock.now - self._started_at
         self._outcomes.note_answer(
             took,
-            is_far=is_far,
+            is_remote=is_remote,
             target_seconds=self._work_class.target_seconds,
         )
         self._server.finish(self._ticket)
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -1,4 +1,4 @@
-"""One request at its entry, with its attempts, as the product decides them."""
+"""Simulated call of an entry, with the production code for its attempts."""
 
 from __future__ import annotations
 
@@ -22,32 +22,35 @@
     from wagtaildale.calls.budgets import RetryBudget
     from wagtaildale.routing.placement import Placed
     from wagtaildale.testing.replay.clock import VirtualClock
-    from wagtaildale.testing.replay.entries import Asked, ReplayEntry
+    from wagtaildale.testing.replay.entries import ReplayRequest, ReplayEntry
 
-MILLISECONDS: Final = 1000
-# One way between two nodes of a data centre and of two, their work included.
-NEAR_SECONDS: Final = 0.001
-FAR_SECONDS: Final = 0.002
-# What a caller is told where a service has no upstream.
-NO_UPSTREAM_SECONDS: Final = 0.25
+MS_PER_SECOND: Final = 1000
+# One-way delay between two nodes in the same data centre and in different ones,
+# including the processing time of the nodes.
+LOCAL_DELAY_SECONDS: Final = 0.001
+REMOTE_DELAY_SECONDS: Final = 0.002
+# Retry delay given to a caller while the service has no upstream.
+NO_UPSTREAM_RETRY_SECONDS: Final = 0.25
 
 
-class Sent(Struct, kw_only=True, eq=False):
-    """An attempt under way.
+class ReplayAttempt(Struct, kw_only=True, eq=False):
+    """An attempt that was sent to an upstream.
 
     Attributes:
-        server: that it went to.
-        since: when it was begun, seconds.
-        is_near: whether the server is in the entry's data centre.
-        pass_rank: by which it was drawn.
-        share: of such requests, the part that goes to the server.
-        ticket: of the request there, once it is there.
-        is_over: whether it was answered, refused or given up.
+        server: upstream that the attempt was sent to.
+        started_at: time at which it was sent, seconds.
+        is_local: whether the upstream is in the entry's data centre.
+        pass_rank: rank by which the entry sampled the request; see
+            ``admission.shares``.
+        share: share of the requests of this rank that may be sent to the
+            upstream.
+        ticket: ticket of the request at the upstream; none before it arrives.
+        is_over: whether the attempt was answered, refused or abandoned.
     """
 
     server: ReplayServer
-    since: float
-    is_near: bool
+    started_at: float
+    is_local: bool
     pass_rank: int
     share: float
     ticket: TicketId | None = None
@@ -55,46 +58,47 @@
 
 
 class ReplayCall:
-    """One request at its entry."""
+    """One call with all of its attempts."""
 
     def __init__(
         self,
         entry: ReplayEntry,
-        asked: Asked,
+        request: ReplayRequest,
         *,
         budget: RetryBudget,
     ) -> None:
-        """Take the request.
+        """Create the call and schedule its timeout.
 
         Args:
-            entry: that it came to.
-            asked: the request.
-            budget: of repeats of its service.
+            entry: entry that received the request.
+            request: the request.
+            budget: the entry's retry budget for the service.
         """
         self._entry = entry
         self._clock: VirtualClock = entry.mesh.clock
-        self._asked = asked
+        self._request = request
         self._is_over = False
-        self._running: list[Sent] = []
+        self._running: list[ReplayAttempt] = []
         self._attempts = Attempts(
-            idempotent=asked.work_class.idempotent,
-            deadline=asked.deadline,
+            idempotent=request.work_class.idempotent,
+            deadline=request.deadline,
             budget=budget,
         )
-        left = asked.deadline - self._clock.now
-        self._clock.set(left, self._time_out)
+        remaining = request.deadline - self._clock.now
+        self._clock.schedule(remaining, self._time_out)
 
-    def attempt(self, *, spare: bool = False) -> None:
-        """Ask an upstream.
+    def send_attempt(self, *, is_hedge: bool = False) -> None:
+        """Send an attempt to an upstream, or fail if there is none.
 
         Args:
-            spare: whether it is to run only where a slot is free.
+            is_hedge: whether it is a hedge, which runs only if the upstream
+                has a free slot.
         """
-        placed = self._place(spare=spare)
+        placed = self._place(is_hedge=is_hedge)
         attempts = self._attempts
         if placed is None:
             attempts.refusals_left = 0
-            placed = self._place(spare=spare)
+            placed = self._place(is_hedge=is_hedge)
         if isinstance(placed, Throttled):
             failure = CallFailed(
                 Code.rate_limited,
@@ -105,7 +109,7 @@
         if placed is None:
             failure = CallFailed(
                 Code.no_upstream,
-                retry_after=NO_UPSTREAM_SECONDS,
+                retry_after=NO_UPSTREAM_RETRY_SECONDS,
             )
             self._fail_if_last(failure)
             return
@@ -119,137 +123,141 @@
         server = self._entry.mesh.servers[instance]
         entry = self._entry
         now = self._clock.now
-        is_near = server.record.data_centre == entry.data_centre
-        sent = Sent(
+        is_local = server.record.data_centre == entry.data_centre
+        attempt = ReplayAttempt(
             server=server,
-            since=now,
-            is_near=is_near,
+            started_at=now,
+            is_local=is_local,
             pass_rank=self._find_need_rank(),
             share=placed.share,
         )
-        self._running.append(sent)
+        self._running.append(attempt)
         entry.placement.statistics.find(instance, now=now).note_begun(now)
-        self._plan_hedge(sent)
-        self._clock.set(
-            _find_way(sent),
-            partial(self._arrive, sent, spare=spare, patient=patient),
+        self._schedule_hedge(attempt)
+        self._clock.schedule(
+            _find_network_delay(attempt),
+            partial(self._arrive, attempt, is_hedge=is_hedge, patient=patient),
         )
 
     def _find_need_rank(self) -> int:
-        asked = self._asked
+        request = self._request
         return find_need_rank(
-            asked.work_class.rank,
-            work_class=asked.work_class.name,
-            slack_seconds=asked.due - self._clock.now,
+            request.work_class.rank,
+            work_class=request.work_class.name,
+            slack_seconds=request.target_at - self._clock.now,
             statistics=self._entry.placement.statistics,
         )
 
-    def _place(self, *, spare: bool) -> Placed | Throttled | None:
-        asked = self._asked
+    def _place(self, *, is_hedge: bool) -> Placed | Throttled | None:
+        request = self._request
         attempts = self._attempts
         now = self._clock.now
         return self._entry.placement.choose(
             self._entry.mesh.view.current,
-            asked.work_class.service,
+            request.work_class.service,
             useless=attempts.list_excluded(),
             need=Need(
                 data_centre=self._entry.data_centre,
-                work_class=asked.work_class.name,
-                slack_seconds=asked.due - now,
+                work_class=request.work_class.name,
+                slack_seconds=request.target_at - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
                 pass_rank=self._find_need_rank(),
-                is_spare=spare,
+                is_spare=is_hedge,
                 was_limited=attempts.was_limited,
             ),
             now=now,
         )
 
-    def _arrive(self, sent: Sent, *, spare: bool, patient: bool) -> None:
-        if sent.is_over:
+    def _arrive(
+        self, attempt: ReplayAttempt, *, is_hedge: bool, patient: bool
+    ) -> None:
+        if attempt.is_over:
             return
-        asked = self._asked
+        request = self._request
         now = self._clock.now
-        within = 0 if spare else max(0, asked.due - now)
-        ticket = sent.server.enter(
+        within = 0 if is_hedge else max(0, request.target_at - now)
+        ticket = attempt.server.request_slot(
             RequestArrived(
-                within_ms=int(within * MILLISECONDS),
-                deadline=asked.deadline,
-                rank=asked.work_class.rank,
-                patient=patient and not spare,
-                work_class=asked.work_class.name,
-                pass_rank=sent.pass_rank,
-                stands_for=1 / sent.share,
+                within_ms=int(within * MS_PER_SECOND),
+                deadline=request.deadline,
+                rank=request.work_class.rank,
+                patient=patient and not is_hedge,
+                work_class=request.work_class.name,
+                pass_rank=attempt.pass_rank,
+                stands_for=1 / attempt.share,
             ),
             Job(
-                work_class=asked.work_class,
-                on_refused=partial(self._back, sent, self._on_refused),
-                on_done=partial(self._back, sent, self._on_done),
-                on_run=partial(self._on_run, sent),
+                work_class=request.work_class,
+                on_refused=partial(self._send_back, attempt, self._on_refused),
+                on_done=partial(self._send_back, attempt, self._on_done),
+                on_started=partial(self._on_started, attempt),
             ),
         )
-        sent.ticket = ticket
+        attempt.ticket = ticket
 
-    def _back(
+    def _send_back(
         self,
-        sent: Sent,
-        on_word: Callable[..., None],
-        word: object,
+        attempt: ReplayAttempt,
+        on_arrival: Callable[..., None],
+        response: object,
     ) -> None:
-        self._clock.set(_find_way(sent), partial(on_word, sent, word))
+        self._clock.schedule(
+            _find_network_delay(attempt), partial(on_arrival, attempt, response)
+        )
 
-    def _on_run(self, sent: Sent, ticket: TicketId) -> bool:
-        return self._entry.mesh.call_from(
-            sent.server,
+    def _on_started(self, attempt: ReplayAttempt, ticket: TicketId) -> bool:
+        return self._entry.mesh.make_nested_call(
+            attempt.server,
             ticket,
-            work_class=self._asked.work_class,
-            deadline=self._asked.deadline,
+            work_class=self._request.work_class,
+            deadline=self._request.deadline,
         )
 
-    def _on_refused(self, sent: Sent, refused: Refused) -> None:
-        if sent.is_over:
+    def _on_refused(self, attempt: ReplayAttempt, refused: Refused) -> None:
+        if attempt.is_over:
             return
-        self._note(sent, refused.code)
-        self._end(sent)
+        self._record_report(attempt, refused.code)
+        self._finish(attempt)
         if self._is_over:
             return
         attempts = self._attempts
         now = self._clock.now
         failure = CallFailed(refused.code, retry_after=refused.retry_after)
-        attempts.note_refusal(sent.server.record.instance, refused.code)
+        attempts.note_refusal(attempt.server.record.instance, refused.code)
         may_ask = attempts.take_redirect(failure, now=now)
         if may_ask or attempts.take_retry(failure, now=now, replayable=True):
-            self.attempt()
+            self.send_attempt()
         else:
             self._fail_if_last(failure)
 
-    def _on_done(self, sent: Sent, seconds: float) -> None:
-        if sent.is_over:
+    def _on_done(self, attempt: ReplayAttempt, seconds: float) -> None:
+        if attempt.is_over:
             return
         now = self._clock.now
         entry = self._entry
-        work_class = self._asked.work_class.name
-        self._note(sent, Code.ok, run_seconds=seconds)
-        self._end(sent)
-        entry.hedge_delays.find(work_class).add_sample(now - sent.since)
+        work_class = self._request.work_class.name
+        self._record_report(attempt, Code.ok, run_seconds=seconds)
+        self._finish(attempt)
+        entry.hedge_delays.find(work_class).add_sample(now - attempt.started_at)
         if not self._is_over:
-            self._note_overtaken()
+            self._record_overtaken()
             self._close()
-            self._asked.on_answer(not sent.is_near)
+            self._request.on_answer(not attempt.is_local)
 
-    def _note(
+    def _record_report(
         self,
-        sent: Sent,
+        attempt: ReplayAttempt,
         code: Code,
         *,
         run_seconds: float = 0,
     ) -> None:
         now = self._clock.now
-        work_class = self._asked.work_class.name
+        work_class = self._request.work_class.name
         report = structs.replace(
-            sent.server.report(code, work_class=work_class),
+            attempt.server.report(code, work_class=work_class),
             run_seconds=run_seconds,
         )
-        instance = sent.server.record.instance
+        instance = attempt.server.record.instance
         statistics = self._entry.placement.statistics
         upstream = statistics.find(instance, now=now)
         upstream.note_answer(report, now=now)
@@ -261,38 +269,40 @@
             now=now,
         )
 
-    def _note_overtaken(self) -> None:
+    def _record_overtaken(self) -> None:
         now = self._clock.now
         statistics = self._entry.placement.statistics
-        for sent in self._running:
-            instance = sent.server.record.instance
+        for attempt in self._running:
+            instance = attempt.server.record.instance
             statistics.note_overtaken(
                 statistics.find(instance, now=now),
-                work_class=self._asked.work_class.name,
-                seconds=now - sent.since,
+                work_class=self._request.work_class.name,
+                seconds=now - attempt.started_at,
                 now=now,
             )
 
-    def _plan_hedge(self, sent: Sent) -> None:
-        within = self._asked.work_class.target_seconds * MILLISECONDS
-        clock = self._entry.hedge_delays.find(self._asked.work_class.name)
+    def _schedule_hedge(self, attempt: ReplayAttempt) -> None:
+        within = self._request.work_class.target_seconds * MS_PER_SECOND
+        clock = self._entry.hedge_delays.find(self._request.work_class.name)
         delay = clock.find_delay(within_ms=within)
         if delay is None or len(self._running) > 1:
             return
         if self._attempts.may_hedge(self._clock.now + delay):
-            self._clock.set(delay, partial(self._hedge, sent))
+            self._clock.schedule(delay, partial(self._hedge, attempt))
 
-    def _hedge(self, sent: Sent) -> None:
-        if self._is_over or self._running != [sent]:
+    def _hedge(self, attempt: ReplayAttempt) -> None:
+        if self._is_over or self._running != [attempt]:
             return
-        if self._has_spare() and self._attempts.take_hedge(now=self._clock.now):
-            self.attempt(spare=True)
+        if self._has_hedge_upstream() and self._attempts.take_hedge(
+            now=self._clock.now
+        ):
+            self.send_attempt(is_hedge=True)
 
-    def _has_spare(self) -> bool:
+    def _has_hedge_upstream(self) -> bool:
         now = self._clock.now
         statistics = self._entry.placement.statistics
         view = self._entry.mesh.view.current
-        listed = view.upstreams[ServiceName(self._asked.work_class.service)]
+        listed = view.upstreams[ServiceName(self._request.work_class.service)]
         return any(
             record.instance not in self._attempts.tried
             and not statistics.is_out(record.instance, now=now)
@@ -310,22 +320,22 @@
 
     def _fail(self, failure: CallFailed) -> None:
         self._close()
-        self._asked.on_failure(failure)
+        self._request.on_failure(failure)
 
     def _close(self) -> None:
         self._is_over = True
-        for sent in tuple(self._running):
-            self._end(sent)
-            if sent.ticket is not None:
-                sent.server.cancel(sent.ticket)
-
-    def _end(self, sent: Sent) -> None:
-        sent.is_over = True
-        self._running = [each for each in self._running if each is not sent]
-        instance = sent.server.record.instance
+        for attempt in tuple(self._running):
+            self._finish(attempt)
+            if attempt.ticket is not None:
+                attempt.server.cancel(attempt.ticket)
+
+    def _finish(self, attempt: ReplayAttempt) -> None:
+        attempt.is_over = True
+        self._running = [each for each in self._running if each is not attempt]
+        instance = attempt.server.record.instance
         now = self._clock.now
         self._entry.placement.statistics.find(instance, now=now).note_ended()
 
 
-def _find_way(sent: Sent) -> float:
-    return NEAR_SECONDS if sent.is_near else FAR_SECONDS
+def _find_network_delay(attempt: ReplayAttempt) -> float:
+    return LOCAL_DELAY_SECONDS if attempt.is_local else REMOTE_DELAY_SECONDS
--- a/wagtaildale/testing/replay/clock.py
+++ b/wagtaildale/testing/replay/clock.py
@@ -1,4 +1,4 @@
-"""A clock that stands still until the next event is due."""
+"""Virtual clock, which jumps from one scheduled event to the next."""
 
 from __future__ import annotations
 
@@ -10,7 +10,16 @@
 
 
 class Event(Struct, frozen=True, kw_only=True, order=True, gc=False):
-    """What is done at a time; the order of fields is that of events."""
+    """A scheduled action.
+
+    Events compare by their fields in this order: by time, then by the order
+    in which they were scheduled.
+
+    Attributes:
+        at: time at which the action runs, seconds.
+        order: number of events scheduled before this one.
+        action: called at that time.
+    """
 
     at: float
     order: int
@@ -18,40 +27,40 @@
 
 
 class VirtualClock:
-    """Events in the order of their times.
+    """Runs scheduled actions in the order of their times.
 
     Attributes:
-        now: seconds.
+        now: current virtual time, seconds.
 
     Example:
         >>> clock = VirtualClock()
-        >>> clock.set(2.0, lambda: print(clock.now))
+        >>> clock.schedule(2.0, lambda: print(clock.now))
         >>> clock.run(until=5.0)
         2.0
     """
 
     def __init__(self) -> None:
-        """Begin at zero with nothing due."""
+        """Start at time zero without events."""
         self.now = float(0)
         self._order = itertools.count()
         self._events: list[Event] = []
 
-    def set(self, delay: float, event: Callable[[], None]) -> None:
-        """Set an event.
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        """Schedule an action.
 
         Args:
-            delay: seconds from now.
-            event: what is then done.
+            delay: time from now, seconds; a negative one counts as 0.
+            action: called at that time.
         """
         at = self.now + max(0, delay)
-        due = Event(at=at, order=next(self._order), action=event)
+        due = Event(at=at, order=next(self._order), action=action)
         heapq.heappush(self._events, due)
 
     def run(self, *, until: float) -> None:
-        """Do what is due.
+        """Run all actions up to a time, and set the clock to that time.
 
         Args:
-            until: seconds; later events stay.
+            until: virtual time, seconds; later events stay scheduled.
         """
         while self._events and self._events[0].at <= until:
             event = heapq.heappop(self._events)
--- a/wagtaildale/testing/replay/entries.py
+++ b/wagtaildale/testing/replay/entries.py
@@ -1,4 +1,4 @@
-"""An entry with its calls, as the product decides them."""
+"""Simulated entry, which places calls by the production code."""
 
 from __future__ import annotations
 
@@ -26,37 +26,39 @@
     from wagtaildale.testing.replay.mesh import ReplayMesh
     from wagtaildale.testing.replay.servers import ReplayServer
 
-# Repeats of an entry beyond those that its requests earn.
-REPEATS_SLACK: Final = 1.0
+# Retries that an entry may send beyond those that its requests earn.
+RETRY_SLACK: Final = 1.0
 
 
-class Asked(Struct, frozen=True, kw_only=True):
-    """A request as it comes to an entry.
+class ReplayRequest(Struct, frozen=True, kw_only=True):
+    """A request that an entry receives.
 
     Attributes:
-        work_class: of the request.
-        due: when its target is missed, seconds.
-        deadline: when its caller gives up, seconds.
-        on_answer: is told whether another data centre answered.
-        on_failure: is told why there is no answer.
+        work_class: class of the request.
+        target_at: time after which an answer misses the target of the class,
+            seconds.
+        deadline: time at which the caller stops waiting, seconds.
+        on_answer: called with the answer; its argument is whether an
+            upstream in another data centre answered.
+        on_failure: called with the failure if there is no answer.
     """
 
     work_class: LoadClass
-    due: float
+    target_at: float
     deadline: float
     on_answer: Callable[[bool], None]
     on_failure: Callable[[CallFailed], None]
 
 
 class ReplayEntry:
-    """One node as an entry.
+    """Entry of one simulated node.
 
     Attributes:
-        instance: of the node.
-        data_centre: where it stands.
-        mesh: that it is in.
-        placement: chooses upstreams.
-        hedge_delays: say when a second attempt is due.
+        instance: instance id of the node.
+        data_centre: data centre of the node.
+        mesh: simulated mesh that the node belongs to.
+        placement: chooses the upstream of each attempt.
+        hedge_delays: delays before a hedge, by class.
     """
 
     def __init__(
@@ -66,12 +68,12 @@
         data_centre: DataCentre,
         mesh: ReplayMesh,
     ) -> None:
-        """Start with nothing known.
+        """Start without statistics of upstreams.
 
         Args:
-            instance: of the node.
-            data_centre: where it stands.
-            mesh: that it is in.
+            instance: instance id of the node.
+            data_centre: data centre of the node.
+            mesh: simulated mesh that the node belongs to.
         """
         self.instance = instance
         self.data_centre = data_centre
@@ -85,39 +87,39 @@
         )
         self._budgets: dict[str, RetryBudget] = {}
 
-    def ask(self, asked: Asked) -> None:
-        """Take a request.
+    def take_request(self, request: ReplayRequest) -> None:
+        """Receive a request and send its first attempt.
 
         Args:
-            asked: the request.
+            request: the request.
         """
-        budget = self._find_budget(asked.work_class.service)
+        budget = self._find_budget(request.work_class.service)
         budget.earn(now=self.mesh.clock.now)
-        ReplayCall(self, asked, budget=budget).attempt()
+        ReplayCall(self, request, budget=budget).send_attempt()
 
-    def note_condition(self, server: ReplayServer, ratio: float) -> None:
-        """Hear that an upstream has turned slow or well, if connected to it.
+    def note_slowness(self, server: ReplayServer, ratio: float) -> None:
+        """Record an announced slowness, if the upstream is in the subset.
 
         Args:
             server: the upstream.
-            ratio: of its answers' time over its usual time.
+            ratio: its current run time divided by its usual run time.
         """
         upstream = self._find_connected(server)
         if upstream is not None:
             upstream.speed.note_condition(ratio, now=self.mesh.clock.now)
 
-    def note_limit(self, server: ReplayServer, named: NamedLimit) -> None:
-        """Hear how many requests an upstream takes, if connected to it.
+    def note_limit(self, server: ReplayServer, limit: NamedLimit) -> None:
+        """Record an announced rate limit, if the upstream is in the subset.
 
         Args:
             server: the upstream.
-            named: its owner's word.
+            limit: the limit that its owner announces.
         """
         upstream = self._find_connected(server)
         if upstream is not None:
             self.placement.statistics.limits.note(
                 upstream.instance,
-                named,
+                limit,
                 now=self.mesh.clock.now,
             )
 
@@ -134,6 +136,6 @@
         return None
 
     def _find_budget(self, service: str) -> RetryBudget:
-        share = build_retry_share(slack=REPEATS_SLACK)
+        share = build_retry_share(slack=RETRY_SLACK)
         new = RetryBudget(share, now=self.mesh.clock.now)
         return self._budgets.setdefault(service, new)
--- a/wagtaildale/testing/replay/load.py
+++ b/wagtaildale/testing/replay/load.py
@@ -1,4 +1,4 @@
-"""Classes of requests of a replay, and what became of them."""
+"""Classes of simulated requests, and counts of their outcomes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 
 class LoadClass(Struct, frozen=True, kw_only=True):
-    """Requests of one class.
+    """A class of requests, with its rate, run times and targets.
 
     Attributes:
-        name: of the class.
-        service: that runs them.
-        per_second: first tries of all callers together.
-        run_seconds: at a backend server of speed 1, on average.
-        spread: standard deviation of the logarithm of that.
-        target_seconds: target, seconds.
-        deadline_seconds: seconds that a caller waits.
-        rank: 0 goes first.
-        idempotent: whether a request may run twice.
-        tries: that a caller makes, its first one included.
-        calls: class that a run calls, if any.
-        calls_share: of the runs that do so.
+        name: name of the class.
+        service: service that runs the requests.
+        per_second: rate of new requests of all callers together; retries of
+            callers come on top.
+        run_seconds: mean run time at a backend server of speed 1.
+        spread: standard deviation of the logarithm of the run time.
+        target_seconds: time within which a request should be answered.
+        deadline_seconds: time that a caller waits for an answer.
+        rank: priority of the class; 0 is served first.
+        idempotent: whether a request may run more than once.
+        tries: number of tries that a caller makes, the first one included.
+        calls: name of the class that runs call; empty if they call none.
+        calls_share: share of the runs that make such a call.
     """
 
     name: str
@@ -42,26 +43,27 @@
     calls_share: float = 0
 
     def draw_run_seconds(self) -> float:
-        """Draw how long a run takes at a backend server of speed 1.
+        """Draw the run time of a request at a backend server of speed 1.
 
         Returns:
-            Seconds, log-normally distributed.
+            Log-normally distributed time, seconds.
         """
-        middle = log(self.run_seconds) - self.spread**2 / 2
-        return random.lognormvariate(middle, self.spread)
+        log_mean = log(self.run_seconds) - self.spread**2 / 2
+        return random.lognormvariate(log_mean, self.spread)
 
 
 class Outcomes(Struct, kw_only=True):
-    """What became of the requests of one class.
+    """Counts of the outcomes of one class.
 
     Attributes:
-        ended: callers' requests that ended.
-        in_time: of these, answered within the target from their first try.
-        late: answered after it.
-        refused: ended unanswered after refusals.
-        failed: ended unanswered after a failure.
-        tries: that callers made.
-        far: answered by an upstream of another data centre.
+        ended: callers' requests that ended, with or without an answer.
+        in_time: requests answered within the target, counted from the first
+            try.
+        late: requests answered after the target.
+        refused: requests without an answer, whose last try did not run.
+        failed: requests without an answer, whose last try may have run.
+        tries: tries that callers made.
+        remote: requests answered by an upstream in another data centre.
     """
 
     ended: int = 0
@@ -70,24 +72,24 @@
     refused: int = 0
     failed: int = 0
     tries: int = 0
-    far: int = 0
+    remote: int = 0
 
     def note_answer(
         self,
         seconds: float,
         *,
-        is_far: bool,
+        is_remote: bool,
         target_seconds: float,
     ) -> None:
         """Count an answer.
 
         Args:
-            seconds: since the first try.
-            is_far: whether another data centre gave it.
-            target_seconds: target, seconds.
+            seconds: time since the first try.
+            is_remote: whether an upstream in another data centre answered.
+            target_seconds: time within which the request should be answered.
         """
         self.ended += 1
-        self.far += is_far
+        self.remote += is_remote
         self.in_time += seconds <= target_seconds
         self.late += seconds > target_seconds
 
@@ -95,7 +97,7 @@
         """Count a request without an answer.
 
         Args:
-            outcome: of its last try.
+            outcome: outcome of its last try.
         """
         self.ended += 1
         if outcome is Outcome.not_run:
@@ -105,10 +107,10 @@
 
     @property
     def share_in_time(self) -> float:
-        """Of all requests, those answered within their target."""
+        """Share of the ended requests that were answered within the target."""
         return self.in_time / max(1, self.ended)
 
     @property
     def share_remote(self) -> float:
-        """Of the answers, those from another data centre."""
-        return self.far / max(1, self.in_time + self.late)
+        """Share of the answers that came from another data centre."""
+        return self.remote / max(1, self.in_time + self.late)
--- a/wagtaildale/testing/replay/mesh.py
+++ b/wagtaildale/testing/replay/mesh.py
@@ -1,4 +1,4 @@
-"""A mesh of entries and upstreams under a load."""
+"""Simulated mesh of entries and upstreams under load."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.testing.builders import build_instances, build_record
-from wagtaildale.testing.replay.callers import Caller, InnerCall
-from wagtaildale.testing.replay.calls import FAR_SECONDS
+from wagtaildale.testing.replay.callers import Caller, NestedCall
+from wagtaildale.testing.replay.calls import REMOTE_DELAY_SECONDS
 from wagtaildale.testing.replay.clock import VirtualClock
 from wagtaildale.testing.replay.entries import ReplayEntry
 from wagtaildale.testing.replay.load import LoadClass, Outcomes
@@ -29,22 +29,22 @@
 
 
 class ReplayMesh:
-    """Entries, one beside each upstream, and what callers send them.
+    """Upstreams with an entry beside each, and the load on them.
 
     Attributes:
-        clock: of the replay.
-        view: by which entries route.
-        servers: by instance.
-        entries: by instance of the upstream beside.
-        outcomes: by class.
+        clock: clock of the simulation.
+        view: view of the listed upstreams that all entries share.
+        servers: upstreams by instance.
+        entries: entries by the instance of the upstream beside them.
+        outcomes: counts of outcomes by class name.
     """
 
     def __init__(self, classes: Sequence[LoadClass], *, seed: int) -> None:
-        """Begin without upstreams.
+        """Start without upstreams.
 
         Args:
-            classes: of the load.
-            seed: of everything that is drawn.
+            classes: classes of requests in the load.
+            seed: seed of all random numbers.
         """
         random.seed(seed)
         self.clock = VirtualClock()
@@ -68,12 +68,13 @@
         """Add upstreams, each with an entry beside it.
 
         Args:
-            service: that they run.
-            count: of them.
-            data_centres: where they stand, in turn.
-            speeds: of their backend servers, in turn.
-            slots: of each.
-            cold: whether they have just started.
+            service: service that they run.
+            count: number of upstreams to add.
+            data_centres: data centres that they are assigned to in turn.
+            speeds: speeds of their backend servers, assigned in turn within
+                each data centre.
+            slots: slots of each backend server.
+            cold: whether the backend servers have just started.
         """
         for number in range(count):
             name = InstanceId(f'{service}-{len(self.servers)}')
@@ -88,58 +89,59 @@
                 clock=self.clock,
                 speed=speeds[number // len(data_centres) % len(speeds)],
                 cold=cold,
-                on_condition=self._tell_condition,
-                on_limit=self._tell_limit,
+                on_slowness=self._announce_slowness,
+                on_limit=self._announce_limit,
             )
             self.servers[name] = server
             self._start_entry(server)
-        self.list_upstreams()
+        self.publish_upstreams()
 
-    def list_upstreams(self) -> None:
-        """Tell every entry which upstreams there are."""
+    def publish_upstreams(self) -> None:
+        """Publish the list of upstreams to every entry."""
         self._version += 1
         records = [server.record for server in self.servers.values()]
         listed = build_instances(*records, version=self._version)
         self.view.take_instances(listed)
 
     def mark_leaving(self, count: int) -> None:
-        """Let upstreams leave: they finish what they have.
+        """List upstreams as leaving; they finish the requests they have.
 
         Args:
-            count: of each service, the first ones.
+            count: number of upstreams of each service; the first ones that
+                were added leave.
         """
-        left: dict[str, int] = {}
+        counts: dict[str, int] = {}
         for server in self.servers.values():
             record = server.record
-            left[record.service] = left.get(record.service, 0) + 1
-            if left[record.service] <= count:
+            counts[record.service] = counts.get(record.service, 0) + 1
+            if counts[record.service] <= count:
                 server.record = structs.replace(
                     record,
                     state=ListedState.leaving,
                 )
-        self.list_upstreams()
+        self.publish_upstreams()
 
     def run(self, seconds: float) -> None:
-        """Let callers send their requests for a while.
+        """Run the simulation while callers send requests.
 
         Args:
-            seconds: for how long.
+            seconds: virtual time to run for.
         """
         until = self.clock.now + seconds
         for work_class in self._classes.values():
             if work_class.per_second:
-                self._plan(work_class, until)
+                self._schedule_request(work_class, until)
         self.clock.run(until=until)
 
     def run_without_load(self, seconds: float) -> None:
-        """Let what is under way end, without new requests.
+        """Run the simulation without new requests, so that others can end.
 
         Args:
-            seconds: for how long.
+            seconds: virtual time to run for.
         """
         self.clock.run(until=self.clock.now + seconds)
 
-    def call_from(
+    def make_nested_call(
         self,
         server: ReplayServer,
         ticket: TicketId,
@@ -147,32 +149,32 @@
         work_class: LoadClass,
         deadline: float,
     ) -> bool:
-        """Make the call of a run that has begun, if it makes one.
+        """Make the nested call of a request that has started, if it has one.
 
         Args:
-            server: where it runs.
-            ticket: of the run.
-            work_class: of the request that runs.
-            deadline: of that request, seconds.
+            server: server of the running request.
+            ticket: ticket of that request at the server.
+            work_class: class of that request.
+            deadline: deadline of that request, seconds on the clock.
 
         Returns:
-            Whether it makes one; ``finish`` follows at the server.
+            Whether a call was made; its end calls ``finish`` of the server.
         """
         if random.random() >= work_class.calls_share:
             return False
         called = self._classes[work_class.calls]
-        call = InnerCall(
+        call = NestedCall(
             server,
             ticket,
             work_class=called,
             outcomes=self.outcomes[called.name],
             clock=self.clock,
         )
-        call.ask(self.entries[server.record.instance], deadline=deadline)
+        call.send(self.entries[server.record.instance], deadline=deadline)
         return True
 
     def reset_counts(self) -> None:
-        """Count nothing of what was until now."""
+        """Reset the counts of outcomes and of all servers."""
         for name in self.outcomes:
             self.outcomes[name] = Outcomes()
         for server in self.servers.values():
@@ -181,28 +183,28 @@
             server.slot_seconds = 0
 
     def count_runs(self) -> int:
-        """Count the runs that were begun.
+        """Count the requests that started to run.
 
         Returns:
-            At all upstreams.
+            Number at all upstreams together.
         """
         return sum(server.runs for server in self.servers.values())
 
-    def _tell_condition(self, server: ReplayServer) -> None:
+    def _announce_slowness(self, server: ReplayServer) -> None:
         ratio = server.state.slowness.announced_ratio
         for entry in self.entries.values():
-            self.clock.set(
-                FAR_SECONDS,
-                partial(entry.note_condition, server, ratio),
+            self.clock.schedule(
+                REMOTE_DELAY_SECONDS,
+                partial(entry.note_slowness, server, ratio),
             )
 
-    def _tell_limit(self, server: ReplayServer) -> None:
-        named = server.describe_limit()
-        assert named is not None
+    def _announce_limit(self, server: ReplayServer) -> None:
+        limit = server.describe_limit()
+        assert limit is not None
         for entry in self.entries.values():
-            self.clock.set(
-                FAR_SECONDS,
-                partial(entry.note_limit, server, named),
+            self.clock.schedule(
+                REMOTE_DELAY_SECONDS,
+                partial(entry.note_limit, server, limit),
             )
 
     def _start_entry(self, server: ReplayServer) -> None:
@@ -213,13 +215,13 @@
             mesh=self,
         )
 
-    def _plan(self, work_class: LoadClass, until: float) -> None:
+    def _schedule_request(self, work_class: LoadClass, until: float) -> None:
         gap = random.expovariate(work_class.per_second)
         if self.clock.now + gap < until:
-            self.clock.set(gap, partial(self._send, work_class, until))
+            self.clock.schedule(gap, partial(self._send, work_class, until))
 
     def _send(self, work_class: LoadClass, until: float) -> None:
         entry = random.choice(list(self.entries.values()))
         outcomes = self.outcomes[work_class.name]
-        Caller(entry, work_class, outcomes=outcomes).ask()
-        self._plan(work_class, until)
+        Caller(entry, work_class, outcomes=outcomes).send()
+        self._schedule_request(work_class, until)
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -1,4 +1,4 @@
-"""An owner's gate with a modelled backend server behind it."""
+"""Simulated upstream: an owner's gate in front of a modelled server."""
 
 from __future__ import annotations
 
@@ -33,46 +33,49 @@
     from wagtaildale.testing.replay.clock import VirtualClock
     from wagtaildale.testing.replay.load import LoadClass
 
-# A backend server takes twice its time for some seconds after its start.
+# Time after its start in which a backend server is slower, and its factor.
 COLD_SECONDS: Final = 3.0
 COLD_SLOWNESS: Final = 2.0
-# So that an alarm is due a moment after what it waits for.
-MOMENT: Final = 1e-6
+# Added to each timer, so that it fires just after the time it waits for.
+ALARM_MARGIN_SECONDS: Final = 1e-6
 
 
 class Job(Struct, kw_only=True, eq=False):
-    """A request at an owner.
+    """A request that an owner received.
 
     Attributes:
-        work_class: of the request.
-        on_refused: is told a refusal.
-        on_done: is told how long the run took.
-        on_run: is told that the run begins, and its ticket; returns whether
-            it calls another service, whose answer is a call of ``finish``.
-        started_at: when it began to run, seconds; negative before.
-        waits_for: parts of the run that are not over: work and call.
+        work_class: class of the request.
+        on_refused: called with the refusal if the request is refused.
+        on_done: called with the run time in seconds at the end of the run.
+        on_started: called with the ticket when the run starts; returns
+            whether the run calls another service. The end of that call then
+            calls ``finish``.
+        started_at: time at which the run started, seconds; negative before.
+        pending_parts: parts of the run that have not ended: its own work and
+            its nested call.
     """
 
     work_class: LoadClass
     on_refused: Callable[[Refused], None]
     on_done: Callable[[float], None]
-    on_run: Callable[[TicketId], bool]
+    on_started: Callable[[TicketId], bool]
     started_at: float = -1
-    waits_for: int = 1
+    pending_parts: int = 1
 
 
 class ReplayServer:
-    """One upstream.
+    """One simulated upstream.
 
     Attributes:
-        record: as listed.
-        speed: of the backend server; 2 takes half as long.
-        slowness: what a fault multiplies its times by.
-        requests_received: requests that came to its owner.
-        runs: that were begun.
-        slot_seconds: for which slots were held by runs that are over.
-        limit: requests a second that it names; nothing for none.
-        state: of its gate.
+        record: record of the instance, as listed.
+        speed: speed of the backend server; at 2, runs take half as long.
+        slowness: factor by which a simulated fault multiplies run times.
+        requests_received: number of requests that its owner received.
+        runs: number of runs that were started.
+        slot_seconds: total time that ended runs held slots.
+        limit: requests per second that the backend server reports it takes;
+            none if it reports no limit.
+        state: state of the admission gate.
     """
 
     def __init__(
@@ -82,18 +85,19 @@
         clock: VirtualClock,
         speed: float,
         cold: bool,
-        on_condition: Callable[[ReplayServer], None],
+        on_slowness: Callable[[ReplayServer], None],
         on_limit: Callable[[ReplayServer], None],
     ) -> None:
-        """Start.
+        """Start the upstream and publish its slots to the gate.
 
         Args:
-            record: as listed; its slots are those of the server.
-            clock: of the replay.
-            speed: of the backend server.
-            cold: whether it has just started.
-            on_condition: is told when it turns slow or well.
-            on_limit: is told when entries are to send it more, or less.
+            record: record of the instance; the server has its slots.
+            clock: clock of the simulation.
+            speed: speed of the backend server.
+            cold: whether the backend server has just started.
+            on_slowness: called when its announced slowness changes.
+            on_limit: called when entries should send it more or fewer
+                requests.
         """
         self.record = record
         self.speed = speed
@@ -104,95 +108,101 @@
         self.limit: float | None = None
         self.state = make_admission(record.slots)
         self._clock = clock
-        self._on_condition = on_condition
+        self._on_slowness = on_slowness
         self._on_limit = on_limit
         self._cold_until = clock.now + COLD_SECONDS if cold else float(0)
         self._jobs: dict[TicketId, Job] = {}
-        self._last = 0
-        self._tell(SlotsPublished(slots=record.slots))
+        self._last_ticket = 0
+        self._decide(SlotsPublished(slots=record.slots))
 
-    def enter(self, arrived: RequestArrived, job: Job) -> TicketId:
-        """Ask for a slot.
+    def request_slot(self, arrived: RequestArrived, job: Job) -> TicketId:
+        """Request a slot for a request that has arrived.
 
         Args:
             arrived: the request.
-            job: is told what becomes of it.
+            job: the callbacks of the request.
 
         Returns:
-            By which it can be cancelled.
+            Ticket by which the request can be cancelled.
         """
-        self._last += 1
+        self._last_ticket += 1
         self.requests_received += 1
-        ticket = TicketId(self._last)
+        ticket = TicketId(self._last_ticket)
         self._jobs[ticket] = job
-        self._tell(structs.replace(arrived, ticket=ticket))
+        self._decide(structs.replace(arrived, ticket=ticket))
         for waiting in self.state.queue:
             if waiting.ticket == ticket:
                 wait = waiting.start_by - self._clock.now
-                self._clock.set(wait + MOMENT, self._pass_time)
-        self._look_for_token()
+                self._clock.schedule(
+                    wait + ALARM_MARGIN_SECONDS, self._pass_time
+                )
+        self._schedule_token()
         return ticket
 
     def cancel(self, ticket: TicketId) -> None:
-        """Stop a request: nobody waits for it.
+        """Cancel a request that no one waits for any more.
 
         Args:
-            ticket: of the request.
+            ticket: ticket of the request.
         """
         job = self._jobs.pop(ticket, None)
         if job is None:
             return
         if job.started_at < 0:
-            self._tell(RequestCancelled(ticket=ticket))
+            self._decide(RequestCancelled(ticket=ticket))
         else:
-            self._leave(ticket, job, Ending.abandoned)
+            self._free_slot(ticket, job, Ending.abandoned)
 
     def finish(self, ticket: TicketId) -> None:
-        """End one of the two parts of a run: its work or its call.
+        """End one part of a run, its work or its nested call.
+
+        The run ends with its last part.
 
         Args:
-            ticket: of the run.
+            ticket: ticket of the run.
         """
         job = self._jobs.get(ticket)
         if job is None:
             return
-        job.waits_for -= 1
-        if job.waits_for:
+        job.pending_parts -= 1
+        if job.pending_parts:
             return
         self._jobs.pop(ticket)
-        self._tell(RateReported(per_second=self.limit, begun_at=job.started_at))
-        self._leave(ticket, job, Ending.good)
+        self._decide(
+            RateReported(per_second=self.limit, begun_at=job.started_at)
+        )
+        self._free_slot(ticket, job, Ending.good)
         job.on_done(self._clock.now - job.started_at)
 
     def report(self, code: Code, *, work_class: str) -> OwnerReport:
-        """Say of itself what goes along with an answer.
+        """Build the owner's report that accompanies an answer.
 
         Args:
-            code: of the answer.
-            work_class: of the request.
+            code: code of the answer.
+            work_class: class of the request.
 
         Returns:
             The report.
         """
         state = self.state
-        usual = state.find_run_times(work_class)
+        run_times = state.find_run_times(work_class)
         return OwnerReport(
             incarnation=Incarnation(1),
             in_flight=len(state.running),
             limit=int(state.limit),
             queued=len(state.queue),
             slot_seconds=state.slot_seconds,
-            class_seconds=usual.recent,
-            class_usual=usual.reliable_mean,
+            class_seconds=run_times.recent,
+            class_usual=run_times.reliable_mean,
             code=code,
             named=self.describe_limit(),
         )
 
     def describe_limit(self) -> NamedLimit | None:
-        """Say how many requests the backend server takes.
+        """Describe how many requests the backend server takes.
 
         Returns:
-            The limit; nothing before the first answer.
+            The limit; none before the first answer.
         """
         state = self.state
         if not state.rate.is_observed:
@@ -202,10 +212,10 @@
             share=compute_pass_share(state, now=self._clock.now),
         )
 
-    def _leave(self, ticket: TicketId, job: Job, ending: Ending) -> None:
+    def _free_slot(self, ticket: TicketId, job: Job, ending: Ending) -> None:
         now = self._clock.now
         self.slot_seconds += now - job.started_at
-        self._tell(
+        self._decide(
             RequestFinished(
                 ticket=ticket,
                 seconds=now - job.started_at,
@@ -214,26 +224,26 @@
             ),
         )
         if self.state.slowness.update_announcement(now=now):
-            self._on_condition(self)
+            self._on_slowness(self)
         share = compute_pass_share(self.state, now=now)
         if self.state.demand.update_announcement(share, now=now):
             self._on_limit(self)
 
     def _pass_time(self) -> None:
-        self._tell(TimePassed())
-        self._look_for_token()
+        self._decide(TimePassed())
+        self._schedule_token()
 
-    def _look_for_token(self) -> None:
+    def _schedule_token(self) -> None:
         wait = self.state.find_token_at(self._clock.now) - self._clock.now
         if wait < inf:
-            self._clock.set(wait + MOMENT, self._pass_time)
+            self._clock.schedule(wait + ALARM_MARGIN_SECONDS, self._pass_time)
 
-    def _tell(self, message: GateMessage) -> None:
+    def _decide(self, message: GateMessage) -> None:
         now = self._clock.now
         for verdict in decide_admission(message, self.state, now=now):
-            self._take_verdict(verdict)
+            self._apply_verdict(verdict)
 
-    def _take_verdict(self, verdict: Verdict) -> None:
+    def _apply_verdict(self, verdict: Verdict) -> None:
         ticket = verdict.ticket
         if isinstance(verdict, Admitted):
             self._run(ticket, self._jobs[ticket])
@@ -248,6 +258,6 @@
         seconds *= self.slowness / self.speed
         if self._clock.now < self._cold_until:
             seconds *= COLD_SLOWNESS
-        if job.on_run(ticket):
-            job.waits_for += 1
-        self._clock.set(seconds, lambda: self.finish(ticket))
+        if job.on_started(ticket):
+            job.pending_parts += 1
+        self._clock.schedule(seconds, lambda: self.finish(ticket))
