--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -1,6 +1,8 @@
-"""Fuzzing of every input: nothing raises but what is meant to.
+"""Fuzz tests of all inputs: parsers raise nothing but their own errors.
 
-``make fuzz`` runs the same tests longer, with the ``fuzz`` profile.
+``make fuzz`` runs the same tests with more examples, and new random ones in
+each run. The names and bodies of the tests determine the examples of the
+usual run.
 """
 
 from __future__ import annotations
--- a/wagtaildale/testing/__init__.py
+++ b/wagtaildale/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Builders and assertions for the tests."""
+"""Builders, assertions and simulations that tests use."""
--- a/wagtaildale/testing/assertions.py
+++ b/wagtaildale/testing/assertions.py
@@ -14,31 +14,31 @@
     from wagtaildale.errors.codes import Code
     from wagtaildale.errors.faults import Fault
 
-Good = TypeVar('Good')
-Bad = TypeVar('Bad')
+Success = TypeVar('Success')
+Failure = TypeVar('Failure')
 
 
-def assert_ok(outcome: Result[Good, Bad]) -> Good:
-    """Assert that something succeeded.
+def assert_ok(outcome: Result[Success, Failure]) -> Success:
+    """Assert that a result is a success.
 
     Args:
-        outcome: of the step under test.
+        outcome: result of the step under test.
 
     Returns:
-        What it gave.
+        The value of the result.
     """
     assert isinstance(outcome, Ok), f'got {outcome}'
     return outcome.ok_value
 
 
-def assert_err(outcome: Result[Good, Bad]) -> Bad:
-    """Assert that something failed.
+def assert_err(outcome: Result[Success, Failure]) -> Failure:
+    """Assert that a result is a failure.
 
     Args:
-        outcome: of the step under test.
+        outcome: result of the step under test.
 
     Returns:
-        Why it failed.
+        The error of the result.
     """
     assert isinstance(outcome, Err), f'got {outcome}'
     return outcome.err_value
@@ -48,8 +48,8 @@
     """Assert that faults have these codes, in any order.
 
     Args:
-        faults: as given.
-        expected: their codes.
+        faults: faults that the step under test reported.
+        expected: expected codes, one for each fault.
     """
     codes = sorted(fault.code for fault in faults)
     assert codes == sorted(expected), f'got {list(map(str, faults))}'
--- a/wagtaildale/testing/builders.py
+++ b/wagtaildale/testing/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data; each takes only what a test is about."""
+"""Builders of test data, with defaults for all that a test need not set."""
 
 from __future__ import annotations
 
@@ -64,10 +64,10 @@
 
 
 def build_recorder(node: str = 'a') -> EventRecorder:
-    """Build a recorder that only keeps its ring.
+    """Build a recorder that writes no log and only keeps its ring buffer.
 
     Args:
-        node: instance id.
+        node: instance id of the node.
 
     Returns:
         The recorder.
@@ -76,10 +76,10 @@
 
 
 def build_gate(slots: int = SLOTS) -> Gate:
-    """Build an open gate whose alarms nobody rings.
+    """Build an open gate whose alarms never fire.
 
     Args:
-        slots: of its backend server.
+        slots: slots of its backend server.
 
     Returns:
         The gate.
@@ -88,26 +88,26 @@
 
 
 def build_mesh(text: str = MESH_TEXT) -> MeshEntry:
-    """Build a checked operators' file.
+    """Parse and check an operators' file.
 
     Args:
-        text: TOML.
+        text: the file, in TOML.
 
     Returns:
-        The mesh.
+        The mesh that it describes.
     """
     return parse_mesh(text, name='mesh.toml').unwrap()
 
 
 def build_compiled(version: int = 1, *, text: str = MESH_TEXT) -> Compiled:
-    """Build a manifest with its parts.
+    """Build a manifest with its parts from an operators' file.
 
     Args:
-        version: its version.
-        text: TOML.
+        version: version of the manifest.
+        text: the file, in TOML.
 
     Returns:
-        What would be published.
+        The manifest and parts, as they would be published.
     """
     return compile_mesh(build_mesh(text), version=version).unwrap()
 
@@ -119,16 +119,16 @@
     routed_to: str | None = None,
     work_class: str = 'lookup',
 ) -> bytes:
-    """Build the bytes of a part with one class and one route.
+    """Build an encoded part with one class and one route.
 
     Args:
-        service: its service.
-        within_ms: target of its class.
-        routed_to: the service that its route names, its own if left out.
-        work_class: the class that its route names.
+        service: service of the part.
+        within_ms: target of its class, milliseconds.
+        routed_to: service that the route names; the part's own by default.
+        work_class: class that the route names.
 
     Returns:
-        JSON.
+        The part in JSON.
     """
     part = Part(
         service=ServiceName(service),
@@ -163,9 +163,9 @@
     """Build a configuration document.
 
     Args:
-        version: its version.
-        services: one part for each.
-        within_ms: target of the classes.
+        version: version of the document.
+        services: services of the document; it has one part for each.
+        within_ms: target of every class, milliseconds.
 
     Returns:
         The document.
@@ -190,11 +190,11 @@
     """Build an instance's record.
 
     Args:
-        instance: its id.
-        service: it runs.
-        data_centre: where it stands.
-        host: its IP number.
-        state: as listed.
+        instance: instance id.
+        service: service that the instance runs.
+        data_centre: data centre of the instance.
+        host: its IP address.
+        state: state in which it is listed.
 
     Returns:
         The record.
@@ -214,13 +214,13 @@
 
 
 def build_retry_share(*, slack: float) -> RetryShare:
-    """Build an entry's share of repeats.
+    """Build an entry's share of retries.
 
     Args:
-        slack: repeats beyond those that requests earn.
+        slack: retries beyond those that requests earn.
 
     Returns:
-        A share that earns a repeat with every fifth request.
+        A share that earns one retry with every fifth request.
     """
     return RetryShare(
         tokens_per_request=0.2,
@@ -237,8 +237,8 @@
     """Build an instance document.
 
     Args:
-        records: who is listed.
-        version: the list's index.
+        records: records of the listed instances.
+        version: index of the list, which is also the document's version.
 
     Returns:
         The document.
--- a/wagtaildale/testing/closing.py
+++ b/wagtaildale/testing/closing.py
@@ -1,4 +1,4 @@
-"""A context that closes what it holds."""
+"""Base class of context managers that have a ``close`` method."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Closing(ABC):
-    """Something with ``close``, usable in a ``with`` statement."""
+    """Context manager that calls ``close`` at its end."""
 
     def __enter__(self) -> Self:
-        """Use it.
+        """Enter the context.
 
         Returns:
-            Itself.
+            The object itself.
         """
         return self
 
@@ -27,15 +27,15 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Close it.
+        """Close the object; an exception from the block is raised on.
 
         Args:
-            kind: of an error, if one ended the use.
-            error: the error.
-            trace: where it arose.
+            kind: type of the exception that ended the block, if any.
+            error: the exception.
+            trace: its traceback.
         """
         self.close()
 
     @abstractmethod
     def close(self) -> None:
-        """End everything that was started."""
+        """Release everything that the object holds."""
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -1,4 +1,4 @@
-"""A small mesh inside a test: real sockets and calls, no distribution."""
+"""Small mesh for tests, with real sockets and calls and no distribution."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
     from wagtaildale.membership.records import InstanceRecord
 
 BACKEND_PORT: Final = 8090
-STOP_SECONDS: Final = 5.0
-CONNECTIONS: Final = 32
-HEAD_BYTES: Final = 8192
-BODY_BYTES: Final = 4_000_000
-FAR_AWAY: Final = 1e12
+STOP_TIMEOUT_SECONDS: Final = 5.0
+MAX_CONNECTIONS: Final = 32
+MAX_HEAD_BYTES: Final = 8192
+MAX_BODY_BYTES: Final = 4_000_000
+FAR_DEADLINE_SECONDS: Final = 1e12
 
 
 class MeshNode(Closing):
-    """Entry and owner of one node, in front of a backend server.
+    """Entry and owner of one node in front of a backend server.
 
     Example:
         >>> record = build_record('a', host='127.0.9.1')
@@ -66,16 +66,16 @@
         dialect: Dialect = DEFAULT_DIALECT,
         suspects: SharedSuspects | None = None,
     ) -> None:
-        """Open the ports.
+        """Open the ports and start the calls task in a thread.
 
         Args:
-            record: the node's instance.
-            slots: of its backend server.
-            mesh_text: the operators' file in force; empty for a node that
-                has none yet.
-            dialect: how callers and backend servers are spoken to.
-            suspects: what it shares with other nodes; nothing if it is
-                alone.
+            record: record of the node's instance.
+            slots: slots of its backend server.
+            mesh_text: text of the operators' file in force; empty for a node
+                that has no configuration yet.
+            dialect: header fields used with callers and backend servers.
+            suspects: suspected requests shared with other nodes; none if the
+                node has a table of its own.
         """
         self.record = record
         self.recorder = build_recorder(record.instance)
@@ -83,7 +83,7 @@
         self.tallies = Tallies()
         self.invariants = Invariants(self.recorder)
         self.calls = CallsTask(
-            _make_figures(record, slots, dialect),
+            _build_settings(record, slots, dialect),
             dependencies=CallsTaskDependencies(
                 identity=Identity(
                     instance=record.instance,
@@ -105,25 +105,25 @@
 
     @property
     def entry(self) -> tuple[str, int]:
-        """Where callers connect."""
+        """Host and port to which callers connect."""
         return self.record.host, self.record.entry_port
 
     @property
     def owner(self) -> Owner:
-        """The owner of its backend server."""
+        """Owner of the backend server."""
         return self.calls.owner
 
     @property
     def gate(self) -> Gate:
-        """The gate in front of its backend server."""
+        """Admission gate in front of the backend server."""
         return self.calls.owner.gate
 
     def publish(self, mesh_text: str, *, health_path: str = '') -> None:
         """Put an operators' file in force at this node.
 
         Args:
-            mesh_text: the file.
-            health_path: where backend servers answer health checks.
+            mesh_text: text of the file.
+            health_path: path of the backend servers' health checks.
         """
         compiled = build_compiled(text=mesh_text)
         document = make_document(
@@ -137,52 +137,52 @@
         self.view.take_configuration(document)
 
     def set_instances(self, *records: InstanceRecord) -> None:
-        """Let the node know these instances.
+        """Replace the node's list of instances.
 
         Args:
-            records: the whole list.
+            records: records of all instances in the new list.
         """
         self.view.take_instances(build_instances(*records))
 
     def hold_slot(self, *, lease_seconds: float = 60) -> Verdict:
-        """Reserve a slot as an entry does that then sends nothing.
+        """Lease a slot without sending a run message for it.
 
         Args:
-            lease_seconds: how long it is held.
+            lease_seconds: time after which the slot is freed.
 
         Returns:
             The verdict of the gate.
         """
         return self.calls.loop.submit(
             lambda: self._hold_slot(lease_seconds),
-        ).result(STOP_SECONDS)
+        ).result(STOP_TIMEOUT_SECONDS)
 
     def redeem(self, ticket: TicketId) -> Verdict:
-        """Begin the run for which a slot is held.
+        """Start the run for which a slot is leased.
 
         Args:
-            ticket: of the lease.
+            ticket: ticket of the lease.
 
         Returns:
             The verdict of the gate.
         """
         return self.calls.loop.submit(
             lambda: self.gate.redeem(ticket),
-        ).result(STOP_SECONDS)
+        ).result(STOP_TIMEOUT_SECONDS)
 
     def drain(self) -> None:
-        """Take no new work at the backend server."""
-        self.calls.loop.submit(self.gate.drain).result(STOP_SECONDS)
+        """Drain the gate, so that the backend server takes no new requests."""
+        self.calls.loop.submit(self.gate.drain).result(STOP_TIMEOUT_SECONDS)
 
     def close(self) -> None:
-        """Close the ports and cut what is open, as a process that ends."""
+        """Close all ports and connections, as the end of a process does."""
         self.calls.stop()
-        self._done.result(STOP_SECONDS)
+        self._done.result(STOP_TIMEOUT_SECONDS)
         self._executor.shutdown(wait=True)
 
     def _hold_slot(self, lease_seconds: float) -> Verdict:
         verdicts: list[Verdict] = []
-        arrived = RequestArrived(within_ms=1, deadline=FAR_AWAY)
+        arrived = RequestArrived(within_ms=1, deadline=FAR_DEADLINE_SECONDS)
         ticket = self.gate.request_slot(arrived, verdicts.append)
         self.gate.lease(ticket, seconds=lease_seconds)
         return verdicts[0]
@@ -193,7 +193,7 @@
     return json.encode(part)
 
 
-def _make_figures(
+def _build_settings(
     record: InstanceRecord,
     slots: int,
     dialect: Dialect,
@@ -206,9 +206,9 @@
         backend_address=Address(record.host, BACKEND_PORT),
         slots=slots,
         limits=CallerLimits(
-            head_bytes=HEAD_BYTES,
-            body_bytes=BODY_BYTES,
-            connections=CONNECTIONS,
+            head_bytes=MAX_HEAD_BYTES,
+            body_bytes=MAX_BODY_BYTES,
+            connections=MAX_CONNECTIONS,
         ),
         chooser=LeastLoaded(),
         dialect=dialect,
@@ -219,7 +219,7 @@
     """Build the records of two instances of one service.
 
     Returns:
-        On addresses of their own.
+        Two records with different loopback addresses.
     """
     return (
         build_record('a', host='127.0.9.1'),
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -1,7 +1,8 @@
-"""A fake network: the pure decisions of several nodes, no socket, no clock.
+"""Simulated network of nodes that run the distribution decisions.
 
-It loses, doubles, delays and reorders messages and partitions nodes, as a
-test tells it to. Messages go through the real encoder and decoder.
+There are no sockets, and the test advances the time. Tests can lose,
+duplicate, delay and reorder messages and partition nodes. Messages go through
+the real encoder and decoder.
 """
 
 from __future__ import annotations
@@ -38,12 +39,18 @@
 )
 
 ROUND_SECONDS: Final = 1.0
-MILLISECONDS: Final = 1000
+MS_PER_SECOND: Final = 1000
 SEED: Final = 'seed'
 
 
 class MessageInFlight(Struct, frozen=True, kw_only=True):
-    """A message under way."""
+    """A message that was sent and not yet delivered.
+
+    Attributes:
+        sender: node that sent it.
+        to: node that it was sent to.
+        frame: the encoded message.
+    """
 
     sender: InstanceId
     to: InstanceId
@@ -51,13 +58,14 @@
 
 
 class FakeSource(Struct, kw_only=True):
-    """The platform as nodes read it.
+    """The platform that nodes read documents from.
 
     Attributes:
-        published: what a read gives, by kind.
-        blobs: what can be read by content hash.
+        published: current document of each kind.
+        blobs: blobs that were ever published, by content hash.
         down: whether reads fail.
-        reads: how many there were, by kind of read.
+        reads: number of document reads by name of the kind, and of blobs
+            read, under ``blobs``.
     """
 
     published: dict[Kind, Document]
@@ -66,10 +74,10 @@
     reads: Counter[str] = field(default_factory=Counter)
 
     def publish(self, document: Document) -> None:
-        """Publish a document.
+        """Publish a document and its blobs.
 
         Args:
-            document: what reads give from now on.
+            document: document that reads return from now on.
         """
         self.published[document.kind] = document
         for blob in document.blobs.values():
@@ -77,15 +85,16 @@
 
 
 class FakeNode(Struct, kw_only=True):
-    """One node.
+    """One simulated node.
 
     Attributes:
-        state: what its distribution task holds.
-        watching: kinds that it is appointed to watch.
-        running: whether it runs.
-        paused: whether its process is stopped for now.
-        held_versions: versions that it has held since its start, by kind.
-        effects: what its decisions asked for, the latest few.
+        state: state of its distribution task.
+        watching: kinds of documents that it is appointed to watch.
+        running: whether its process runs.
+        paused: whether its process is paused.
+        held_versions: versions that it has held since its start, by kind, in
+            their order.
+        effects: effects of its latest decision.
     """
 
     state: DistributionState
@@ -95,11 +104,11 @@
     held_versions: dict[Kind, list[Version]] = field(default_factory=dict)
     effects: list[messages.Effect] = field(default_factory=list)
 
-    def appoint(self, effect: messages.Watch) -> None:
-        """Begin or end a watch.
+    def set_watch(self, effect: messages.Watch) -> None:
+        """Start or end the watch of one kind of document.
 
         Args:
-            effect: which one.
+            effect: the appointment.
         """
         if effect.appointed:
             self.watching.add(effect.kind)
@@ -108,9 +117,9 @@
 
 
 class FakeNetwork:
-    """Nodes, messages under way, the platform and the time.
+    """Nodes, the messages in flight between them, the platform and the time.
 
-    ``sent`` counts the messages of all nodes by what they say.
+    ``sent`` counts the messages of all nodes by the type of their body.
 
     Example:
         >>> network = FakeNetwork(('a', 'b'), data_centres=('derby',))
@@ -126,17 +135,17 @@
         data_centres: tuple[str, ...],
         tuning: Tuning | None = None,
     ) -> None:
-        """Start every node; the platform lists them all.
+        """Start all nodes and publish a list of them.
 
         Args:
-            names: of the nodes' instances.
-            data_centres: the nodes stand there in turn.
-            tuning: the figures of distribution.
+            names: instance ids of the nodes.
+            data_centres: data centres that the nodes are assigned to in turn.
+            tuning: parameters of distribution; the defaults if left out.
         """
         self.now = float(100)
         self.in_flight: list[MessageInFlight] = []
         self.sent: Counter[type[Body]] = Counter()
-        self.cuts: set[frozenset[InstanceId]] = set()
+        self.partitions: set[frozenset[InstanceId]] = set()
         self.source = FakeSource(
             published={kind: make_empty(kind) for kind in Kind},
         )
@@ -149,39 +158,40 @@
         ]
         self.source.publish(build_instances(*self.records))
         self._tuning = tuning or Tuning()
-        self._starts = 0
+        self._start_count = 0
         self.nodes = {
             record.instance: self._make_node(record.instance)
             for record in self.records
         }
 
     def restart(self, instance: InstanceId) -> None:
-        """Start a node anew: it has held nothing.
+        """Restart a node with an empty state.
 
         Args:
-            instance: whose process.
+            instance: the node.
         """
         self.nodes[instance] = self._make_node(instance)
 
     def cut(self, one: InstanceId, other: InstanceId) -> None:
-        """Lose every message between two nodes.
+        """Partition two nodes: all messages between them are lost.
 
         Args:
-            one: a node.
-            other: another.
+            one: one of the nodes.
+            other: the other node.
         """
-        self.cuts.add(frozenset((one, other)))
+        self.partitions.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Mend every cut."""
-        self.cuts.clear()
+        """End all partitions."""
+        self.partitions.clear()
 
     def dispatch(self, instance: InstanceId, message: object) -> None:
-        """Give a node a message and carry out what it decides.
+        """Pass a message to a node's distribution task and run the effects.
 
         Args:
-            instance: the node; nothing happens if it does not run.
-            message: to its distribution task.
+            instance: the node; the message is dropped if it is paused or not
+                running.
+            message: message to the distribution task.
         """
         node = self.nodes[instance]
         if not node.running or node.paused:
@@ -189,25 +199,25 @@
         effects = decide(message, node.state, now=self.now)
         node.effects = effects
         for effect in effects:
-            self._carry_out(instance, effect)
+            self._run_effect(instance, effect)
 
     def deliver(self, index: int, *, keep: bool = False) -> None:
-        """Deliver a message under way, in any order.
+        """Deliver one of the messages in flight.
 
         Args:
-            index: which one.
-            keep: leave it under way too, so that it comes twice.
+            index: position of the message in ``in_flight``.
+            keep: whether it also stays in flight, to be delivered again.
         """
-        in_flight = self.in_flight[index]
+        message = self.in_flight[index]
         if not keep:
             self.in_flight.pop(index)
-        if frozenset((in_flight.sender, in_flight.to)) in self.cuts:
+        if frozenset((message.sender, message.to)) in self.partitions:
             return
-        envelope = decode_envelope(in_flight.frame).unwrap()
-        self.dispatch(in_flight.to, messages.Received(envelope=envelope))
+        envelope = decode_envelope(message.frame).unwrap()
+        self.dispatch(message.to, messages.Received(envelope=envelope))
 
     def tick(self, instance: InstanceId) -> None:
-        """Let a node's timers strike.
+        """Fire the timers of a node.
 
         Args:
             instance: the node.
@@ -217,51 +227,51 @@
         self.dispatch(instance, messages.DeadlineReached())
 
     def resume(self, instance: InstanceId, *, late_by: float) -> None:
-        """Let a paused node go on.
+        """Resume a paused node.
 
         Args:
             instance: the node.
-            late_by: seconds that it slept.
+            late_by: length of the pause, seconds.
         """
         self.nodes[instance].paused = False
         self.dispatch(instance, WokeLate(now=self.now, late_by=late_by))
 
     def is_idle(self, instance: InstanceId) -> bool:
-        """Tell whether a node leaves the platform to others.
+        """Tell whether a node is appointed to no watch.
 
         Args:
             instance: the node.
 
         Returns:
-            Whether it watches nothing.
+            Whether it watches no document of the platform.
         """
         return not self.nodes[instance].watching
 
     def read_source(self, instance: InstanceId) -> None:
-        """Let a node's watches return, if it has any.
+        """Read all documents that a node watches.
 
         Args:
             instance: the node.
         """
-        for kind in sorted(self.nodes[instance].watching, key=_read_kind):
-            self._read(instance, kind)
+        for kind in sorted(self.nodes[instance].watching, key=_get_kind_name):
+            self._read_document(instance, kind)
 
     def settle(self, rounds: int = 60) -> None:
-        """Let time pass with nothing lost, until all have what is shown.
+        """Run rounds until all nodes hold what is published.
 
         Args:
-            rounds: seconds at most.
+            rounds: maximum number of rounds, one second each.
         """
-        left = rounds
-        while left and not self.is_converged():
+        rounds_left = rounds
+        while rounds_left and not self.is_converged():
             self.run_round()
-            left -= 1
+            rounds_left -= 1
 
     def run_round(self, *, seconds: float = ROUND_SECONDS) -> None:
-        """Let time pass: timers, watches, every message under way.
+        """Advance the time, fire timers, read watches, deliver messages.
 
         Args:
-            seconds: how much.
+            seconds: time to advance by.
         """
         self.now += seconds
         for instance in self.nodes:
@@ -270,7 +280,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Deliver every message under way, and those that follow."""
+        """Deliver all messages in flight, and those sent in response."""
         while self.in_flight:
             self.deliver(0)
 
@@ -281,15 +291,15 @@
         to: InstanceId,
         body: Body,
     ) -> messages.Received:
-        """Wrap a body as a node would send it.
+        """Wrap a message body in an envelope, as its sender would.
 
         Args:
-            sender: whose news goes along.
-            to: the receiver.
-            body: what is said.
+            sender: node whose membership news the envelope carries.
+            to: receiving node.
+            body: body of the message.
 
         Returns:
-            What the receiver's task is told.
+            Message to the distribution task of the receiver.
         """
         members = self.nodes[sender].state.members
         envelope = Envelope(
@@ -297,15 +307,17 @@
             news=pick_news(members, to=to),
             stamp=0,
             body=body,
-            sent_ms=round(self.now * MILLISECONDS),
+            sent_ms=round(self.now * MS_PER_SECOND),
         )
         return messages.Received(envelope=envelope)
 
     def is_converged(self) -> bool:
-        """Tell whether every running node holds what the platform shows.
+        """Tell whether all running nodes hold the published documents.
+
+        Paused nodes are left out.
 
         Returns:
-            Whether versions and digests agree, and all are ready.
+            Whether the digests of all kinds agree.
         """
         published = self.source.published
         return all(
@@ -316,13 +328,13 @@
         )
 
     def _make_node(self, instance: InstanceId) -> FakeNode:
-        self._starts += 1
+        self._start_count += 1
         record = next(
             each for each in self.records if each.instance == instance
         )
         members = MembershipState(
             own=Place(instance, DataCentre(record.data_centre)),
-            incarnation=Incarnation(self._starts),
+            incarnation=Incarnation(self._start_count),
         )
         state = make_state(
             members,
@@ -332,27 +344,29 @@
         )
         return FakeNode(state=state, held_versions={kind: [] for kind in Kind})
 
-    def _carry_out(self, instance: InstanceId, effect: messages.Effect) -> None:
+    def _run_effect(
+        self, instance: InstanceId, effect: messages.Effect
+    ) -> None:
         node = self.nodes[instance]
         if isinstance(effect, messages.Send):
             self._send(instance, effect.to, effect)
         elif isinstance(effect, messages.SendSeed):
             self._send(instance, self._find_seed(instance), effect)
         elif isinstance(effect, messages.Watch):
-            node.appoint(effect)
+            node.set_watch(effect)
         elif isinstance(effect, messages.DocumentUpdated):
             document = effect.document
             node.held_versions[document.kind].append(document.version)
         else:
-            self._fetch(instance, effect)
+            self._run_read(instance, effect)
 
-    def _fetch(self, instance: InstanceId, effect: messages.Effect) -> None:
+    def _run_read(self, instance: InstanceId, effect: messages.Effect) -> None:
         if isinstance(effect, messages.ReadSource):
-            self._read(instance, effect.kind)
+            self._read_document(instance, effect.kind)
         elif isinstance(effect, messages.ReadBlobs):
             self._read_blobs(instance, effect)
 
-    def _read(self, instance: InstanceId, kind: Kind) -> None:
+    def _read_document(self, instance: InstanceId, kind: Kind) -> None:
         self.source.reads[kind.name] += 1
         document = self.source.published[kind]
         if self.source.down or not document.version:
@@ -398,5 +412,5 @@
         )
 
 
-def _read_kind(kind: Kind) -> str:
+def _get_kind_name(kind: Kind) -> str:
     return kind.value
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -88,7 +88,10 @@
         self._clock.schedule(remaining, self._time_out)
 
     def send_attempt(self, *, is_hedge: bool = False) -> None:
-        """Send an attempt to an upstream, or fail if there is none.
+        """Send an attempt to an upstream.
+
+        Without an upstream for it the call fails, unless another attempt is
+        still running.
 
         Args:
             is_hedge: whether it is a hedge, which runs only if the upstream
--- a/wagtaildale/testing/suspects.py
+++ b/wagtaildale/testing/suspects.py
@@ -1,4 +1,4 @@
-"""Suspected requests that nodes of a test tell each other of at once."""
+"""Suspected requests that all nodes of a test share without delay."""
 
 from __future__ import annotations
 
@@ -20,49 +20,52 @@
 
 
 class SharedSuspects:
-    """One table for all nodes that are given the same one.
+    """One table of suspected requests for several nodes.
+
+    Stands in for the distribution task, which spreads suspicions to the nodes
+    with a delay.
 
     Attributes:
-        table: what they know.
+        table: the suspected requests.
     """
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
+        """Start with an empty table."""
         self.table = SuspectTable()
-        self._boards: list[SuspectsHolder] = []
+        self._holders: list[SuspectsHolder] = []
         self._lock = threading.Lock()
 
     def make_holder(self) -> SuspectsHolder:
-        """Make the board of one more node.
+        """Make the snapshot holder of one more node.
 
         Returns:
-            The board.
+            The holder, which is updated whenever the table changes.
         """
-        board = SuspectsHolder(self._post)
-        board.current = self.table.get_snapshot()
-        self._boards.append(board)
-        return board
+        holder = SuspectsHolder(self._post)
+        holder.current = self.table.get_snapshot()
+        self._holders.append(holder)
+        return holder
 
-    def _post(self, told: SuspectMessage) -> None:
+    def _post(self, message: SuspectMessage) -> None:
         with self._lock:
-            self._take(told)
-            shown = self.table.get_snapshot()
-            for board in self._boards:
-                board.publish(shown)
+            self._apply(message)
+            snapshot = self.table.get_snapshot()
+            for holder in self._holders:
+                holder.publish(snapshot)
 
     @singledispatchmethod
-    def _take(self, told: object) -> None:
-        raise TypeError(f'got {told!r}, expected word of a request')
+    def _apply(self, message: object) -> None:
+        raise TypeError(f'got {message!r}, expected a SuspectMessage')
 
-    @_take.register
-    def _take_ends(self, told: EndsNoted) -> None:
-        for suspicion in told.suspicions:
+    @_apply.register
+    def _apply_ends(self, message: EndsNoted) -> None:
+        for suspicion in message.suspicions:
             self.table.merge(suspicion, now=read_clock())
 
-    @_take.register
-    def _take_answered(self, told: RequestAnswered) -> None:
-        self.table.clear(told.fingerprint, now=read_clock())
+    @_apply.register
+    def _apply_answered(self, message: RequestAnswered) -> None:
+        self.table.clear(message.fingerprint, now=read_clock())
 
-    @_take.register
-    def _take_refused(self, told: RequestRefused) -> None:
-        self.table.note_seen(told.fingerprint, now=read_clock())
+    @_apply.register
+    def _apply_refused(self, message: RequestRefused) -> None:
+        self.table.note_seen(message.fingerprint, now=read_clock())
