--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -64,8 +64,8 @@
         published: current document of each kind.
         blobs: blobs that were ever published, by content hash.
         down: whether reads fail.
-        reads: number of document reads by name of the kind, and of blobs
-            read, under ``blobs``.
+        reads: number of document reads, by name of the kind, and number of
+            blobs read, under ``blobs``.
     """
 
     published: dict[Kind, Document]
@@ -253,7 +253,7 @@
         Args:
             instance: the node.
         """
-        for kind in sorted(self.nodes[instance].watching, key=_get_kind_name):
+        for kind in sorted(self.nodes[instance].watching, key=_get_kind_value):
             self._read_document(instance, kind)
 
     def settle(self, rounds: int = 60) -> None:
@@ -412,5 +412,5 @@
         )
 
 
-def _get_kind_name(kind: Kind) -> str:
+def _get_kind_value(kind: Kind) -> str:
     return kind.value
--- a/wagtaildale/testing/replay/callers.py
+++ b/wagtaildale/testing/replay/callers.py
@@ -131,9 +131,9 @@
         )
 
     def _take_answer(self, is_remote: bool) -> None:
-        took = self._clock.now - self._started_at
+        seconds = self._clock.now - self._started_at
         self._outcomes.note_answer(
-            took,
+            seconds,
             is_remote=is_remote,
             target_seconds=self._work_class.target_seconds,
         )
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -178,10 +178,10 @@
             return
         request = self._request
         now = self._clock.now
-        within = 0 if is_hedge else max(0, request.target_at - now)
+        seconds_left = 0 if is_hedge else max(0, request.target_at - now)
         ticket = attempt.server.request_slot(
             RequestArrived(
-                within_ms=int(within * MS_PER_SECOND),
+                within_ms=int(seconds_left * MS_PER_SECOND),
                 deadline=request.deadline,
                 rank=request.work_class.rank,
                 patient=patient and not is_hedge,
@@ -227,8 +227,10 @@
         now = self._clock.now
         failure = CallFailed(refused.code, retry_after=refused.retry_after)
         attempts.note_refusal(attempt.server.record.instance, refused.code)
-        may_ask = attempts.take_redirect(failure, now=now)
-        if may_ask or attempts.take_retry(failure, now=now, replayable=True):
+        may_redirect = attempts.take_redirect(failure, now=now)
+        if may_redirect or attempts.take_retry(
+            failure, now=now, replayable=True
+        ):
             self.send_attempt()
         else:
             self._fail_if_last(failure)
@@ -285,9 +287,11 @@
             )
 
     def _schedule_hedge(self, attempt: ReplayAttempt) -> None:
-        within = self._request.work_class.target_seconds * MS_PER_SECOND
-        clock = self._entry.hedge_delays.find(self._request.work_class.name)
-        delay = clock.find_delay(within_ms=within)
+        target_ms = self._request.work_class.target_seconds * MS_PER_SECOND
+        hedge_delay = self._entry.hedge_delays.find(
+            self._request.work_class.name
+        )
+        delay = hedge_delay.find_delay(within_ms=target_ms)
         if delay is None or len(self._running) > 1:
             return
         if self._attempts.may_hedge(self._clock.now + delay):
--- a/wagtaildale/testing/replay/clock.py
+++ b/wagtaildale/testing/replay/clock.py
@@ -53,8 +53,8 @@
             action: called at that time.
         """
         at = self.now + max(0, delay)
-        due = Event(at=at, order=next(self._order), action=action)
-        heapq.heappush(self._events, due)
+        event = Event(at=at, order=next(self._order), action=action)
+        heapq.heappush(self._events, event)
 
     def run(self, *, until: float) -> None:
         """Run all actions up to a time, and set the clock to that time.
--- a/wagtaildale/testing/replay/entries.py
+++ b/wagtaildale/testing/replay/entries.py
@@ -104,7 +104,7 @@
             server: the upstream.
             ratio: its current run time divided by its usual run time.
         """
-        upstream = self._find_connected(server)
+        upstream = self._find_in_subset(server)
         if upstream is not None:
             upstream.speed.note_condition(ratio, now=self.mesh.clock.now)
 
@@ -115,7 +115,7 @@
             server: the upstream.
             limit: the limit that its owner announces.
         """
-        upstream = self._find_connected(server)
+        upstream = self._find_in_subset(server)
         if upstream is not None:
             self.placement.statistics.limits.note(
                 upstream.instance,
@@ -123,7 +123,7 @@
                 now=self.mesh.clock.now,
             )
 
-    def _find_connected(
+    def _find_in_subset(
         self,
         server: ReplayServer,
     ) -> UpstreamStatistics | None:
@@ -137,5 +137,5 @@
 
     def _find_budget(self, service: str) -> RetryBudget:
         share = build_retry_share(slack=RETRY_SLACK)
-        new = RetryBudget(share, now=self.mesh.clock.now)
-        return self._budgets.setdefault(service, new)
+        new_budget = RetryBudget(share, now=self.mesh.clock.now)
+        return self._budgets.setdefault(service, new_budget)
--- a/wagtaildale/testing/replay/load.py
+++ b/wagtaildale/testing/replay/load.py
@@ -18,7 +18,7 @@
         service: service that runs the requests.
         per_second: rate of new requests of all callers together; retries of
             callers come on top.
-        run_seconds: mean run time at a backend server of speed 1.
+        run_seconds: mean run time at a backend server of speed 1, log-normal.
         spread: standard deviation of the logarithm of the run time.
         target_seconds: time within which a request should be answered.
         deadline_seconds: time that a caller waits for an answer.
--- a/wagtaildale/testing/replay/mesh.py
+++ b/wagtaildale/testing/replay/mesh.py
@@ -93,7 +93,7 @@
                 on_limit=self._announce_limit,
             )
             self.servers[name] = server
-            self._start_entry(server)
+            self._add_entry(server)
         self.publish_upstreams()
 
     def publish_upstreams(self) -> None:
@@ -207,7 +207,7 @@
                 partial(entry.note_limit, server, limit),
             )
 
-    def _start_entry(self, server: ReplayServer) -> None:
+    def _add_entry(self, server: ReplayServer) -> None:
         record = server.record
         self.entries[record.instance] = ReplayEntry(
             record.instance,
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -136,7 +136,7 @@
                 self._clock.schedule(
                     wait + ALARM_MARGIN_SECONDS, self._pass_time
                 )
-        self._schedule_token()
+        self._schedule_token_check()
         return ticket
 
     def cancel(self, ticket: TicketId) -> None:
@@ -231,9 +231,9 @@
 
     def _pass_time(self) -> None:
         self._decide(TimePassed())
-        self._schedule_token()
+        self._schedule_token_check()
 
-    def _schedule_token(self) -> None:
+    def _schedule_token_check(self) -> None:
         wait = self.state.find_token_at(self._clock.now) - self._clock.now
         if wait < inf:
             self._clock.schedule(wait + ALARM_MARGIN_SECONDS, self._pass_time)
