--- a/wagtaildale/routing/tests/test_throttling.py
+++ b/wagtaildale/routing/tests/test_throttling.py
@@ -41,8 +41,8 @@
         service=INTAKE,
         per_second=LOOKUPS_PER_SECOND * scale,
         run_seconds=0.06,
-        within=0.2,
-        deadline=1.2,
+        target_seconds=0.2,
+        deadline_seconds=1.2,
         rank=2,
     )
     booking = LoadClass(
@@ -51,8 +51,8 @@
         per_second=BOOKINGS_PER_SECOND * scale,
         run_seconds=0.078,
         spread=0.8,
-        within=0.25,
-        deadline=1.5,
+        target_seconds=0.25,
+        deadline_seconds=1.5,
         idempotent=False,
     )
     mesh = ReplayMesh([lookup, booking], seed=seed)
@@ -64,7 +64,7 @@
         speeds=(0.7, 0.7, 1.6),
     )
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     return mesh
 
 
@@ -73,7 +73,7 @@
     for server in list(mesh.servers.values())[:count]:
         server.limit = per_second
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
 
 
 def assert_shared_out(mesh: ReplayMesh, per_second: float) -> None:
@@ -81,7 +81,10 @@
     limited = [each for each in mesh.servers.values() if each.limit is not None]
     accepted = per_second * len(limited) * SECONDS
     assert sum(each.runs for each in limited) >= MIN_RUN_SHARE * accepted
-    assert sum(each.asked for each in limited) <= MAX_SENT_SHARE * accepted
+    assert (
+        sum(each.requests_received for each in limited)
+        <= MAX_SENT_SHARE * accepted
+    )
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -127,7 +130,7 @@
     for server in mesh.servers.values():
         server.limit = None
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     mesh.run(SECONDS)
     assert mesh.outcomes[LOOKUPS].share_in_time >= 0.95
 
@@ -154,13 +157,13 @@
 ) -> None:
     """If most servers are gone, each request would be refused by the others."""
     mesh = build_mesh(seed=seed)
-    mesh.leave(gone)
+    mesh.mark_leaving(gone)
     mesh.run(SETTLE_SECONDS)
-    mesh.count_anew()
+    mesh.reset_counts()
     mesh.run(SECONDS)
     remaining = list(mesh.servers.values())[gone:]
     room = sum(each.record.slots for each in remaining) * SECONDS
     assert sum(each.slot_seconds for each in remaining) >= 0.95 * room
     runs = sum(each.runs for each in remaining)
-    assert sum(each.asked for each in remaining) <= 4 * runs
+    assert sum(each.requests_received for each in remaining) <= 4 * runs
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
