--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -178,8 +178,8 @@
                 FaultKind.kill: node.kill,
                 FaultKind.stop: node.terminate,
                 FaultKind.start: lambda: node.start(self._fleet.options),
-                FaultKind.pause: lambda: node.signal(signal.SIGSTOP),
-                FaultKind.wake: lambda: node.signal(signal.SIGCONT),
+                FaultKind.pause: lambda: node.send_signal(signal.SIGSTOP),
+                FaultKind.wake: lambda: node.send_signal(signal.SIGCONT),
             },
         )
         actions[fault.kind]()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -155,7 +155,7 @@
     def _pause(self) -> None:
         node = self._pick()
         if node.is_running() and node not in self._paused:
-            node.signal(signal.SIGSTOP)
+            node.send_signal(signal.SIGSTOP)
             pause = self._random.uniform(1, LONGEST_PAUSE)
             self._paused[node] = time.monotonic() + pause
 
@@ -180,7 +180,7 @@
             partial(setattr, faults, 'down', not faults.down),
             partial(setattr, faults, 'frozen', not faults.frozen),
             partial(setattr, faults, 'half', not faults.half),
-            platform.restart_index,
+            platform.reset_index,
         )
         self._random.choice(changes)()
 
@@ -217,7 +217,7 @@
         due = [node for node, until in self._paused.items() if until <= now]
         for node in due:
             self._paused.pop(node)
-            node.signal(signal.SIGCONT)
+            node.send_signal(signal.SIGCONT)
 
     def _heal(self) -> None:
         self._wake_due(float('inf'))
--- a/standins/hosted.py
+++ b/standins/backend_thread.py
@@ -12,11 +12,11 @@
 START_SECONDS: Final = 5.0
 
 
-class HostedBackend(Closing):
+class BackendThread(Closing):
     """One backend server on a thread of its own.
 
     Example:
-        >>> with HostedBackend('a', host='127.0.0.1', port=8090) as backend:
+        >>> with BackendThread('a', host='127.0.0.1', port=8090) as backend:
         ...     backend.counts.runs
         0
     """
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -100,7 +100,7 @@
         """
         self.record = record
         self.settings = folder / f'{record.instance}.toml'
-        self.log = folder / f'{record.instance}.log'
+        self.log_path = folder / f'{record.instance}.log'
         self.process: subprocess.Popen[bytes] | None = None
 
     def start(self, options: FleetOptions) -> None:
@@ -111,7 +111,7 @@
         """
         command = [sys.executable, '-m', options.program]
         command += ['--settings', str(self.settings), *options.arguments]
-        with self.log.open('ab') as log:
+        with self.log_path.open('ab') as log:
             self.process = subprocess.Popen(command, stderr=log, stdout=log)
 
     def is_running(self) -> bool:
@@ -127,7 +127,7 @@
         if self.process is not None:
             self.process.terminate()
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Send a signal to the process.
 
         Args:
@@ -258,7 +258,7 @@
         for node in nodes:
             while not self._is_ready(node):
                 if time.monotonic() > deadline or not node.is_running():
-                    tail = node.log.read_text()[-TAIL:]
+                    tail = node.log_path.read_text()[-TAIL:]
                     raise TimeoutError(f'{node.record.instance}: {tail}')
                 time.sleep(LOOK_SECONDS)
 
--- a/standins/judge.py
+++ b/standins/judge.py
@@ -125,9 +125,9 @@
 def _count_broken(fleet: Fleet) -> int:
     broken = EventKind.invariant_broken
     logged = sum(
-        node.log.read_text().count(f'kind={broken.value}')
+        node.log_path.read_text().count(f'kind={broken.value}')
         for node in fleet.nodes
-        if node.log.exists()
+        if node.log_path.exists()
     )
     reports = (node.report() for node in fleet.nodes if node.is_running())
     reported = sum(
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -23,7 +23,7 @@
     from wagtaildale.configuration.compiled import Compiled
     from wagtaildale.membership.records import InstanceRecord
 
-MANIFEST: Final = '/v1/kv/wagtaildale/manifest'
+MANIFEST_PATH: Final = '/v1/kv/wagtaildale/manifest'
 PARTS: Final = '/v1/kv/wagtaildale/parts/'
 INSTANCES: Final = '/v1/instances'
 LARGEST_VALUE: Final = 1_000_000
@@ -132,7 +132,7 @@
         """
         for blob in compiled.parts.values():
             self.put(f'{PARTS}{hash_part(blob).hex()}', blob)
-        self.put(MANIFEST, json.encode(compiled.manifest))
+        self.put(MANIFEST_PATH, json.encode(compiled.manifest))
 
     def list_instances(
         self,
@@ -175,7 +175,7 @@
             self._entries[key] = Entry(index=self._index, body=body)
             self._changed.notify_all()
 
-    def restart_index(self) -> None:
+    def reset_index(self) -> None:
         """Begin to count anew, as after a restart of the platform."""
         with self._changed:
             self._index = 1
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -9,7 +9,7 @@
 
 from msgspec import json
 
-from standins.hosted import HostedBackend
+from standins.backend_thread import BackendThread
 from wagtaildale.admission.messages import TicketId
 from wagtaildale.calls.fields import CallFields
 from wagtaildale.calls.frames import (
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         near_record, far_record = build_pair()
-        self.backend = HostedBackend(
+        self.backend = BackendThread(
             'b',
             host=far_record.host,
             port=BACKEND_PORT,
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -7,7 +7,7 @@
 import pytest
 from msgspec import json, structs
 
-from standins.hosted import HostedBackend
+from standins.backend_thread import BackendThread
 from wagtaildale.admission.messages import Admitted
 from wagtaildale.calls.attempts import Attempts
 from wagtaildale.calls.budgets import RetryBudget
@@ -100,7 +100,7 @@
     hedges of lookups at the other server would not test this.
     """
     other = build_record('c', host='127.0.9.3')
-    backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
+    backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
         pair.near.show(pair.far.record, other)
         backend.faults.service_ms = 40
@@ -123,7 +123,7 @@
 def test_failing_upstream_is_ejected(pair: Pair) -> None:
     """A server that fails at once looks idle and would attract all calls."""
     other = build_record('c', host='127.0.9.3')
-    backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
+    backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
         pair.near.show(pair.far.record, other)
         pair.backend.faults.close_share = 1
@@ -234,7 +234,7 @@
 
 def test_shed_lookup_is_retried_at_another_server(pair: Pair) -> None:
     other = build_record('c', host='127.0.9.3')
-    backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
+    backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
         pair.near.show(pair.far.record, other)
         pair.backend.faults.draining = True
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import json
 
-from standins.hosted import HostedBackend
+from standins.backend_thread import BackendThread
 from wagtaildale.calls.peers import REFUSED_REASON
 from wagtaildale.calls.tests.scripted_owners import BODY, SilentOwner
 from wagtaildale.calls.tests.pairs import (
@@ -135,7 +135,7 @@
 ) -> None:
     """A lookup waits for a silent owner while another one is idle."""
     other = build_record('c', host='127.0.9.3')
-    backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
+    backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     near = pair_without_owner.near
     with backend, MeshNode(other), ThreadPoolExecutor() as executor:
         submitted = executor.submit(pair_without_owner.ask, 'GET', '/files/1')
@@ -155,7 +155,7 @@
     entry must check again with each ping whether the call can move.
     """
     other = build_record('c', host='127.0.9.3')
-    backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
+    backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     silent = closing(
         start_owner(pair_without_owner, silent_pings=FOREVER_PINGS)
     )
--- a/wagtaildale/cli/tests/test_fleet.py
+++ b/wagtaildale/cli/tests/test_fleet.py
@@ -45,7 +45,7 @@
 
 def wait_for_line(node: NodeProcess, text: str) -> None:
     deadline = time.monotonic() + 5
-    while text not in node.log.read_text():
+    while text not in node.log_path.read_text():
         assert time.monotonic() < deadline, f'no line with {text}'
         time.sleep(0.02)
 
@@ -85,13 +85,13 @@
 def test_log_is_one_line_of_pairs_an_event(fleet: Fleet) -> None:
     # Lines are written in batches, so the last ones come a moment later.
     wait_for_line(fleet.nodes[0], 'kind=node-ready')
-    lines = fleet.nodes[0].log.read_text().splitlines()
+    lines = fleet.nodes[0].log_path.read_text().splitlines()
     assert all(line.startswith('at_ms=') for line in lines)
 
 
 def test_hup_changes_nothing_and_is_noted(fleet: Fleet) -> None:
     node = fleet.nodes[0]
-    node.signal(signal.SIGHUP)
+    node.send_signal(signal.SIGHUP)
     wait_for_line(node, 'settings-kept')
     assert node.is_running()
 
--- a/wagtaildale/lifecycle/tests/test_owner_stop.py
+++ b/wagtaildale/lifecycle/tests/test_owner_stop.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec import json, structs
 
-from standins.hosted import HostedBackend
+from standins.backend_thread import BackendThread
 from wagtaildale.calls.frames import PLAIN, Ping, Pong, encode_frame
 from wagtaildale.calls.tests.pairs import TIMEOUT_SECONDS, Pair, wait_until
 from wagtaildale.calls.tests.relays import Relay
@@ -95,7 +95,7 @@
     relayed = structs.replace(pair.far.record, host=RELAY_HOST)
     relay = Relay((relayed.host, relayed.owner_port), owner=owner)
     other = build_record('c', host='127.0.9.3')
-    backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
+    backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other), ThreadPoolExecutor(2) as executor:
         pair.near.show(relayed)
         pair.ask('GET', '/files/1')
@@ -158,7 +158,7 @@
     """
     pair = leaving.pair
     near = pair.near.record
-    backend = HostedBackend('a', host=near.host, port=BACKEND_PORT)
+    backend = BackendThread('a', host=near.host, port=BACKEND_PORT)
     pair.near.publish(CHAIN_MESH)
     pair.far.publish(CHAIN_MESH)
     pair.far.show(near)
--- a/wagtaildale/source/tests/test_http.py
+++ b/wagtaildale/source/tests/test_http.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.platform import MANIFEST, PlatformStandIn
+from standins.platform import MANIFEST_PATH, PlatformStandIn
 from wagtaildale.errors.codes import Code
 from wagtaildale.settings.model import PlatformSettings
 from wagtaildale.source.http import HttpPlatform
@@ -102,7 +102,7 @@
     reader: HttpPlatform,
     body: bytes,
 ) -> None:
-    platform.put(MANIFEST, body)
+    platform.put(MANIFEST_PATH, body)
     failure = assert_err(reader.read_manifest(index=0, wait=0))
     assert failure.code is Code.part_corrupt
 
--- a/wagtaildale/source/tests/test_tasks.py
+++ b/wagtaildale/source/tests/test_tasks.py
@@ -115,7 +115,7 @@
         watching.platform.publish(build_compiled(version))
     watching.appoint()
     watching.expect_version(3)
-    watching.platform.restart_index()
+    watching.platform.reset_index()
     watching.platform.publish(build_compiled(4))
     watching.expect_version(4)
 
