--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -8,7 +8,7 @@
 import click
 
 from benchmarks.calls import measure_calls
-from benchmarks.deep import measure_deep
+from benchmarks.deep import measure_call_chain
 from benchmarks.gates import measure_gates
 from benchmarks.hops import measure_hops
 from benchmarks.policy import measure_policy, measure_rolling_restart
@@ -30,19 +30,19 @@
     Args:
         seconds: for each step of a benchmark.
     """
-    figures = chain(
+    measurements = chain(
         measure_hops(),
         measure_gates(),
         measure_size(),
         measure_calls(seconds=seconds),
-        measure_deep(),
+        measure_call_chain(),
         measure_policy(seconds=seconds),
         measure_rolling_restart(),
         measure_spread(),
         measure_faults(FAULTS_NODES),
     )
-    for figure in figures:
-        figure.print_line()
+    for measurement in measurements:
+        measurement.print_line()
 
 
 if __name__ == '__main__':
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -10,8 +10,8 @@
 
 from msgspec import json
 
-from benchmarks.figures import Figure, find_percentile
-from benchmarks.pinger import Durations, Order
+from benchmarks.measurements import Measurement, find_percentile
+from benchmarks.pinger import Durations, PingPlan
 from standins.backend import BackendFaults
 from standins.fleet import BACKEND_PORT, Fleet, FleetOptions, Placement
 from wagtaildale.configuration.compiled import compile_mesh
@@ -27,15 +27,15 @@
 RATES: Final = (1, 50, 150)
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
-LEAST_CALLS: Final = 200
+MINIMUM_CALLS: Final = 200
 IDLE_SECONDS: Final = 2.0
 MEDIAN: Final = 50
 TAIL: Final = 99
 ENTRIES: Final = 2
-LOOKUP: Final = b'GET /files/7 HTTP/1.1\r\nhost: mesh\r\n\r\n'
+LOOKUP_REQUEST: Final = b'GET /files/7 HTTP/1.1\r\nhost: mesh\r\n\r\n'
 
 
-def measure_calls(*, seconds: float) -> Iterator[Figure]:
+def measure_calls(*, seconds: float) -> Iterator[Measurement]:
     """Measure the added time at several rates.
 
     The entries' own backend servers are of another service, so that every
@@ -63,23 +63,27 @@
             yield from _measure_rate(fleet, rate, seconds)
 
 
-def _measure_rate(fleet: Fleet, rate: int, seconds: float) -> Iterator[Figure]:
-    longer = max(seconds, LEAST_CALLS / rate)
+def _measure_rate(
+    fleet: Fleet, rate: int, seconds: float
+) -> Iterator[Measurement]:
+    load_seconds = max(seconds, MINIMUM_CALLS / rate)
     idle_cpu = _measure_cpu(fleet, IDLE_SECONDS)
     pingers = [
-        _start_pinger(record, rate, min(longer, 4 * seconds), number)
+        _start_pinger(record, rate, min(load_seconds, 4 * seconds), number)
         for number, record in enumerate(fleet.records[:ENTRIES])
     ]
     cpu = _read_cpu(fleet)
-    began = time.monotonic()
+    started_at = time.monotonic()
     measured = [_finish_pinger(pinger) for pinger in pingers]
-    spent = _read_cpu(fleet) - cpu - idle_cpu * (time.monotonic() - began)
+    cpu_seconds = (
+        _read_cpu(fleet) - cpu - idle_cpu * (time.monotonic() - started_at)
+    )
     mesh = [each for durations in measured for each in durations.mesh]
     direct = [each for durations in measured for each in durations.direct]
     base = find_percentile(direct, percent=MEDIAN)
-    yield Figure(
+    yield Measurement(
         name=f'node_cpu_us_per_call_at_{rate}',
-        amount=spent / len(mesh) * MICROSECONDS,
+        amount=cpu_seconds / len(mesh) * MICROSECONDS,
         unit='us',
         nodes=len(fleet.nodes),
         baseline='direct_p50',
@@ -104,11 +108,11 @@
     direct: list[float],
     rate: int,
     nodes: int,
-) -> Iterator[Figure]:
+) -> Iterator[Measurement]:
     for percent in (MEDIAN, TAIL):
         through = find_percentile(mesh, percent=percent) * MILLISECONDS
         base = find_percentile(direct, percent=percent) * MILLISECONDS
-        yield Figure(
+        yield Measurement(
             name=f'added_call_p{percent}_ms_at_{rate}',
             amount=through - base,
             unit='ms',
@@ -124,10 +128,10 @@
     seconds: float,
     seed: int,
 ) -> subprocess.Popen[Any]:
-    order = Order(
+    plan = PingPlan(
         mesh=(record.host, record.entry_port),
         direct=(record.host, BACKEND_PORT),
-        request=LOOKUP,
+        request=LOOKUP_REQUEST,
         calls_per_second=rate,
         seconds=seconds,
         seed=seed,
@@ -138,7 +142,7 @@
         stdout=subprocess.PIPE,
     )
     assert process.stdin is not None
-    process.stdin.write(json.encode(order))
+    process.stdin.write(json.encode(plan))
     process.stdin.close()
     return process
 
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -19,8 +19,8 @@
 
 EARLY_SECONDS: Final = 5.0
 LATE_SECONDS: Final = 17.0
-PLAY_SECONDS: Final = 500
-PLAN: Final = (
+DAY_TIMEOUT_SECONDS: Final = 500
+PLANNED_WORK: Final = (
     '{ at = 6.0, kind = "config_change", how = "route" }',
     '{ at = 8.0, kind = "config_storm", for_s = 2.0, gap_s = 0.25 }',
     '{ at = 16.0, kind = "release", share = 0.3, gap_s = 1.0 }',
@@ -28,7 +28,7 @@
     '{ at = 22.0, kind = "roll_term", share = 0.3, gap_s = 1.5, how = "busy" }',
 )
 # Kind, variant, and what else stands in the entry.
-TROUBLES: Final = (
+FAULTS: Final = (
     ('burst', '', 'x = 1.8, for_s = 4.0'),
     ('shift', '', 'share = 0.5, for_s = 5.0'),
     ('retry_abuse', '', 'x = 3.0, share = 0.3, for_s = 5.0'),
@@ -120,23 +120,23 @@
 )
 
 
-class Trouble(Struct, frozen=True, kw_only=True):
+class DayFault(Struct, frozen=True, kw_only=True):
     """One kind of trouble.
 
     Attributes:
         kind: as the bench names it.
-        how: its variant; empty for the plain one.
-        rest: the other fields of its entry.
+        variant: its variant; empty for the plain one.
+        other_fields: the other fields of its entry.
     """
 
     kind: str
-    how: str
-    rest: str
+    variant: str
+    other_fields: str
 
     @property
     def name(self) -> str:
         """Names the day."""
-        return '-'.join((self.kind, *self.how.split()))
+        return '-'.join((self.kind, *self.variant.split()))
 
     def write_entry(self, at: float) -> str:
         """Write its entry of a day.
@@ -147,38 +147,38 @@
         Returns:
             An inline table.
         """
-        named = f', how = "{self.how}"' if self.how else ''
-        rest = f', {self.rest}' if self.rest else ''
-        return f'{{ at = {at}, kind = "{self.kind}"{named}{rest} }}'
+        named = f', how = "{self.variant}"' if self.variant else ''
+        other_fields = f', {self.other_fields}' if self.other_fields else ''
+        return f'{{ at = {at}, kind = "{self.kind}"{named}{other_fields} }}'
 
 
-def write_day(trouble: Trouble, *, seed: int) -> str:
+def write_day(fault: DayFault, *, seed: int) -> str:
     """Write a day with a trouble early and late.
 
     Args:
-        trouble: the trouble.
+        fault: the trouble.
         seed: of the day.
 
     Returns:
         TOML.
     """
     faults = (
-        trouble.write_entry(EARLY_SECONDS),
-        trouble.write_entry(LATE_SECONDS),
+        fault.write_entry(EARLY_SECONDS),
+        fault.write_entry(LATE_SECONDS),
     )
     return '\n'.join(
         (
-            f'name = "{trouble.name}"',
+            f'name = "{fault.name}"',
             f'seed = {seed}',
-            'plan = [\n  {0},\n]'.format(',\n  '.join(PLAN)),
+            'plan = [\n  {0},\n]'.format(',\n  '.join(PLANNED_WORK)),
             'faults = [\n  {0},\n]'.format(',\n  '.join(faults)),
             '',
         ),
     )
 
 
-def play_day(
-    trouble: Trouble,
+def run_day(
+    fault: DayFault,
     *,
     bench: Path,
     site: Path,
@@ -188,7 +188,7 @@
     """Play one day.
 
     Args:
-        trouble: of the day.
+        fault: of the day.
         bench: the program.
         site: the site file.
         folder: where the day and its report are kept.
@@ -197,9 +197,9 @@
     Returns:
         A line: what the bench says of the day.
     """
-    day = folder / f'{site.stem}-{trouble.name}.toml'
-    day.write_text(write_day(trouble, seed=seed))
-    played = subprocess.run(
+    day = folder / f'{site.stem}-{fault.name}.toml'
+    day.write_text(write_day(fault, seed=seed))
+    completed = subprocess.run(
         [
             bench,
             'run',
@@ -208,16 +208,18 @@
             '--jobs',
             '1',
             '--why',
-            f'a day of {trouble.name}, early and late',
+            f'a day of {fault.name}, early and late',
         ],
         capture_output=True,
         text=True,
-        timeout=PLAY_SECONDS,
+        timeout=DAY_TIMEOUT_SECONDS,
         check=False,
     )
-    day.with_suffix('.txt').write_text(played.stdout + played.stderr)
-    found = re.search(f'^{trouble.name} .*$', played.stdout, re.MULTILINE)
-    return found.group() if found else f'{trouble.name}: {played.stdout[-300:]}'
+    day.with_suffix('.txt').write_text(completed.stdout + completed.stderr)
+    found = re.search(f'^{fault.name} .*$', completed.stdout, re.MULTILINE)
+    return (
+        found.group() if found else f'{fault.name}: {completed.stdout[-300:]}'
+    )
 
 
 @click.command()
@@ -248,13 +250,14 @@
         jobs: days at once.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    troubles = [
-        Trouble(kind=kind, how=how, rest=rest) for kind, how, rest in TROUBLES
+    faults = [
+        DayFault(kind=kind, variant=variant, other_fields=other_fields)
+        for kind, variant, other_fields in FAULTS
     ]
-    play = partial(play_day, bench=bench, site=site, folder=folder, seed=seed)
+    run_one = partial(run_day, bench=bench, site=site, folder=folder, seed=seed)
     with ThreadPoolExecutor(jobs) as executor:
-        wanted = [each for each in troubles if only in each.name]
-        for line in executor.map(play, wanted):
+        wanted = [each for each in faults if only in each.name]
+        for line in executor.map(run_one, wanted):
             click.echo(line)
 
 
--- a/benchmarks/deep.py
+++ b/benchmarks/deep.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Final
 
-from benchmarks.figures import Figure, find_percentile
-from benchmarks.pinger import Line
+from benchmarks.measurements import Measurement, find_percentile
+from benchmarks.pinger import Connection
 from standins.backend import BackendFaults
 from standins.fleet import BACKEND_PORT, Fleet, FleetOptions, Placement
 from wagtaildale.configuration.compiled import compile_mesh
@@ -25,7 +25,7 @@
 TAIL: Final = 99
 
 
-def measure_deep() -> Iterator[Figure]:
+def measure_call_chain() -> Iterator[Measurement]:
     """Measure one request that leads to ten more, one after the other.
 
     Yields:
@@ -45,15 +45,15 @@
     with Fleet(placement, options=options) as fleet:
         fleet.start(compile_mesh(mesh, version=1).unwrap())
         record = fleet.records[0]
-        line = Line((record.host, record.entry_port))
-        deep = _measure(line, DEPTH - 1)
-        direct = _measure(Line((record.host, BACKEND_PORT)), 0)
+        connection = Connection((record.host, record.entry_port))
+        deep = _measure(connection, DEPTH - 1)
+        direct = _measure(Connection((record.host, BACKEND_PORT)), 0)
     for percent in (MEDIAN, TAIL):
         base = DEPTH * find_percentile(direct, percent=percent)
-        spent = find_percentile(deep, percent=percent)
-        yield Figure(
+        elapsed = find_percentile(deep, percent=percent)
+        yield Measurement(
             name=f'added_call_p{percent}_ms_{DEPTH}_deep',
-            amount=(spent - base) * MILLISECONDS,
+            amount=(elapsed - base) * MILLISECONDS,
             unit='ms',
             nodes=NODES,
             baseline=f'direct_times_{DEPTH}',
@@ -61,7 +61,7 @@
         )
 
 
-def _measure(line: Line, left: int) -> list[float]:
-    request = b'GET /chain/%d HTTP/1.1\r\nhost: mesh\r\n\r\n' % left
-    spent = [line.call(request) for _call in range(WARM_UP + CALLS)]
-    return spent[WARM_UP:]
+def _measure(connection: Connection, remaining_calls: int) -> list[float]:
+    request = b'GET /chain/%d HTTP/1.1\r\nhost: mesh\r\n\r\n' % remaining_calls
+    elapsed = [connection.call(request) for _call in range(WARM_UP + CALLS)]
+    return elapsed[WARM_UP:]
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -21,25 +21,25 @@
 from matplotlib.figure import Figure as Plot
 from msgspec import Struct, convert, json
 
-from benchmarks.figures import find_percentile
+from benchmarks.measurements import find_percentile
 from benchmarks.spread import compile_version
 from demo.deployments import DEPLOYMENTS
 from standins.fleet import Fleet, FleetOptions
-from standins.judge import Verdict, judge
+from standins.invariants import Verdict, check_invariants
 from standins.load import Load, LoadPlan
 from wagtaildale.cli.output import print_table
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-    from standins.caller import WorkCounts
+    from standins.caller import CallCounts
 
 MILLISECONDS: Final = 1000
 MEDIAN: Final = 50
 TAIL: Final = 99
 PERCENT: Final = 100
-OUT: Final = Path('out/experiments')
-LOOK_SECONDS: Final = 0.05
+OUTPUT_FOLDER: Final = Path('out/experiments')
+POLL_SECONDS: Final = 0.05
 
 
 @final
@@ -106,7 +106,7 @@
     p99_ms: float
 
 
-class Report(Struct, frozen=True, kw_only=True):
+class ExperimentReport(Struct, frozen=True, kw_only=True):
     """What an experiment has shown."""
 
     name: str
@@ -115,7 +115,7 @@
     classes: dict[str, ClassResult]
 
 
-class Runner:
+class ExperimentRunner:
     """Runs one experiment."""
 
     def __init__(self, experiment: Experiment, *, fleet: Fleet) -> None:
@@ -129,7 +129,7 @@
         self._fleet = fleet
         self._version = 1
 
-    def run(self) -> dict[str, WorkCounts]:
+    def run(self) -> dict[str, CallCounts]:
         """Send the load and cause the faults.
 
         Returns:
@@ -148,25 +148,25 @@
             (record.host, record.entry_port) for record in self._fleet.records
         ]
         load = Load(plan, entries=entries)
-        began = time.monotonic()
-        for fault in sorted(experiment.faults, key=_read_time):
-            _sleep_until(began + fault.at)
-            self._cause(fault)
-        _sleep_until(began + experiment.seconds)
+        started_at = time.monotonic()
+        for fault in sorted(experiment.faults, key=_get_time):
+            _sleep_until(started_at + fault.at)
+            self._cause_fault(fault)
+        _sleep_until(started_at + experiment.seconds)
         return load.stop()
 
-    def _cause(self, fault: FaultEntry) -> None:
+    def _cause_fault(self, fault: FaultEntry) -> None:
         click.echo(f'{fault.at:.1f} s: {fault.kind.value} {fault.node}')
         if fault.kind is FaultKind.publish:
             self._version += 1
             self._fleet.platform.publish(compile_version(self._version))
         elif fault.node:
-            self._cause_at_node(fault)
+            self._cause_node_fault(fault)
         else:
             down = fault.kind is FaultKind.platform_down
             self._fleet.platform.faults.down = down
 
-    def _cause_at_node(self, fault: FaultEntry) -> None:
+    def _cause_node_fault(self, fault: FaultEntry) -> None:
         node = next(
             each
             for each in self._fleet.nodes
@@ -192,7 +192,7 @@
 
 @main.command()
 @click.argument('path', type=click.Path(exists=True, path_type=Path))
-@click.option('--out', type=click.Path(path_type=Path), default=OUT)
+@click.option('--out', type=click.Path(path_type=Path), default=OUTPUT_FOLDER)
 def run(path: Path, out: Path) -> None:
     """Run the experiment in the file PATH; write results and a plot.
 
@@ -204,17 +204,17 @@
     """
     table = tomllib.loads(path.read_text(encoding='utf-8'))
     experiment = convert(table, Experiment)
-    options = FleetOptions(more_settings=experiment.settings)
+    options = FleetOptions(extra_settings=experiment.settings)
     placement = DEPLOYMENTS[experiment.deployment].placement
     with Fleet(placement, options=options) as fleet:
         fleet.start(compile_version(1))
-        counts = Runner(experiment, fleet=fleet).run()
-        verdict = judge(fleet, counts=counts)
-    report = _sum_up(experiment, counts, verdict)
+        counts = ExperimentRunner(experiment, fleet=fleet).run()
+        verdict = check_invariants(fleet, counts=counts)
+    report = _make_report(experiment, counts, verdict)
     out.mkdir(parents=True, exist_ok=True)
     (out / f'{path.stem}.json').write_bytes(json.encode(report))
-    _plot(counts, out / f'{path.stem}.png')
-    _print((report,))
+    _plot_durations(counts, out / f'{path.stem}.png')
+    _print_reports((report,))
     click.echo(f'results and plot in {out}')
 
 
@@ -228,31 +228,36 @@
     Args:
         paths: of results.
     """
-    _print([json.decode(path.read_bytes(), type=Report) for path in paths])
+    _print_reports(
+        [
+            json.decode(path.read_bytes(), type=ExperimentReport)
+            for path in paths
+        ]
+    )
 
 
-def _read_time(fault: FaultEntry) -> float:
+def _get_time(fault: FaultEntry) -> float:
     return fault.at
 
 
-def _sleep_until(moment: float) -> None:
-    time.sleep(max(0, moment - time.monotonic()))
+def _sleep_until(due: float) -> None:
+    time.sleep(max(0, due - time.monotonic()))
 
 
-def _sum_up(
+def _make_report(
     experiment: Experiment,
-    counts: dict[str, WorkCounts],
+    counts: dict[str, CallCounts],
     verdict: Verdict,
-) -> Report:
-    return Report(
+) -> ExperimentReport:
+    return ExperimentReport(
         name=experiment.name,
         seed=experiment.seed,
         verdict=verdict,
-        classes={name: _measure(each) for name, each in counts.items()},
+        classes={name: _summarise_class(each) for name, each in counts.items()},
     )
 
 
-def _measure(counts: WorkCounts) -> ClassResult:
+def _summarise_class(counts: CallCounts) -> ClassResult:
     seconds = counts.seconds or [0]
     return ClassResult(
         sent=counts.sent,
@@ -265,7 +270,7 @@
     )
 
 
-def _plot(counts: dict[str, WorkCounts], path: Path) -> None:
+def _plot_durations(counts: dict[str, CallCounts], path: Path) -> None:
     plot = Plot(figsize=(8, 5))
     axes = plot.subplots()
     for name, each in sorted(counts.items()):
@@ -283,7 +288,7 @@
     plot.savefig(path)
 
 
-def _print(runs: Sequence[Report]) -> None:
+def _print_reports(runs: Sequence[ExperimentReport]) -> None:
     rows = [
         [
             report.name,
--- a/benchmarks/faulty_node.py
+++ b/benchmarks/faulty_node.py
@@ -33,7 +33,7 @@
             keys: of the fleet.
         """
         super().__init__(keys)
-        self._share = float(os.environ.get(LOSS_VARIABLE, '0'))
+        self._loss_share = float(os.environ.get(LOSS_VARIABLE, '0'))
 
     def answer(self, instance: InstanceId, frame: bytes) -> bool:
         """Send by the connection on which an instance last spoke.
@@ -60,7 +60,7 @@
         return self._is_lost() or super().send(address, frame)
 
     def _is_lost(self) -> bool:
-        return random.random() < self._share
+        return random.random() < self._loss_share
 
 
 @click.command()
@@ -72,8 +72,8 @@
         settings_file: path of the settings.
     """
     settings = load_settings(settings_file).unwrap()
-    given = os.environ.get(TUNING_VARIABLE)
-    tuning = json.decode(given, type=Tuning) if given else None
+    tuning_text = os.environ.get(TUNING_VARIABLE)
+    tuning = json.decode(tuning_text, type=Tuning) if tuning_text else None
     sys.exit(
         run_daemon(settings, make_sockets=LossySockets, tuning=tuning),
     )
--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from benchmarks.figures import Figure, find_percentile
+from benchmarks.measurements import Measurement, find_percentile
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.gate import Gate
 from wagtaildale.admission.limits import Ending
@@ -30,16 +30,16 @@
 SLOTS: Final = 10
 PASSES: Final = 5000
 MICROSECONDS: Final = 1_000_000
-WITHIN_MS: Final = 100
+TARGET_MS: Final = 100
 MEDIAN: Final = 50
 TAIL: Final = 99
 
 
-class Question(Struct, frozen=True):
+class Submission(Struct, frozen=True):
     """A message to the task, and where the verdict goes."""
 
     message: RequestArrived | RequestFinished
-    answers: SimpleQueue[list[Verdict]]
+    replies: SimpleQueue[list[Verdict]]
 
 
 class GateTask:
@@ -48,11 +48,13 @@
     def __init__(self) -> None:
         """Start the task."""
         self._state = make_admission(SLOTS)
-        self._questions: SimpleQueue[Question | None] = SimpleQueue()
+        self._inbox: SimpleQueue[Submission | None] = SimpleQueue()
         self._thread = Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def ask(self, message: RequestArrived | RequestFinished) -> list[Verdict]:
+    def submit(
+        self, message: RequestArrived | RequestFinished
+    ) -> list[Verdict]:
         """Ask and wait.
 
         Args:
@@ -61,28 +63,28 @@
         Returns:
             The verdicts.
         """
-        answers: SimpleQueue[list[Verdict]] = SimpleQueue()
-        self._questions.put(Question(message, answers))
-        return answers.get()
+        replies: SimpleQueue[list[Verdict]] = SimpleQueue()
+        self._inbox.put(Submission(message, replies))
+        return replies.get()
 
     def stop(self) -> None:
         """End the task."""
-        self._questions.put(None)
+        self._inbox.put(None)
         self._thread.join()
 
     def _run(self) -> None:
-        question = self._questions.get()
-        while question is not None:
+        submission = self._inbox.get()
+        while submission is not None:
             verdicts = decide_admission(
-                question.message,
+                submission.message,
                 self._state,
                 now=read_clock(),
             )
-            question.answers.put(verdicts)
-            question = self._questions.get()
+            submission.replies.put(verdicts)
+            submission = self._inbox.get()
 
 
-def measure_gates() -> Iterator[Figure]:
+def measure_gates() -> Iterator[Measurement]:
     """Measure entering and leaving, one caller, nobody waiting.
 
     Yields:
@@ -90,34 +92,35 @@
     """
     gate = Gate(make_admission(SLOTS), alarms=Alarms())
     task = GateTask()
-    own = _measure(lambda number: _pass_gate(gate))
-    other = _measure(lambda number: _pass_task(task, number))
+    gate_durations = _measure_passes(lambda number: _pass_gate(gate))
+    task_durations = _measure_passes(lambda number: _pass_task(task, number))
     task.stop()
     for percent in (MEDIAN, TAIL):
-        yield Figure(
+        yield Measurement(
             name=f'gate_pass_p{percent}_us',
-            amount=find_percentile(own, percent=percent) * MICROSECONDS,
+            amount=find_percentile(gate_durations, percent=percent)
+            * MICROSECONDS,
             unit='us',
             nodes=1,
             baseline='task-with-inbox',
             baseline_amount=(
-                find_percentile(other, percent=percent) * MICROSECONDS
+                find_percentile(task_durations, percent=percent) * MICROSECONDS
             ),
         )
 
 
-def _measure(step: Callable[[int], None]) -> list[float]:
-    spent: list[float] = []
+def _measure_passes(step: Callable[[int], None]) -> list[float]:
+    durations: list[float] = []
     for number in range(1, PASSES):
         started = time.perf_counter()
         step(number)
-        spent.append(time.perf_counter() - started)
-    return spent
+        durations.append(time.perf_counter() - started)
+    return durations
 
 
 def _pass_gate(gate: Gate) -> None:
     verdicts: list[Verdict] = []
-    arrived = RequestArrived(within_ms=WITHIN_MS, deadline=read_clock() + 1)
+    arrived = RequestArrived(within_ms=TARGET_MS, deadline=read_clock() + 1)
     ticket = gate.request_slot(arrived, verdicts.append)
     assert isinstance(verdicts[0], Admitted)
     gate.release_slot(ticket, seconds=0.001, ending=Ending.good)
@@ -127,8 +130,8 @@
     ticket = TicketId(number)
     arrived = RequestArrived(
         ticket=ticket,
-        within_ms=WITHIN_MS,
+        within_ms=TARGET_MS,
         deadline=read_clock() + 1,
     )
-    task.ask(arrived)
-    task.ask(RequestFinished(ticket=ticket, seconds=0.001))
+    task.submit(arrived)
+    task.submit(RequestFinished(ticket=ticket, seconds=0.001))
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -20,7 +20,7 @@
 import zmq
 from msgspec import Struct
 
-from benchmarks.figures import Figure, find_percentile
+from benchmarks.measurements import Measurement, find_percentile
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.callers import CallerLimits, CallerPort
 from wagtaildale.calls.fields import CallFields
@@ -47,7 +47,7 @@
 TAIL: Final = 99
 MEDIAN: Final = 50
 BODY: Final = b'x' * 64
-FIELD: Final = (b'wagtaildale-call', b'0' * 90)
+HEADER: Final = (b'wagtaildale-call', b'0' * 90)
 LIMITS: Final = CallerLimits(head_bytes=4096, body_bytes=4096)
 REQUEST: Final = encode_frame(
     Run(
@@ -63,7 +63,7 @@
         ),
         b'POST',
         b'/files/7',
-        (FIELD,),
+        (HEADER,),
         BODY,
         more=False,
         length=len(BODY),
@@ -89,7 +89,7 @@
             exchange: the request.
         """
         exchange.begin_response(
-            ResponseHead(status=200, headers=(FIELD,)), body=BODY
+            ResponseHead(status=200, headers=(HEADER,)), body=BODY
         )
 
 
@@ -159,7 +159,7 @@
     FrameEcho(loop, sock)
 
 
-def measure_hops() -> Iterator[Figure]:
+def measure_hops() -> Iterator[Measurement]:
     """Measure each transport in turn.
 
     Yields:
@@ -171,11 +171,11 @@
     )
     assert server.stdout is not None
     server.stdout.readline()
-    with closing(_Ending(server)):
-        yield from _compare()
+    with closing(_ProcessCloser(server)):
+        yield from _compare_transports()
 
 
-class _Ending:
+class _ProcessCloser:
     """Ends a process when closed."""
 
     def __init__(self, process: subprocess.Popen[bytes]) -> None:
@@ -187,36 +187,40 @@
         self._process.wait()
 
 
-def _compare() -> Iterator[Figure]:
-    own = _measure(_make_own())
-    yield from _list_figures(own, 'pycurl', _measure(_make_pycurl()))
-    yield from _list_figures(own, 'pyzmq', _measure(_make_pyzmq()))
+def _compare_transports() -> Iterator[Measurement]:
+    frame_costs = _measure_transport(_make_frame_call())
+    yield from _list_measurements(
+        frame_costs, 'pycurl', _measure_transport(_make_pycurl_call())
+    )
+    yield from _list_measurements(
+        frame_costs, 'pyzmq', _measure_transport(_make_pyzmq_call())
+    )
 
 
-def _list_figures(
-    own: Costs,
+def _list_measurements(
+    frame_costs: Costs,
     baseline: str,
-    other: Costs,
-) -> Iterator[Figure]:
+    baseline_costs: Costs,
+) -> Iterator[Measurement]:
     for name, unit in (('p50_ms', 'ms'), ('p99_ms', 'ms'), ('cpu_us', 'us')):
-        yield Figure(
+        yield Measurement(
             name=f'hop_own_frames_{name}',
-            amount=getattr(own, name),
+            amount=getattr(frame_costs, name),
             unit=unit,
             nodes=2,
             baseline=baseline,
-            baseline_amount=getattr(other, name),
+            baseline_amount=getattr(baseline_costs, name),
         )
 
 
-def _measure(call: Callable[[], None]) -> Costs:
-    spent = [_time(call) for _warm in range(WARM_UP)]
+def _measure_transport(call: Callable[[], None]) -> Costs:
+    durations = [_time(call) for _warm in range(WARM_UP)]
     cpu = time.process_time()
-    spent = [_time(call) for _call in range(CALLS)]
+    durations = [_time(call) for _call in range(CALLS)]
     cpu = time.process_time() - cpu
     return Costs(
-        p50_ms=find_percentile(spent, percent=MEDIAN) * MILLISECONDS,
-        p99_ms=find_percentile(spent, percent=TAIL) * MILLISECONDS,
+        p50_ms=find_percentile(durations, percent=MEDIAN) * MILLISECONDS,
+        p99_ms=find_percentile(durations, percent=TAIL) * MILLISECONDS,
         cpu_us=cpu / CALLS * MICROSECONDS,
     )
 
@@ -227,7 +231,7 @@
     return time.perf_counter() - started
 
 
-def _make_own() -> Callable[[], None]:
+def _make_frame_call() -> Callable[[], None]:
     sock = socket.create_connection((HOST, FRAME_PORT))
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     reader = FrameReader()
@@ -241,11 +245,11 @@
     return call
 
 
-def _make_pycurl() -> Callable[[], None]:
+def _make_pycurl_call() -> Callable[[], None]:
     curl = pycurl.Curl()
     curl.setopt(pycurl.URL, f'http://{HOST}:{HTTP_PORT}/files/7')
     curl.setopt(pycurl.NOSIGNAL, 1)
-    field = '{0}: {1}'.format(*(part.decode() for part in FIELD))
+    field = '{0}: {1}'.format(*(part.decode() for part in HEADER))
 
     def call() -> None:
         body = BytesIO()
@@ -260,13 +264,13 @@
     return call
 
 
-def _make_pyzmq() -> Callable[[], None]:
+def _make_pyzmq_call() -> Callable[[], None]:
     context: Any = zmq.Context()
     peer = context.socket(zmq.REQ)
     peer.connect(f'tcp://{HOST}:{ZMQ_PORT}')
 
     def call() -> None:
-        peer.send_multipart((FIELD[1], BODY))
+        peer.send_multipart((HEADER[1], BODY))
         assert peer.recv_multipart()[-1] == BODY
 
     return call
--- a/benchmarks/figures.py
+++ b/benchmarks/measurements.py
@@ -11,7 +11,7 @@
     from collections.abc import Sequence
 
 
-class Figure(Struct, frozen=True, kw_only=True):
+class Measurement(Struct, frozen=True, kw_only=True):
     """One figure, with a baseline of the same run.
 
     Attributes:
--- a/benchmarks/pinger.py
+++ b/benchmarks/pinger.py
@@ -21,7 +21,7 @@
 TIMEOUT_SECONDS: Final = 10.0
 
 
-class Order(Struct, frozen=True, kw_only=True):
+class PingPlan(Struct, frozen=True, kw_only=True):
     """What one pinger does.
 
     Attributes:
@@ -50,7 +50,7 @@
     direct: list[float]
 
 
-class Line:
+class Connection:
     """One kept-alive connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -76,49 +76,49 @@
         """
         started = time.perf_counter()
         self._sock.sendall(request)
-        answer = self._sock.recv(READ_BYTES)
-        while not _is_whole(answer):
-            piece = self._sock.recv(READ_BYTES)
-            if not piece:
-                raise RuntimeError(f'cut answer: {answer!r}')
-            answer += piece
+        response = self._sock.recv(READ_BYTES)
+        while not _is_complete(response):
+            chunk = self._sock.recv(READ_BYTES)
+            if not chunk:
+                raise RuntimeError(f'cut answer: {response!r}')
+            response += chunk
         seconds = time.perf_counter() - started
-        if not answer.startswith(b'HTTP/1.1 200'):
-            raise RuntimeError(f'got {answer!r}')
+        if not response.startswith(b'HTTP/1.1 200'):
+            raise RuntimeError(f'got {response!r}')
         return seconds
 
 
-def run(order: Order) -> Durations:
+def run_plan(plan: PingPlan) -> Durations:
     """Carry out an order.
 
     Args:
-        order: what to do.
+        plan: what to do.
 
     Returns:
         What was measured.
     """
-    mesh = Line(order.mesh)
-    direct = Line(order.direct)
-    _warm_up(order, (mesh, direct))
+    mesh = Connection(plan.mesh)
+    direct = Connection(plan.direct)
+    _warm_up(plan, (mesh, direct))
     measured = Durations(mesh=[], direct=[])
-    chooser = random.Random(order.seed)
-    until = time.monotonic() + order.seconds
+    random_generator = random.Random(plan.seed)
+    end_time = time.monotonic() + plan.seconds
     due = time.monotonic()
-    while time.monotonic() < until:
-        due += chooser.expovariate(order.calls_per_second)
+    while time.monotonic() < end_time:
+        due += random_generator.expovariate(plan.calls_per_second)
         time.sleep(max(0, due - time.monotonic()))
-        measured.mesh.append(mesh.call(order.request))
-        measured.direct.append(direct.call(order.request))
+        measured.mesh.append(mesh.call(plan.request))
+        measured.direct.append(direct.call(plan.request))
     return measured
 
 
-def _warm_up(order: Order, lines: tuple[Line, ...]) -> None:
-    for line in lines * order.warm_up:
-        line.call(order.request)
+def _warm_up(plan: PingPlan, connections: tuple[Connection, ...]) -> None:
+    for connection in connections * plan.warm_up:
+        connection.call(plan.request)
 
 
-def _is_whole(answer: bytes) -> bool:
-    head, found, body = answer.partition(HEAD_END)
+def _is_complete(response: bytes) -> bool:
+    head, found, body = response.partition(HEAD_END)
     if not found:
         return False
     start = head.lower().index(LENGTH_FIELD) + len(LENGTH_FIELD)
@@ -128,8 +128,8 @@
 
 def main() -> None:
     """Carry out the order on standard input."""
-    order = json.decode(sys.stdin.buffer.read(), type=Order)
-    sys.stdout.buffer.write(json.encode(run(order)))
+    plan = json.decode(sys.stdin.buffer.read(), type=PingPlan)
+    sys.stdout.buffer.write(json.encode(run_plan(plan)))
 
 
 if __name__ == '__main__':
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -12,10 +12,10 @@
 
 from msgspec import Struct
 
-from benchmarks.figures import Figure
+from benchmarks.measurements import Measurement
 from demo.deployments import HAILMARK
 from standins.backend import BackendFaults
-from standins.caller import WorkCounts
+from standins.caller import CallCounts
 from standins.fleet import Fleet, FleetOptions, Placement
 from standins.load import Load, LoadPlan
 from wagtaildale.configuration.compiled import compile_mesh
@@ -27,31 +27,31 @@
 MESH_FILE: Final = Path('examples/hailmark.toml')
 SERVICE_MS: Final = 80
 SLOTS: Final = 4
-PER_SERVICE: Final = 3
+NODES_PER_SERVICE: Final = 3
 CALLERS: Final = 48
 # Capacity is 2 services x 3 servers x 4 slots / 80 ms = 300 a second.
-USUAL_RATE: Final = 150.0
+USUAL_CALLS_PER_SECOND: Final = 150.0
 SETTLE_SECONDS: Final = 1.0
 PERCENT: Final = 100
-PLAIN: Final = """
+ROUND_ROBIN_SETTINGS: Final = """
 [calls]
 choice = "round-robin"
 admits = false
 reserves = false
 hedges = false
 """
-ROLLING_RATE: Final = 100.0
+ROLLING_CALLS_PER_SECOND: Final = 100.0
 
 
-class Shares(Struct, frozen=True, kw_only=True):
+class SituationCounts(Struct, frozen=True, kw_only=True):
     """Share of calls within target, by class, in three situations."""
 
-    usual: dict[str, WorkCounts]
-    doubled: dict[str, WorkCounts]
-    third_lost: dict[str, WorkCounts]
+    usual: dict[str, CallCounts]
+    doubled: dict[str, CallCounts]
+    third_lost: dict[str, CallCounts]
 
 
-def measure_policy(*, seconds: float) -> Iterator[Figure]:
+def measure_policy(*, seconds: float) -> Iterator[Measurement]:
     """Measure our policy and the baseline.
 
     Args:
@@ -60,30 +60,32 @@
     Yields:
         Share in target by class and situation.
     """
-    ours = _measure_fleet('', seconds)
-    plain = _measure_fleet(PLAIN, seconds)
-    for situation in Shares.__struct_fields__:
-        mine: dict[str, WorkCounts] = getattr(ours, situation)
-        theirs: dict[str, WorkCounts] = getattr(plain, situation)
-        for name in sorted(mine):
-            yield Figure(
+    policy_shares = _measure_fleet('', seconds)
+    baseline_shares = _measure_fleet(ROUND_ROBIN_SETTINGS, seconds)
+    for situation in SituationCounts.__struct_fields__:
+        policy_counts: dict[str, CallCounts] = getattr(policy_shares, situation)
+        baseline_counts: dict[str, CallCounts] = getattr(
+            baseline_shares, situation
+        )
+        for name in sorted(policy_counts):
+            yield Measurement(
                 name=f'in_target_percent_{situation}_{name}',
-                amount=_find_share(mine[name]),
+                amount=_find_share(policy_counts[name]),
                 unit='percent',
-                nodes=2 * PER_SERVICE,
+                nodes=2 * NODES_PER_SERVICE,
                 baseline='round-robin-no-admission',
-                baseline_amount=_find_share(theirs[name]),
+                baseline_amount=_find_share(baseline_counts[name]),
             )
 
 
-def measure_rolling_restart() -> Iterator[Figure]:
+def measure_rolling_restart() -> Iterator[Measurement]:
     """Restart every node in turn under load.
 
     Yields:
         Calls that had no good answer, against all calls sent.
     """
     with _start_fleet('', service_ms=5) as fleet:
-        load = _start_load(fleet, ROLLING_RATE)
+        load = _start_load(fleet, ROLLING_CALLS_PER_SECOND)
         for node in fleet.nodes:
             node.terminate()
             node.wait()
@@ -94,7 +96,7 @@
         nodes = len(fleet.nodes)
     sent = sum(each.sent for each in counts.values())
     lost = sum(each.sent - each.answered for each in counts.values())
-    yield Figure(
+    yield Measurement(
         name='rolling_restart_calls_lost',
         amount=lost,
         unit='calls',
@@ -104,26 +106,26 @@
     )
 
 
-def _measure_fleet(calls: str, seconds: float) -> Shares:
-    with _start_fleet(calls, service_ms=SERVICE_MS) as fleet:
-        usual = _run_load(fleet, USUAL_RATE, seconds)
-        doubled = _run_load(fleet, 2 * USUAL_RATE, seconds)
-        for node in fleet.nodes[::PER_SERVICE]:
+def _measure_fleet(calls_settings: str, seconds: float) -> SituationCounts:
+    with _start_fleet(calls_settings, service_ms=SERVICE_MS) as fleet:
+        usual = _run_load(fleet, USUAL_CALLS_PER_SECOND, seconds)
+        doubled = _run_load(fleet, 2 * USUAL_CALLS_PER_SECOND, seconds)
+        for node in fleet.nodes[::NODES_PER_SERVICE]:
             node.kill()
-        third_lost = _run_load(fleet, USUAL_RATE, seconds)
-    return Shares(usual=usual, doubled=doubled, third_lost=third_lost)
+        third_lost = _run_load(fleet, USUAL_CALLS_PER_SECOND, seconds)
+    return SituationCounts(usual=usual, doubled=doubled, third_lost=third_lost)
 
 
-def _start_fleet(calls: str, *, service_ms: float) -> Fleet:
+def _start_fleet(calls_settings: str, *, service_ms: float) -> Fleet:
     placement = Placement(
         region='midlands',
         data_centres=('leicester-a', 'derby'),
-        services={'intake': PER_SERVICE, 'casefiles': PER_SERVICE},
+        services={'intake': NODES_PER_SERVICE, 'casefiles': NODES_PER_SERVICE},
     )
     options = FleetOptions(
         backend=BackendFaults(service_ms=service_ms, slots=SLOTS),
         log_level='error',
-        more_settings=calls,
+        extra_settings=calls_settings,
     )
     fleet = Fleet(placement, options=options)
     mesh = read_mesh(MESH_FILE).unwrap()
@@ -149,11 +151,11 @@
     fleet: Fleet,
     rate: float,
     seconds: float,
-) -> dict[str, WorkCounts]:
+) -> dict[str, CallCounts]:
     load = _start_load(fleet, rate)
     time.sleep(seconds)
     return load.stop()
 
 
-def _find_share(counts: WorkCounts) -> float:
+def _find_share(counts: CallCounts) -> float:
     return PERCENT * counts.in_time / max(1, counts.sent)
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from benchmarks.figures import Figure
+from benchmarks.measurements import Measurement
 from wagtaildale.configuration.whole import check_parts
 from wagtaildale.distribution.wire import (
     Envelope,
@@ -54,7 +54,7 @@
 SERVICES: Final = 360
 INSTANCES: Final = 2500
 DATA_CENTRES: Final = 10
-TENTH: Final = 10
+BASELINE_DIVISOR: Final = 10
 REPEATS: Final = 20
 LOOKUPS: Final = 2000
 MILLISECONDS: Final = 1000
@@ -84,7 +84,7 @@
     manifest_bytes: float
 
 
-def measure_size() -> Iterator[Figure]:
+def measure_size() -> Iterator[Measurement]:
     """Measure the full size and a tenth of it.
 
     Yields:
@@ -92,10 +92,13 @@
     """
     full = _measure(Size(services=SERVICES, instances=INSTANCES))
     tenth = _measure(
-        Size(services=SERVICES // TENTH, instances=INSTANCES // TENTH),
+        Size(
+            services=SERVICES // BASELINE_DIVISOR,
+            instances=INSTANCES // BASELINE_DIVISOR,
+        ),
     )
     for name in Costs.__struct_fields__:
-        yield Figure(
+        yield Measurement(
             name=f'size_{name}',
             amount=getattr(full, name),
             unit=name.rpartition('_')[2],
@@ -107,24 +110,29 @@
 
 def _measure(size: Size) -> Costs:
     tracemalloc.start()
-    configuration = _fill(Kind.configuration, _build_configuration(size, 1))
-    instances = _fill(Kind.instances, _build_list(size, 1))
+    configuration = _make_filled_store(
+        Kind.configuration, _build_configuration(size, 1)
+    )
+    instances = _make_filled_store(Kind.instances, _build_list(size, 1))
     state = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     parts = check_parts(configuration.held.blobs).unwrap()
     table = RoutingTable(parts)
     places = [
-        Place(InstanceId(f'i{number}'), _find_centre(number))
+        Place(InstanceId(f'i{number}'), _assign_data_centre(number))
         for number in range(size.instances)
     ]
     change = _build_configuration(size, 2)
     listing = _build_list(size, 2)
     return Costs(
         change_apply_ms=_time_apply(configuration.held, change),
-        table_build_ms=_time(lambda: RoutingTable(parts)) * MILLISECONDS,
+        table_build_ms=_time_fastest(lambda: RoutingTable(parts))
+        * MILLISECONDS,
         find_class_us=_time_lookups(table, size) * MICROSECONDS,
         list_apply_ms=_time_apply(instances.held, listing),
-        topology_ms=_time(lambda: compute_topology(places, own=places[0]))
+        topology_ms=_time_fastest(
+            lambda: compute_topology(places, own=places[0])
+        )
         * MILLISECONDS,
         state_mb=state / MEGABYTE,
         change_push_bytes=_measure_push(configuration.held, change),
@@ -151,7 +159,7 @@
         build_record(
             f'i{number}',
             service=f's{number % size.services}',
-            data_centre=_find_centre(number),
+            data_centre=_assign_data_centre(number),
         )
         for number in range(size.instances)
     ]
@@ -159,11 +167,11 @@
     return build_instances(*records, version=version)
 
 
-def _find_centre(number: int) -> DataCentre:
+def _assign_data_centre(number: int) -> DataCentre:
     return DataCentre(f'dc{number % DATA_CENTRES}')
 
 
-def _fill(kind: Kind, document: Document) -> StoreState:
+def _make_filled_store(kind: Kind, document: Document) -> StoreState:
     store = make_store(kind, check=CHECKS[kind])
     delta = make_delta(store.held, target=document)
     decide_offer(DeltaOffered(delta=delta), store)
@@ -172,23 +180,23 @@
 
 def _time_apply(base: Document, target: Document) -> float:
     delta = make_delta(base, target=target)
-    spent = []
+    durations = []
     for _repeat in range(REPEATS):
         store = make_store(base.kind, check=CHECKS[base.kind])
         store.held = base
         started = time.perf_counter()
         decide_offer(DeltaOffered(delta=delta), store)
-        spent.append(time.perf_counter() - started)
-    return min(spent) * MILLISECONDS
+        durations.append(time.perf_counter() - started)
+    return min(durations) * MILLISECONDS
 
 
-def _time(step: Callable[[], object]) -> float:
-    spent = []
+def _time_fastest(step: Callable[[], object]) -> float:
+    durations = []
     for _repeat in range(REPEATS):
         started = time.perf_counter()
         step()
-        spent.append(time.perf_counter() - started)
-    return min(spent)
+        durations.append(time.perf_counter() - started)
+    return min(durations)
 
 
 def _time_lookups(table: RoutingTable, size: Size) -> float:
@@ -200,7 +208,7 @@
         for path in paths:
             assert table.find('GET', path) is not None
 
-    return _time(find_all) / LOOKUPS
+    return _time_fastest(find_all) / LOOKUPS
 
 
 def _measure_push(base: Document, target: Document) -> float:
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -24,10 +24,10 @@
 from demo.deployments import HAILMARK
 from demo.summary import write_timeline
 from standins.backend import FAULTS_PATH, BackendFaults
-from standins.caller import Work, WorkCounts
+from standins.caller import WorkClass, CallCounts
 from standins.client import read_json
 from standins.fleet import BACKEND_PORT, Fleet, FleetOptions, NodeProcess
-from standins.judge import Verdict, gather_events, judge
+from standins.invariants import Verdict, gather_events, check_invariants
 from standins.load import Load, LoadPlan
 from wagtaildale.configuration.compiled import Compiled, hash_part
 from wagtaildale.configuration.model import Manifest
@@ -39,12 +39,12 @@
 
 CALLERS: Final = 24
 CALLS_PER_SECOND: Final = 200.0
-LOSS: Final = '0.05'
-GAP_SECONDS: Final = 1.5
-LONGEST_PAUSE: Final = 6.0
+LOSS_SHARE: Final = '0.05'
+LONGEST_GAP_SECONDS: Final = 1.5
+LONGEST_PAUSE_SECONDS: Final = 6.0
 SETTLE_SECONDS: Final = 30.0
-OUT: Final = Path('out/soak')
-ONE_STEP: Final = '[calls]\nreserves = false\n'
+OUTPUT_FOLDER: Final = Path('out/soak')
+ONE_STEP_SETTINGS: Final = '[calls]\nreserves = false\n'
 
 
 class Outcome(Struct, frozen=True, kw_only=True):
@@ -53,21 +53,23 @@
     Attributes:
         verdict: on the invariants.
         converged: whether a last change reached every node.
-        stops_failed: planned stops that cut work.
+        failed_stops: planned stops that cut work.
         faults: how many were caused.
         counts: of the callers.
     """
 
     verdict: Verdict
     converged: bool
-    stops_failed: int
+    failed_stops: int
     faults: int
-    counts: dict[str, WorkCounts]
+    counts: dict[str, CallCounts]
 
     @property
-    def is_good(self) -> bool:
+    def has_passed(self) -> bool:
         """Whether nothing broke."""
-        return self.verdict.is_good and self.converged and not self.stops_failed
+        return (
+            self.verdict.has_passed and self.converged and not self.failed_stops
+        )
 
 
 class Soak:
@@ -78,7 +80,7 @@
         fleet: Fleet,
         *,
         seed: int,
-        mix: tuple[Work, ...],
+        mix: tuple[WorkClass, ...],
     ) -> None:
         """Prepare.
 
@@ -89,10 +91,10 @@
         """
         self._mix = mix
         self._fleet = fleet
-        self._random = random.Random(seed)
+        self._random_generator = random.Random(seed)
         self._version = 1
         self._faults = 0
-        self._stops_failed = 0
+        self._failed_stops = 0
         self._paused: dict[NodeProcess, float] = {}
 
     def run(self, seconds: float) -> Outcome:
@@ -115,20 +117,20 @@
         load = Load(plan, entries=entries)
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            self._cause_one()
-            time.sleep(self._random.uniform(0, GAP_SECONDS))
-            self._wake_due(time.monotonic())
-        self._heal()
+            self._cause_random_fault()
+            time.sleep(self._random_generator.uniform(0, LONGEST_GAP_SECONDS))
+            self._resume_due(time.monotonic())
+        self._remove_faults()
         counts = load.stop()
         return Outcome(
-            verdict=judge(self._fleet, counts=counts),
-            converged=self._converges(),
-            stops_failed=self._stops_failed,
+            verdict=check_invariants(self._fleet, counts=counts),
+            converged=self._reaches_all_nodes(),
+            failed_stops=self._failed_stops,
             faults=self._faults,
             counts=counts,
         )
 
-    def _cause_one(self) -> None:
+    def _cause_random_fault(self) -> None:
         faults: tuple[Callable[[], None], ...] = (
             self._kill,
             self._pause,
@@ -139,28 +141,28 @@
             self._change_backend,
         )
         self._faults += 1
-        fault = self._random.choice(faults)
+        fault = self._random_generator.choice(faults)
         click.echo(f'fault {self._faults}: {fault.__name__.strip("_")}')
         fault()
 
-    def _pick(self) -> NodeProcess:
-        return self._random.choice(self._fleet.nodes)
+    def _choose_node(self) -> NodeProcess:
+        return self._random_generator.choice(self._fleet.nodes)
 
     def _kill(self) -> None:
-        node = self._pick()
+        node = self._choose_node()
         if node not in self._paused:
             node.kill()
             node.start(self._fleet.options)
 
     def _pause(self) -> None:
-        node = self._pick()
+        node = self._choose_node()
         if node.is_running() and node not in self._paused:
             node.send_signal(signal.SIGSTOP)
-            pause = self._random.uniform(1, LONGEST_PAUSE)
+            pause = self._random_generator.uniform(1, LONGEST_PAUSE_SECONDS)
             self._paused[node] = time.monotonic() + pause
 
     def _stop_and_start(self) -> None:
-        node = self._pick()
+        node = self._choose_node()
         if node.is_running() and node not in self._paused:
             # A process that has not yet come to its signal handlers is
             # ended by the signal at once; that is no planned stop.
@@ -168,7 +170,7 @@
             node.terminate()
             exit_code = node.wait()
             if exit_code:
-                self._stops_failed += 1
+                self._failed_stops += 1
                 name = node.record.instance
                 click.echo(f'planned stop of {name} ended with {exit_code}')
             node.start(self._fleet.options)
@@ -182,7 +184,7 @@
             partial(setattr, faults, 'half', not faults.half),
             platform.reset_index,
         )
-        self._random.choice(changes)()
+        self._random_generator.choice(changes)()
 
     def _publish(self) -> None:
         self._version += 1
@@ -202,45 +204,47 @@
     def _change_backend(self) -> None:
         shares = (0, 0, 0.02, 0.2)
         faults = BackendFaults(
-            service_ms=self._random.choice((0.5, 2, 20)),
-            cut_share=self._random.choice(shares),
-            close_share=self._random.choice(shares),
+            service_ms=self._random_generator.choice((0.5, 2, 20)),
+            cut_share=self._random_generator.choice(shares),
+            close_share=self._random_generator.choice(shares),
         )
-        self._set_backend(self._pick(), faults)
+        self._set_backend_faults(self._choose_node(), faults)
 
-    def _set_backend(self, node: NodeProcess, faults: BackendFaults) -> None:
+    def _set_backend_faults(
+        self, node: NodeProcess, faults: BackendFaults
+    ) -> None:
         address = (node.record.host, BACKEND_PORT)
         path = FAULTS_PATH.decode()
         read_json(address, path, object, body=json.encode(faults))
 
-    def _wake_due(self, now: float) -> None:
+    def _resume_due(self, now: float) -> None:
         due = [node for node, until in self._paused.items() if until <= now]
         for node in due:
             self._paused.pop(node)
             node.send_signal(signal.SIGCONT)
 
-    def _heal(self) -> None:
-        self._wake_due(float('inf'))
+    def _remove_faults(self) -> None:
+        self._resume_due(float('inf'))
         faults = self._fleet.platform.faults
         faults.down = False
         faults.frozen = False
         faults.half = False
         for node in self._fleet.nodes:
-            self._set_backend(node, BackendFaults())
+            self._set_backend_faults(node, BackendFaults())
             if not node.is_running():
                 node.start(self._fleet.options)
         self._fleet.wait_ready(self._fleet.nodes)
 
-    def _converges(self) -> bool:
+    def _reaches_all_nodes(self) -> bool:
         self._publish()
         deadline = time.monotonic() + SETTLE_SECONDS
         while time.monotonic() < deadline:
             reports = [node.report() for node in self._fleet.nodes]
-            held = {
+            held_versions = {
                 report.documents['configuration'].version if report else 0
                 for report in reports
             }
-            if held == {self._version}:
+            if held_versions == {self._version}:
                 return True
         return False
 
@@ -268,31 +272,35 @@
         one_step: send it at once, without a reservation.
     """
     mix = tuple(
-        work for work in HAILMARK.mix if not (bookings and work.idempotent)
+        work_class
+        for work_class in HAILMARK.mix
+        if not (bookings and work_class.idempotent)
     )
-    os.environ[LOSS_VARIABLE] = LOSS
+    os.environ[LOSS_VARIABLE] = LOSS_SHARE
     options = FleetOptions(
         program='benchmarks.faulty_node',
         backend=BackendFaults(service_ms=2),
-        more_settings=ONE_STEP if one_step else '',
+        extra_settings=ONE_STEP_SETTINGS if one_step else '',
     )
     with Fleet(HAILMARK.placement, options=options) as fleet:
         fleet.start(compile_version(1))
         outcome = Soak(fleet, seed=seed, mix=mix).run(seconds)
-        timeline = write_timeline(gather_events(fleet.nodes), folder=OUT)
-    _print(outcome, seed, timeline)
-    sys.exit(0 if outcome.is_good else 1)
+        timeline = write_timeline(
+            gather_events(fleet.nodes), folder=OUTPUT_FOLDER
+        )
+    _print_summary(outcome, seed, timeline)
+    sys.exit(0 if outcome.has_passed else 1)
 
 
-def _print(outcome: Outcome, seed: int, timeline: Path) -> None:
+def _print_summary(outcome: Outcome, seed: int, timeline: Path) -> None:
     sent = sum(counts.sent for counts in outcome.counts.values())
     unknown = sum(counts.unknown for counts in outcome.counts.values())
     verdict = outcome.verdict
     click.echo(
-        f'soak seed={seed} good={outcome.is_good} faults={outcome.faults} '
+        f'soak seed={seed} good={outcome.has_passed} faults={outcome.faults} '
         f'calls={sent} unknown={unknown} twice={verdict.twice} '
         f'lied={verdict.lied} wrong={verdict.wrong} broken={verdict.broken} '
-        f'converged={outcome.converged} stops_cut={outcome.stops_failed} '
+        f'converged={outcome.converged} stops_cut={outcome.failed_stops} '
         f'timeline={timeline}',
     )
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -8,9 +8,9 @@
 
 from msgspec import Struct
 
-from benchmarks.figures import Figure, find_percentile
+from benchmarks.measurements import Measurement, find_percentile
 from standins.fleet import Fleet, FleetOptions, Placement
-from standins.judge import gather_events
+from standins.invariants import gather_events
 from wagtaildale.configuration.compiled import Compiled, compile_mesh
 from wagtaildale.configuration.files import parse_mesh
 from wagtaildale.telemetry.clock import read_milliseconds
@@ -28,23 +28,23 @@
 SETTLE_SECONDS: Final = 20.0
 MILLISECONDS: Final = 1000
 MEDIAN: Final = 50
-WHOLE: Final = 100
+MAXIMUM: Final = 100
 
 
-class Costs(Struct, frozen=True, kw_only=True):
+class ControlCosts(Struct, frozen=True, kw_only=True):
     """What control has cost the fleet so far.
 
     Attributes:
-        at: when, seconds.
-        moved: bytes sent and received by all nodes, those read from the
-            platform included.
-        cpu: processor seconds of all nodes.
+        read_at: when, seconds.
+        transferred_bytes: sent and received by all nodes, including what
+            is read from the platform.
+        cpu_seconds: processor seconds of all nodes.
         reads: calls to the platform.
     """
 
-    at: float
-    moved: int
-    cpu: float
+    read_at: float
+    transferred_bytes: int
+    cpu_seconds: float
     reads: int
 
 
@@ -72,7 +72,7 @@
     *,
     sizes: tuple[int, ...] = SIZES,
     spread: str = 'prompt',
-) -> Iterator[Figure]:
+) -> Iterator[Measurement]:
     """Measure fleets of several sizes against our own ``direct`` mode.
 
     Args:
@@ -84,8 +84,8 @@
     """
     for nodes in sizes:
         rates = measure_fleet(nodes, spread=spread)
-        base = measure_fleet(nodes, spread='direct')
-        yield from _compare(nodes, rates, base)
+        baseline_rates = measure_fleet(nodes, spread='direct')
+        yield from _compare(nodes, rates, baseline_rates)
 
 
 def place_nodes(nodes: int) -> Placement:
@@ -115,10 +115,10 @@
         What was measured.
     """
     options = FleetOptions(spread=spread, log_level='error')
-    return measure_options(nodes, options=options)
+    return measure_fleet_with_options(nodes, options=options)
 
 
-def measure_options(nodes: int, *, options: FleetOptions) -> Rates:
+def measure_fleet_with_options(nodes: int, *, options: FleetOptions) -> Rates:
     """Measure one fleet with any options.
 
     Args:
@@ -131,16 +131,18 @@
     with Fleet(place_nodes(nodes), options=options) as fleet:
         fleet.start(compile_version(1))
         time.sleep(CHANGE_SECONDS * 2)
-        idle = _read_costs(fleet)
+        before_idle = _read_control_costs(fleet)
         time.sleep(IDLE_SECONDS)
-        quiet = _read_costs(fleet)
-        spent = [
+        after_idle = _read_control_costs(fleet)
+        convergence_ms = [
             each
             for version in range(2, 2 + CHANGES)
             for each in measure_change(fleet, version)
         ]
-        changed = _read_costs(fleet)
-        return _sum_up(fleet, (idle, quiet, changed), spent)
+        after_changes = _read_control_costs(fleet)
+        return _compute_rates(
+            fleet, (before_idle, after_idle, after_changes), convergence_ms
+        )
 
 
 def compile_version(version: int) -> Compiled:
@@ -189,52 +191,62 @@
     return list(applied.values())
 
 
-def _read_costs(fleet: Fleet) -> Costs:
+def _read_control_costs(fleet: Fleet) -> ControlCosts:
     reports = [node.report() for node in fleet.nodes if node.is_running()]
     known = [report for report in reports if report is not None]
-    between = 2 * sum(report.control.sent_bytes for report in known)
-    return Costs(
-        at=time.monotonic(),
-        moved=between + fleet.platform.counts.answered_bytes,
-        cpu=sum(report.cpu_seconds for report in known),
+    node_bytes = 2 * sum(report.control.sent_bytes for report in known)
+    return ControlCosts(
+        read_at=time.monotonic(),
+        transferred_bytes=node_bytes + fleet.platform.counts.answered_bytes,
+        cpu_seconds=sum(report.cpu_seconds for report in known),
         reads=fleet.platform.counts.reads,
     )
 
 
-def _sum_up(
+def _compute_rates(
     fleet: Fleet,
-    costs: tuple[Costs, Costs, Costs],
-    spent: list[float],
+    costs: tuple[ControlCosts, ControlCosts, ControlCosts],
+    convergence_ms: list[float],
 ) -> Rates:
-    idle, quiet, changed = costs
+    before_idle, after_idle, after_changes = costs
     nodes = len(fleet.nodes)
-    seconds = quiet.at - idle.at
-    sent = (quiet.moved - idle.moved) / nodes
-    busy = (changed.moved - quiet.moved) / nodes
-    extra = busy - sent / seconds * (changed.at - quiet.at)
+    seconds = after_idle.read_at - before_idle.read_at
+    idle_bytes = (
+        after_idle.transferred_bytes - before_idle.transferred_bytes
+    ) / nodes
+    change_bytes = (
+        after_changes.transferred_bytes - after_idle.transferred_bytes
+    ) / nodes
+    extra_bytes = change_bytes - idle_bytes / seconds * (
+        after_changes.read_at - after_idle.read_at
+    )
     reports = (node.report() for node in fleet.nodes)
     return Rates(
-        bytes_per_second=sent / seconds,
-        cpu_share=(quiet.cpu - idle.cpu) / seconds / nodes,
-        reads_per_second=(quiet.reads - idle.reads) / seconds,
+        bytes_per_second=idle_bytes / seconds,
+        cpu_share=(after_idle.cpu_seconds - before_idle.cpu_seconds)
+        / seconds
+        / nodes,
+        reads_per_second=(after_idle.reads - before_idle.reads) / seconds,
         resident_mb=max(
             report.resident_bytes / 1e6 for report in reports if report
         ),
-        convergence_ms=spent,
-        bytes_per_change=extra / CHANGES,
+        convergence_ms=convergence_ms,
+        bytes_per_change=extra_bytes / CHANGES,
     )
 
 
-def _compare(nodes: int, rates: Rates, base: Rates) -> Iterator[Figure]:
-    for percent in (MEDIAN, WHOLE):
-        yield Figure(
+def _compare(
+    nodes: int, rates: Rates, baseline_rates: Rates
+) -> Iterator[Measurement]:
+    for percent in (MEDIAN, MAXIMUM):
+        yield Measurement(
             name=f'convergence_p{percent}_ms',
             amount=find_percentile(rates.convergence_ms, percent=percent),
             unit='ms',
             nodes=nodes,
             baseline='direct',
             baseline_amount=find_percentile(
-                base.convergence_ms,
+                baseline_rates.convergence_ms,
                 percent=percent,
             ),
         )
@@ -246,11 +258,11 @@
         'resident_mb': ('node_resident_mb', 'MB'),
     }
     for attribute, (name, unit) in units.items():
-        yield Figure(
+        yield Measurement(
             name=name,
             amount=getattr(rates, attribute),
             unit=unit,
             nodes=nodes,
             baseline='direct',
-            baseline_amount=getattr(base, attribute),
+            baseline_amount=getattr(baseline_rates, attribute),
         )
--- a/benchmarks/spread_faults.py
+++ b/benchmarks/spread_faults.py
@@ -7,21 +7,23 @@
 from typing import TYPE_CHECKING, Final
 
 from benchmarks.faulty_node import LOSS_VARIABLE
-from benchmarks.figures import Figure, find_percentile
+from benchmarks.measurements import Measurement, find_percentile
 from benchmarks.spread import compile_version, measure_change, place_nodes
 from standins.fleet import Fleet, FleetOptions
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-LOSS: Final = 0.05
+LOSS_SHARE: Final = 0.05
 LOSSY_CHANGES: Final = 4
 KILLS: Final = 2
 SETTLE_SECONDS: Final = 3.0
-WHOLE: Final = 100
+MAXIMUM: Final = 100
 
 
-def measure_faults(nodes: int, *, spread: str = 'prompt') -> Iterator[Figure]:
+def measure_faults(
+    nodes: int, *, spread: str = 'prompt'
+) -> Iterator[Measurement]:
     """Measure one fleet size under each fault.
 
     Args:
@@ -32,30 +34,38 @@
         Convergence with lost messages and with all readers killed, and the
         platform's reads at a mass restart; against ``direct``.
     """
-    lossy = measure_loss(nodes, spread=spread)
-    yield _make_figure(
+    lossy = measure_lossy_changes(nodes, spread=spread)
+    yield _make_measurement(
         'convergence_p100_ms_loss_5pct',
-        find_percentile(lossy, percent=WHOLE),
+        find_percentile(lossy, percent=MAXIMUM),
         nodes,
-        find_percentile(measure_loss(nodes, spread='direct'), percent=WHOLE),
+        find_percentile(
+            measure_lossy_changes(nodes, spread='direct'), percent=MAXIMUM
+        ),
     )
     options = FleetOptions(spread=spread, log_level='error')
     with Fleet(place_nodes(nodes), options=options) as fleet:
         fleet.start(compile_version(1))
         time.sleep(SETTLE_SECONDS)
-        killed = max(_measure_kill(fleet, kill) for kill in range(KILLS))
-        peak, ready = measure_restart(fleet)
+        killed = max(_measure_reader_kill(fleet, kill) for kill in range(KILLS))
+        peak, ready = measure_mass_restart(fleet)
     direct = FleetOptions(spread='direct', log_level='error')
     with Fleet(place_nodes(nodes), options=direct) as fleet:
         fleet.start(compile_version(1))
         time.sleep(SETTLE_SECONDS)
-        base_peak, base_ready = measure_restart(fleet)
-    yield _make_figure('convergence_p100_ms_readers_killed', killed, nodes, 0)
-    yield _make_figure('restart_reads_peak_per_second', peak, nodes, base_peak)
-    yield _make_figure('restart_seconds_to_ready', ready, nodes, base_ready)
+        base_peak, base_ready = measure_mass_restart(fleet)
+    yield _make_measurement(
+        'convergence_p100_ms_readers_killed', killed, nodes, 0
+    )
+    yield _make_measurement(
+        'restart_reads_peak_per_second', peak, nodes, base_peak
+    )
+    yield _make_measurement(
+        'restart_seconds_to_ready', ready, nodes, base_ready
+    )
 
 
-def measure_loss(nodes: int, *, spread: str) -> list[float]:
+def measure_lossy_changes(nodes: int, *, spread: str) -> list[float]:
     """Measure changes while messages between nodes are lost.
 
     Args:
@@ -65,7 +75,7 @@
     Returns:
         Milliseconds, of every change at every node.
     """
-    os.environ[LOSS_VARIABLE] = str(LOSS)
+    os.environ[LOSS_VARIABLE] = str(LOSS_SHARE)
     options = FleetOptions(
         spread=spread,
         log_level='error',
@@ -81,7 +91,7 @@
         ]
 
 
-def measure_restart(fleet: Fleet) -> tuple[float, float]:
+def measure_mass_restart(fleet: Fleet) -> tuple[float, float]:
     """Kill every node at once, start all and count the platform's reads.
 
     Args:
@@ -92,37 +102,39 @@
     """
     for node in fleet.nodes:
         node.kill()
-    began = time.monotonic()
+    started_at = time.monotonic()
     for node in fleet.nodes:
         node.start(fleet.options)
     fleet.wait_ready(fleet.nodes)
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     reads = fleet.platform.counts.by_second
-    peak = max(count for second, count in reads.items() if second >= int(began))
+    peak = max(
+        count for second, count in reads.items() if second >= int(started_at)
+    )
     return float(peak), seconds
 
 
-def _measure_kill(fleet: Fleet, number: int) -> float:
+def _measure_reader_kill(fleet: Fleet, number: int) -> float:
     running = [(node, node.report()) for node in fleet.nodes]
     readers = [node for node, report in running if report and report.reader]
     for reader in readers:
         reader.kill()
-    spent = max(measure_change(fleet, number + 2))
+    slowest_ms = max(measure_change(fleet, number + 2))
     for reader in readers:
         reader.start(fleet.options)
     fleet.wait_ready(readers)
     time.sleep(SETTLE_SECONDS)
-    return spent
+    return slowest_ms
 
 
-def _make_figure(
+def _make_measurement(
     name: str,
     amount: float,
     nodes: int,
     baseline: float,
-) -> Figure:
+) -> Measurement:
     unit = 'ms' if '_ms' in name else '1/s'
-    return Figure(
+    return Measurement(
         name=name,
         amount=amount,
         unit='s' if 'seconds' in name else unit,
--- a/benchmarks/sweep.py
+++ b/benchmarks/sweep.py
@@ -12,8 +12,8 @@
 from msgspec import json, structs
 
 from benchmarks.faulty_node import LOSS_VARIABLE, TUNING_VARIABLE
-from benchmarks.figures import find_percentile
-from benchmarks.spread import measure_options
+from benchmarks.measurements import find_percentile
+from benchmarks.spread import measure_fleet_with_options
 from standins.fleet import FleetOptions
 from wagtaildale.cli.output import print_table
 from wagtaildale.distribution.tuning import Tuning
@@ -22,9 +22,9 @@
     from collections.abc import Iterator
 
 NODES: Final = 30
-LOSS: Final = '0.05'
-WHOLE: Final = 100
-USUAL: Final = Tuning()
+LOSS_SHARE: Final = '0.05'
+MAXIMUM: Final = 100
+DEFAULT_TUNING: Final = Tuning()
 
 
 def list_tunings() -> Iterator[tuple[str, Tuning]]:
@@ -33,13 +33,16 @@
     Yields:
         What was changed, and the figures.
     """
-    yield 'as it is', USUAL
+    yield 'as it is', DEFAULT_TUNING
     for fan_out in (2, 8):
-        yield f'fan_out={fan_out}', structs.replace(USUAL, fan_out=fan_out)
+        yield (
+            f'fan_out={fan_out}',
+            structs.replace(DEFAULT_TUNING, fan_out=fan_out),
+        )
     for seconds in (0.5, 3.0):
-        tuning = structs.replace(USUAL, swap_seconds=seconds)
+        tuning = structs.replace(DEFAULT_TUNING, swap_seconds=seconds)
         yield f'swap_seconds={seconds}', tuning
-    yield 'readers=1', structs.replace(USUAL, readers=1)
+    yield 'readers=1', structs.replace(DEFAULT_TUNING, readers=1)
 
 
 def measure_row(name: str, tuning: Tuning) -> list[str]:
@@ -52,14 +55,14 @@
     Returns:
         Cells of one row.
     """
-    os.environ[LOSS_VARIABLE] = LOSS
+    os.environ[LOSS_VARIABLE] = LOSS_SHARE
     os.environ[TUNING_VARIABLE] = json.encode(tuning).decode()
     options = FleetOptions(
         program='benchmarks.faulty_node',
         log_level='error',
     )
-    rates = measure_options(NODES, options=options)
-    slowest = find_percentile(rates.convergence_ms, percent=WHOLE)
+    rates = measure_fleet_with_options(NODES, options=options)
+    slowest = find_percentile(rates.convergence_ms, percent=MAXIMUM)
     return [
         name,
         f'{find_percentile(rates.convergence_ms, percent=50):.0f}',
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -11,14 +11,14 @@
 from msgspec import Struct
 
 from demo.deployments import DEPLOYMENTS, Deployment
-from demo.summary import Figures, print_summary, write_timeline
+from demo.summary import DemoOutcome, print_summary, write_timeline
 from standins.fleet import (
-    AddressTakenError,
+    AddressInUseError,
     Fleet,
     FleetOptions,
     NodeProcess,
 )
-from standins.judge import gather_events, judge
+from standins.invariants import gather_events, check_invariants
 from standins.load import Load, LoadPlan
 from wagtaildale.configuration.compiled import Compiled, compile_mesh
 from wagtaildale.configuration.files import parse_mesh
@@ -26,21 +26,21 @@
 from wagtaildale.telemetry.events import EventKind
 
 if TYPE_CHECKING:
-    from standins.caller import WorkCounts
+    from standins.caller import CallCounts
     from wagtaildale.telemetry.events import Event
 
 CALLERS: Final = 24
 CALLS_PER_SECOND: Final = 300.0
 PHASE_SECONDS: Final = 3.0
 SETTLE_SECONDS: Final = 10.0
-LOOK_SECONDS: Final = 0.05
+POLL_SECONDS: Final = 0.05
 MILLISECONDS: Final = 1000
-NOT_STARTED: Final = 2
-WAY_OUT: Final = (
+NOT_STARTED_EXIT_CODE: Final = 2
+ADDRESS_IN_USE_HINT: Final = (
     'most likely by another run on this machine; '
     'wait until that has ended, or end it, then start make demo again'
 )
-OUT: Final = Path('out/demo')
+OUTPUT_FOLDER: Final = Path('out/demo')
 
 
 class Demo:
@@ -61,31 +61,31 @@
             (record.host, record.entry_port) for record in self._fleet.records
         ]
         self._version = 0
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
 
-    def run(self) -> Figures:
+    def run(self) -> DemoOutcome:
         """Run every phase.
 
         Returns:
             What was measured.
         """
-        self._say(f'starting {len(self._fleet.nodes)} nodes')
+        self._print_progress(f'starting {len(self._fleet.nodes)} nodes')
         self._fleet.start(self._compile_next())
-        self._say('all nodes are ready; load begins')
-        load = Load(self._plan(), entries=self._entries)
+        self._print_progress('all nodes are ready; load begins')
+        load = Load(self._make_load_plan(), entries=self._entries)
         time.sleep(PHASE_SECONDS)
-        before = _read_control(self._fleet.nodes)
+        before = _read_control_traffic(self._fleet.nodes)
         changes = [self._publish('a change of one target')]
         self._kill(self._fleet.nodes[1])
         changes.append(self._publish('a change while a node is gone'))
         stop_code = self._stop(self._fleet.nodes[-1])
-        self._start_again(self._fleet.nodes[1])
-        after = _read_control(self._fleet.nodes)
+        self._restart(self._fleet.nodes[1])
+        after = _read_control_traffic(self._fleet.nodes)
         counts = load.stop()
-        return self._sum_up(
+        return self._make_outcome(
             counts,
             changes,
-            control_bytes=_measure_bytes(before, after),
+            control_bytes_per_second=_measure_control_rate(before, after),
             stop_code=stop_code,
         )
 
@@ -93,64 +93,70 @@
         """End every process."""
         self._fleet.close()
 
-    def _sum_up(
+    def _make_outcome(
         self,
-        counts: dict[str, WorkCounts],
-        changes: list[Change],
+        counts: dict[str, CallCounts],
+        changes: list[PublishedChange],
         *,
-        control_bytes: float,
+        control_bytes_per_second: float,
         stop_code: int,
-    ) -> Figures:
+    ) -> DemoOutcome:
         fleet = self._fleet
         events = gather_events(fleet.nodes)
-        return Figures(
+        return DemoOutcome(
             deployment=self._deployment,
             version=self._version,
-            held=_count_holding(fleet.nodes, self._version),
+            updated=_count_nodes_with_version(fleet.nodes, self._version),
             running=sum(node.is_running() for node in fleet.nodes),
             convergence_ms=[
                 _measure_convergence(events, change) for change in changes
             ],
-            control_bytes=control_bytes,
+            control_bytes_per_second=control_bytes_per_second,
             counts=counts,
-            verdict=judge(fleet, counts=counts),
+            verdict=check_invariants(fleet, counts=counts),
             stop_code=stop_code,
-            timeline=write_timeline(events, folder=OUT),
+            timeline=write_timeline(events, folder=OUTPUT_FOLDER),
         )
 
-    def _publish(self, what: str) -> Change:
+    def _publish(self, description: str) -> PublishedChange:
         compiled = self._compile_next()
-        self._say(f'publishing version {self._version}: {what}')
-        running = [node for node in self._fleet.nodes if node.is_running()]
-        change = Change(
+        self._print_progress(
+            f'publishing version {self._version}: {description}'
+        )
+        running_nodes = [
+            node for node in self._fleet.nodes if node.is_running()
+        ]
+        change = PublishedChange(
             version=self._version,
-            at_ms=round(time.time() * MILLISECONDS),
-            nodes=tuple(node.record.instance for node in running),
+            published_at_ms=round(time.time() * MILLISECONDS),
+            nodes=tuple(node.record.instance for node in running_nodes),
         )
         self._fleet.platform.publish(compiled)
         deadline = time.monotonic() + SETTLE_SECONDS
-        while _count_holding(running, self._version) < len(running):
+        while _count_nodes_with_version(running_nodes, self._version) < len(
+            running_nodes
+        ):
             if time.monotonic() > deadline:
                 break
-            time.sleep(LOOK_SECONDS)
+            time.sleep(POLL_SECONDS)
         time.sleep(PHASE_SECONDS)
         return change
 
     def _kill(self, node: NodeProcess) -> None:
-        self._say(f'killing {node.record.instance}')
+        self._print_progress(f'killing {node.record.instance}')
         node.kill()
         time.sleep(PHASE_SECONDS)
 
     def _stop(self, node: NodeProcess) -> int:
-        self._say(f'planned stop of {node.record.instance}')
+        self._print_progress(f'planned stop of {node.record.instance}')
         node.terminate()
-        self._fleet.list_now(leaving=(node.record.instance,))
+        self._fleet.publish_instances(leaving=(node.record.instance,))
         stop_code = node.wait()
-        self._say(f'it stopped with exit code {stop_code}')
+        self._print_progress(f'it stopped with exit code {stop_code}')
         return stop_code
 
-    def _start_again(self, node: NodeProcess) -> None:
-        self._say(f'starting {node.record.instance} again')
+    def _restart(self, node: NodeProcess) -> None:
+        self._print_progress(f'starting {node.record.instance} again')
         node.start(self._fleet.options)
         self._fleet.wait_ready([node])
         time.sleep(PHASE_SECONDS)
@@ -160,11 +166,11 @@
         path = Path(self._deployment.mesh_file)
         text = path.read_text(encoding='utf-8')
         if self._version % 2 == 0:
-            text = text.replace(*self._deployment.changed, 1)
+            text = text.replace(*self._deployment.file_change, 1)
         mesh = parse_mesh(text, name=path.name).unwrap()
         return compile_mesh(mesh, version=self._version).unwrap()
 
-    def _plan(self) -> LoadPlan:
+    def _make_load_plan(self) -> LoadPlan:
         return LoadPlan(
             mix=self._deployment.mix,
             callers=CALLERS,
@@ -172,65 +178,68 @@
             latency_ms=self._deployment.latency_ms,
         )
 
-    def _say(self, text: str) -> None:
-        seconds = time.monotonic() - self._began
+    def _print_progress(self, text: str) -> None:
+        seconds = time.monotonic() - self._started_at
         click.echo(f'[{seconds:5.1f} s] {text}')
 
 
-class Change(Struct, frozen=True, kw_only=True):
+class PublishedChange(Struct, frozen=True, kw_only=True):
     """A published version.
 
     Attributes:
         version: its number.
-        at_ms: when it was published, milliseconds since the epoch.
+        published_at_ms: when it was published, milliseconds since the epoch.
         nodes: that ran then.
     """
 
     version: int
-    at_ms: int
+    published_at_ms: int
     nodes: tuple[str, ...]
 
 
-class Control(Struct, frozen=True, kw_only=True):
+class ControlTraffic(Struct, frozen=True, kw_only=True):
     """Control bytes of one node so far.
 
     Attributes:
         incarnation: of its process.
-        at: when it was asked, seconds.
+        read_at: when it was asked, seconds.
         sent: bytes to other nodes.
     """
 
     incarnation: int
-    at: float
+    read_at: float
     sent: int
 
 
-def _read_control(nodes: list[NodeProcess]) -> dict[str, Control]:
-    found: dict[str, Control] = {}
+def _read_control_traffic(
+    nodes: list[NodeProcess],
+) -> dict[str, ControlTraffic]:
+    found: dict[str, ControlTraffic] = {}
     for node in nodes:
         report = node.report()
         if report is not None:
-            found[report.instance] = Control(
+            found[report.instance] = ControlTraffic(
                 incarnation=report.incarnation,
-                at=time.monotonic(),
+                read_at=time.monotonic(),
                 sent=report.control.sent_bytes + report.control.received_bytes,
             )
     return found
 
 
-def _measure_bytes(
-    before: dict[str, Control],
-    after: dict[str, Control],
+def _measure_control_rate(
+    before: dict[str, ControlTraffic],
+    after: dict[str, ControlTraffic],
 ) -> float:
     rates = [
-        (control.sent - before[name].sent) / (control.at - before[name].at)
+        (control.sent - before[name].sent)
+        / (control.read_at - before[name].read_at)
         for name, control in after.items()
         if name in before and before[name].incarnation == control.incarnation
     ]
     return sum(rates) / len(rates) if rates else 0
 
 
-def _count_holding(nodes: list[NodeProcess], version: int) -> int:
+def _count_nodes_with_version(nodes: list[NodeProcess], version: int) -> int:
     reports = (node.report() for node in nodes)
     return sum(
         report.documents['configuration'].version == version
@@ -239,7 +248,7 @@
     )
 
 
-def _measure_convergence(events: list[Event], change: Change) -> int:
+def _measure_convergence(events: list[Event], change: PublishedChange) -> int:
     applied = [
         read_milliseconds(event.stamp)
         for event in events
@@ -247,7 +256,7 @@
         and event.version == change.version
         and event.node in change.nodes
     ]
-    return max(applied, default=change.at_ms) - change.at_ms
+    return max(applied, default=change.published_at_ms) - change.published_at_ms
 
 
 @click.command()
@@ -266,15 +275,15 @@
     """
     try:
         demo = Demo(DEPLOYMENTS[deployment])
-    except AddressTakenError as error:
-        click.echo(f'{error}, {WAY_OUT}', err=True)
-        sys.exit(NOT_STARTED)
+    except AddressInUseError as error:
+        click.echo(f'{error}, {ADDRESS_IN_USE_HINT}', err=True)
+        sys.exit(NOT_STARTED_EXIT_CODE)
     try:
-        figures = demo.run()
+        outcome = demo.run()
     finally:
         demo.close()
-    print_summary(figures)
-    sys.exit(0 if figures.is_good else 1)
+    print_summary(outcome)
+    sys.exit(0 if outcome.has_passed else 1)
 
 
 if __name__ == '__main__':
--- a/demo/deployments.py
+++ b/demo/deployments.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from standins.caller import Work
+from standins.caller import WorkClass
 from standins.fleet import Placement
 
 
@@ -21,7 +21,7 @@
         latency_ms: one way from callers.
         spread: what it weighs more.
         mix: what callers ask for.
-        changed: a text of the file and what a change makes of it.
+        file_change: a text of the file and what a change makes of it.
     """
 
     title: str
@@ -29,8 +29,8 @@
     placement: Placement
     latency_ms: float
     spread: str
-    mix: tuple[Work, ...]
-    changed: tuple[str, str]
+    mix: tuple[WorkClass, ...]
+    file_change: tuple[str, str]
 
 
 HAILMARK: Final = Deployment(
@@ -44,41 +44,41 @@
     latency_ms=1,
     spread='prompt',
     mix=(
-        Work(
+        WorkClass(
             name='casefiles/field-lookup',
             method='GET',
             path='/files/{}',
-            within_ms=150,
+            target_ms=150,
             idempotent=True,
             weight=6,
         ),
-        Work(
+        WorkClass(
             name='intake/status-check',
             method='GET',
             path='/claims/{}/status',
-            within_ms=300,
+            target_ms=300,
             idempotent=True,
             weight=4,
         ),
-        Work(
+        WorkClass(
             name='intake/tarp-booking',
             method='POST',
             path='/claims/{}/tarp',
-            within_ms=800,
+            target_ms=800,
             idempotent=False,
             weight=3,
             body_bytes=400,
         ),
-        Work(
+        WorkClass(
             name='casefiles/report',
             method='GET',
             path='/reports/insurer/{}',
-            within_ms=4000,
+            target_ms=4000,
             idempotent=True,
             weight=2,
         ),
     ),
-    changed=('within_ms = 150', 'within_ms = 140'),
+    file_change=('within_ms = 150', 'within_ms = 140'),
 )
 
 PUERTAS: Final = Deployment(
@@ -92,41 +92,41 @@
     latency_ms=8,
     spread='frugal',
     mix=(
-        Work(
+        WorkClass(
             name='asignador/gate-board',
             method='GET',
             path='/boards/{}',
-            within_ms=150,
+            target_ms=150,
             idempotent=True,
             weight=6,
         ),
-        Work(
+        WorkClass(
             name='asignador/gate-assignment',
             method='POST',
             path='/gates/{}/assignments',
-            within_ms=600,
+            target_ms=600,
             idempotent=False,
             weight=3,
             body_bytes=300,
         ),
-        Work(
+        WorkClass(
             name='planilla/stand-availability',
             method='GET',
             path='/stands/{}/availability',
-            within_ms=80,
+            target_ms=80,
             idempotent=True,
             weight=4,
         ),
-        Work(
+        WorkClass(
             name='planilla/schedule',
             method='GET',
             path='/schedules/week/{}',
-            within_ms=3000,
+            target_ms=3000,
             idempotent=True,
             weight=2,
         ),
     ),
-    changed=('within_ms = 150', 'within_ms = 140'),
+    file_change=('within_ms = 150', 'within_ms = 140'),
 )
 
 DEPLOYMENTS: Final = MappingProxyType(
--- a/demo/summary.py
+++ b/demo/summary.py
@@ -9,8 +9,8 @@
 from msgspec import Struct, json
 
 from demo.deployments import Deployment
-from standins.caller import WorkCounts
-from standins.judge import Verdict
+from standins.caller import CallCounts
+from standins.invariants import Verdict
 from wagtaildale.cli.output import print_table
 
 if TYPE_CHECKING:
@@ -21,16 +21,16 @@
 PERCENT = 100
 
 
-class Figures(Struct, frozen=True, kw_only=True):
+class DemoOutcome(Struct, frozen=True, kw_only=True):
     """What the demonstration measured.
 
     Attributes:
         deployment: which one ran.
         version: published last.
-        held: how many running nodes hold it.
+        updated: how many running nodes hold it.
         running: nodes that run at the end.
         convergence_ms: for each change, until the last node had applied it.
-        control_bytes: sent and received by a node in a second, on average.
+        control_bytes_per_second: sent and received by a node, on average.
         counts: of the callers, by class.
         verdict: on the invariants.
         stop_code: exit code of the planned stop.
@@ -39,58 +39,60 @@
 
     deployment: Deployment
     version: int
-    held: int
+    updated: int
     running: int
     convergence_ms: list[int]
-    control_bytes: float
-    counts: dict[str, WorkCounts]
+    control_bytes_per_second: float
+    counts: dict[str, CallCounts]
     verdict: Verdict
     stop_code: int
     timeline: Path
 
     @property
-    def is_good(self) -> bool:
+    def has_passed(self) -> bool:
         """Whether all invariants held and the change is everywhere."""
-        everywhere = self.held == self.running
-        return self.verdict.is_good and everywhere and self.stop_code == 0
+        everywhere = self.updated == self.running
+        return self.verdict.has_passed and everywhere and self.stop_code == 0
 
 
-def print_summary(figures: Figures) -> None:
+def print_summary(outcome: DemoOutcome) -> None:
     """Print the figures as two tables.
 
     Args:
-        figures: of one run.
+        outcome: of one run.
     """
     click.echo()
-    click.echo(figures.deployment.title)
+    click.echo(outcome.deployment.title)
     rows = [
-        _describe_work(name, counts)
-        for name, counts in sorted(figures.counts.items())
+        _describe_class(name, counts)
+        for name, counts in sorted(outcome.counts.items())
     ]
     print_table(
         ('class', 'calls', 'in target', 'not run', 'unknown', 'lost'),
         rows=rows,
     )
     click.echo()
-    verdict = figures.verdict
-    times = ', '.join(f'{spent} ms' for spent in figures.convergence_ms)
+    verdict = outcome.verdict
+    times = ', '.join(
+        f'{duration_ms} ms' for duration_ms in outcome.convergence_ms
+    )
     print_table(
         ('figure', 'this run'),
         rows=(
             (
-                f'version {figures.version} in force',
-                f'{figures.held} of {figures.running} running nodes',
+                f'version {outcome.version} in force',
+                f'{outcome.updated} of {outcome.running} running nodes',
             ),
             ('convergence time of the changes', times),
             (
                 'control bytes a node a second',
-                f'{figures.control_bytes:.0f}',
+                f'{outcome.control_bytes_per_second:.0f}',
             ),
             ('bookings run twice', str(verdict.twice)),
             ('"not run" that had run', str(verdict.lied)),
             ('answers cut or crossed', str(verdict.wrong)),
             ('invariants broken', str(verdict.broken)),
-            ('time line', str(figures.timeline)),
+            ('time line', str(outcome.timeline)),
         ),
     )
 
@@ -111,7 +113,7 @@
     return path
 
 
-def _describe_work(name: str, counts: WorkCounts) -> list[str]:
+def _describe_class(name: str, counts: CallCounts) -> list[str]:
     share = PERCENT * counts.in_time / max(1, counts.sent)
     return [
         name,
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -16,18 +16,18 @@
 import httptools
 from msgspec import Struct, convert, field, json, structs
 
-from standins.onward import Onward, find_left
+from standins.chained_calls import ChainedCaller, parse_remaining_calls
 
 COUNTS_PATH: Final = b'/standin/counts'
 FAULTS_PATH: Final = b'/standin/faults'
-REQUEST_FIELD: Final = b'wagtaildale-request-id'
-KEY_FIELD: Final = b'x-booking'
+REQUEST_ID_HEADER: Final = b'wagtaildale-request-id'
+KEY_HEADER: Final = b'x-booking'
 MILLISECONDS: Final = 1000
 PHOTO_PREFIX: Final = b'/photos/'
 OK: Final = 200
-FAULTY: Final = 500
-SHED: Final = 503
-BACKLOG: Final = 256
+SERVER_ERROR: Final = 500
+UNAVAILABLE: Final = 503
+LISTEN_BACKLOG: Final = 256
 
 
 class BackendFaults(Struct, kw_only=True):
@@ -119,10 +119,10 @@
         """
         self.spec = spec
         self.counts = BackendCounts()
-        self.running = 0
-        self.onward = Onward(spec.host, spec.entry_port)
+        self.running_requests = 0
+        self.chained_caller = ChainedCaller(spec.host, spec.entry_port)
         self.transports: set[asyncio.Transport] = set()
-        self.ending: asyncio.Task[None] | None = None
+        self.crash_task: asyncio.Task[None] | None = None
         self._server: asyncio.Server | None = None
         self._random = random.Random(spec.name)
 
@@ -133,7 +133,7 @@
             lambda: _Connection(self),
             self.spec.host,
             self.spec.port,
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
         )
 
     def close(self) -> None:
@@ -143,7 +143,7 @@
         for transport in tuple(self.transports):
             transport.abort()
 
-    async def end(self) -> None:
+    async def crash(self) -> None:
         """End with whatever runs here, and be back after a while."""
         self.counts.ends += 1
         # The port first: whoever sees a connection end finds it closed.
@@ -151,7 +151,7 @@
         await asyncio.sleep(self.spec.faults.down_ms / MILLISECONDS)
         await self.listen()
 
-    def draw(self, share: float) -> bool:
+    def draw_fault(self, share: float) -> bool:
         """Draw whether a fault strikes.
 
         Args:
@@ -162,7 +162,7 @@
         """
         return share > 0 and self._random.random() < share
 
-    def note_run(self, headers: dict[bytes, bytes], method: bytes) -> None:
+    def count_run(self, headers: dict[bytes, bytes], method: bytes) -> None:
         """Count a run.
 
         Args:
@@ -171,38 +171,38 @@
         """
         counts = self.counts
         counts.runs += 1
-        _add_run(counts.by_request, headers.get(REQUEST_FIELD))
-        _add_run(counts.by_key, headers.get(KEY_FIELD))
+        _increment(counts.by_request, headers.get(REQUEST_ID_HEADER))
+        _increment(counts.by_key, headers.get(KEY_HEADER))
         if method == b'POST':
-            _add_run(counts.by_single_key, headers.get(KEY_FIELD))
+            _increment(counts.by_single_key, headers.get(KEY_HEADER))
 
-    def change(self, body: bytes) -> None:
+    def update_faults(self, body: bytes) -> None:
         """Change how the server behaves.
 
         Args:
             body: JSON with some of the fields of ``BackendFaults``.
         """
-        changed = {**structs.asdict(self.spec.faults), **json.decode(body)}
-        self.spec.faults = convert(changed, BackendFaults)
+        updated = {**structs.asdict(self.spec.faults), **json.decode(body)}
+        self.spec.faults = convert(updated, BackendFaults)
 
     @property
-    def deadly_target(self) -> bytes:
+    def crash_target(self) -> bytes:
         """Target of the requests under which it ends."""
         return self.spec.faults.ends_under.encode()
 
-    def write_words(self) -> bytes:
+    def format_notices(self) -> bytes:
         """Write what it says of itself in its answers.
 
         Returns:
             Header lines.
         """
         faults = self.spec.faults
-        words = b''
+        notices = b''
         if faults.rate_limit >= 0:
-            words += b'wagtaildale-rate-limit: %.3f\r\n' % faults.rate_limit
+            notices += b'wagtaildale-rate-limit: %.3f\r\n' % faults.rate_limit
         if faults.leaving:
-            words += b'wagtaildale-leaving: 1\r\n'
-        return words
+            notices += b'wagtaildale-leaving: 1\r\n'
+        return notices
 
     @property
     def service_seconds(self) -> float:
@@ -214,7 +214,7 @@
         return milliseconds / MILLISECONDS
 
 
-def _add_run(runs: dict[str, int], key: bytes | None) -> None:
+def _increment(runs: dict[str, int], key: bytes | None) -> None:
     if key is not None:
         runs.setdefault(key.decode(), 0)
         runs[key.decode()] += 1
@@ -258,77 +258,77 @@
     def on_header(self, name: bytes, text: bytes) -> None:
         self._headers[name.lower()] = text
 
-    def on_body(self, piece: bytes) -> None:
-        self._body.append(piece)
+    def on_body(self, chunk: bytes) -> None:
+        self._body.append(chunk)
 
     def on_message_complete(self) -> None:
         if self._target == COUNTS_PATH:
-            self._answer(OK, json.encode(self._backend.counts))
+            self._send_response(OK, json.encode(self._backend.counts))
         elif self._target == FAULTS_PATH:
-            self._backend.change(b''.join(self._body))
-            self._answer(OK, b'{}')
-        elif self._target == self._backend.deadly_target:
+            self._backend.update_faults(b''.join(self._body))
+            self._send_response(OK, b'{}')
+        elif self._target == self._backend.crash_target:
             loop = asyncio.get_running_loop()
-            self._backend.ending = loop.create_task(self._backend.end())
+            self._backend.crash_task = loop.create_task(self._backend.crash())
         else:
-            self._serve()
+            self._start_request()
 
-    def _serve(self) -> None:
+    def _start_request(self) -> None:
         backend = self._backend
         faults = backend.spec.faults
-        if faults.draining or backend.running >= faults.slots:
+        if faults.draining or backend.running_requests >= faults.slots:
             backend.counts.shed += 1
-            self._answer(SHED, b'shed', b'retry-after: 1\r\n')
+            self._send_response(UNAVAILABLE, b'shed', b'retry-after: 1\r\n')
             return
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._run(self._headers))
+        self._task = loop.create_task(self._handle_request(self._headers))
 
-    async def _run(self, headers: dict[bytes, bytes]) -> None:
+    async def _handle_request(self, headers: dict[bytes, bytes]) -> None:
         backend = self._backend
-        backend.running += 1
+        backend.running_requests += 1
         seconds = backend.service_seconds
-        backend.note_run(headers, self._parser.get_method())
-        left = find_left(self._target)
-        await self._work(seconds)
+        backend.count_run(headers, self._parser.get_method())
+        remaining_calls = parse_remaining_calls(self._target)
+        await self._simulate_work(seconds)
         try:
-            await backend.onward.call(left, headers)
+            await backend.chained_caller.call(remaining_calls, headers)
         except (OSError, EOFError):
             # As a server does that cannot do its part without the call.
-            self._answer(FAULTY, b'no answer to a call of its own')
+            self._send_response(SERVER_ERROR, b'no answer to a call of its own')
             return
-        if backend.draw(backend.spec.faults.close_share):
+        if backend.draw_fault(backend.spec.faults.close_share):
             self._transport.close()
         elif not backend.spec.faults.hang:
-            self._finish()
+            self._send_echo()
 
-    async def _work(self, seconds: float) -> None:
+    async def _simulate_work(self, seconds: float) -> None:
         try:
             await asyncio.sleep(seconds)
         except asyncio.CancelledError:
             self._backend.counts.cancelled += 1
             raise
         finally:
-            self._backend.running -= 1
+            self._backend.running_requests -= 1
 
-    def _finish(self) -> None:
+    def _send_echo(self) -> None:
         body = b'{"by":"%b","target":"%b","key":"%b","bytes":%d}' % (
             self._backend.spec.name.encode(),
             self._target,
-            self._headers.get(KEY_FIELD, b''),
+            self._headers.get(KEY_HEADER, b''),
             sum(map(len, self._body)),
         )
         if self._target.startswith(PHOTO_PREFIX):
             body += b'\xff' * int(self._target.rsplit(b'/', 1)[1])
         faults = self._backend.spec.faults
-        cut = self._backend.draw(faults.cut_share)
-        self._answer(
-            FAULTY if faults.error else OK,
+        cut = self._backend.draw_fault(faults.cut_share)
+        self._send_response(
+            SERVER_ERROR if faults.error else OK,
             body,
-            self._backend.write_words(),
+            self._backend.format_notices(),
             cut=cut,
         )
 
-    def _answer(
+    def _send_response(
         self,
         status: int,
         body: bytes,
@@ -365,8 +365,8 @@
 
 def main() -> None:
     """Serve the backend servers described on standard input."""
-    described: Any = json.decode(sys.stdin.read())
-    specs = convert(described, list[BackendSpec])
+    decoded_specs: Any = json.decode(sys.stdin.read())
+    specs = convert(decoded_specs, list[BackendSpec])
     asyncio.run(serve(specs))
 
 
--- a/standins/backend_thread.py
+++ b/standins/backend_thread.py
@@ -9,7 +9,7 @@
 from standins.backend import BackendFaults, BackendSpec, BackendStandIn
 from wagtaildale.testing.closing import Closing
 
-START_SECONDS: Final = 5.0
+TIMEOUT_SECONDS: Final = 5.0
 
 
 class BackendThread(Closing):
@@ -52,7 +52,7 @@
         self._listening = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
-        assert self._listening.wait(START_SECONDS)
+        assert self._listening.wait(TIMEOUT_SECONDS)
 
     @property
     def faults(self) -> BackendFaults:
@@ -62,7 +62,7 @@
     def close(self) -> None:
         """End it with all its connections."""
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(START_SECONDS)
+        self._thread.join(TIMEOUT_SECONDS)
 
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -19,23 +19,23 @@
 
 Address = tuple[str, int]
 
-KEY_FIELD: Final = 'X-Booking'
-OUTCOME_FIELD: Final = 'wagtaildale-outcome'
+KEY_HEADER: Final = 'X-Booking'
+OUTCOME_HEADER: Final = 'wagtaildale-outcome'
 MILLISECONDS: Final = 1000
 SERVER_ERROR: Final = 500
 TIMEOUT_SECONDS: Final = 30.0
-REFUSED_PAUSE: Final = 0.02
+RECONNECT_DELAY_SECONDS: Final = 0.02
 KEY_BITS: Final = 64
 
 
-class Work(Struct, frozen=True, kw_only=True):
+class WorkClass(Struct, frozen=True, kw_only=True):
     """One class of work as callers ask for it.
 
     Attributes:
         name: service and class.
         method: HTTP method.
         path: with ``{}`` for a number.
-        within_ms: the class's target.
+        target_ms: the class's target.
         idempotent: whether the class is.
         weight: how often it is asked for, among the others.
         body_bytes: size of the request's body.
@@ -44,13 +44,13 @@
     name: str
     method: str
     path: str
-    within_ms: int
+    target_ms: int
     idempotent: bool
     weight: int
     body_bytes: int = 0
 
 
-class WorkCounts(Struct, kw_only=True):
+class CallCounts(Struct, kw_only=True):
     """How the calls of one class ended, as callers saw it.
 
     Attributes:
@@ -75,19 +75,19 @@
     seconds: list[float] = field(default_factory=list)
     keys_not_run: list[str] = field(default_factory=list)
 
-    def note_answer(self, seconds: float, work: Work) -> None:
+    def count_answer(self, seconds: float, work_class: WorkClass) -> None:
         """Note a whole answer to its own request.
 
         Args:
             seconds: it took.
-            work: its class.
+            work_class: its class.
         """
         self.answered += 1
         self.seconds.append(seconds)
-        if seconds * MILLISECONDS <= work.within_ms:
+        if seconds * MILLISECONDS <= work_class.target_ms:
             self.in_time += 1
 
-    def add(self, other: WorkCounts) -> None:
+    def add(self, other: CallCounts) -> None:
         """Add another caller's counts.
 
         Args:
@@ -128,34 +128,38 @@
             seed: of the choices.
             latency_ms: one way to the data centres, added to each call.
         """
-        self.counts: dict[str, WorkCounts] = {}
+        self.counts: dict[str, CallCounts] = {}
         self._entries = entries
-        self._random = random.Random(seed)
-        self._latency = latency_ms / MILLISECONDS
+        self._random_generator = random.Random(seed)
+        self._latency_seconds = latency_ms / MILLISECONDS
         self._connection: HTTPConnection | None = None
 
-    def call(self, work: Work) -> None:
+    def call(self, work_class: WorkClass) -> None:
         """Send one request and judge what comes back.
 
         Args:
-            work: its class.
+            work_class: its class.
         """
-        counts = self.counts.setdefault(work.name, WorkCounts())
-        key = f'{self._random.getrandbits(KEY_BITS):x}'
-        path = work.path.format(self._random.randrange(MILLISECONDS))
+        counts = self.counts.setdefault(work_class.name, CallCounts())
+        key = f'{self._random_generator.getrandbits(KEY_BITS):x}'
+        path = work_class.path.format(
+            self._random_generator.randrange(MILLISECONDS)
+        )
         connection = self._connect()
         if connection is None:
             return
         counts.sent += 1
         started = time.perf_counter()
         try:
-            answer = self._exchange(connection, work, path, key)
+            answer = self._exchange(connection, work_class, path, key)
         except (OSError, HTTPException):
             counts.lost += 1
             self.close()
             return
         seconds = time.perf_counter() - started
-        self._judge(counts, work, answer, Echo(target=path, key=key), seconds)
+        self._count_outcome(
+            counts, work_class, answer, Echo(target=path, key=key), seconds
+        )
 
     def close(self) -> None:
         """Close the connection, if one is open."""
@@ -166,13 +170,13 @@
     def _connect(self) -> HTTPConnection | None:
         if self._connection is not None:
             return self._connection
-        address = self._random.choice(self._entries)
+        address = self._random_generator.choice(self._entries)
         connection = HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
         try:
             connection.connect()
         except OSError:
             # Nothing was sent: another entry is as good.
-            time.sleep(REFUSED_PAUSE)
+            time.sleep(RECONNECT_DELAY_SECONDS)
             return None
         self._connection = connection
         return connection
@@ -180,29 +184,29 @@
     def _exchange(
         self,
         connection: HTTPConnection,
-        work: Work,
+        work_class: WorkClass,
         path: str,
         key: str,
     ) -> _Answer:
-        time.sleep(self._latency)
-        body = bytes(work.body_bytes) if work.body_bytes else None
-        connection.request(work.method, path, body, {KEY_FIELD: key})
+        time.sleep(self._latency_seconds)
+        body = bytes(work_class.body_bytes) if work_class.body_bytes else None
+        connection.request(work_class.method, path, body, {KEY_HEADER: key})
         response = connection.getresponse()
         text = response.read()
-        time.sleep(self._latency)
+        time.sleep(self._latency_seconds)
         if response.will_close:
             self.close()
-        outcome = response.getheader(OUTCOME_FIELD, 'answered')
+        outcome = response.getheader(OUTCOME_HEADER, 'answered')
         return _Answer(
             status=response.status,
             outcome=outcome.partition(';')[0],
             text=text,
         )
 
-    def _judge(
+    def _count_outcome(
         self,
-        counts: WorkCounts,
-        work: Work,
+        counts: CallCounts,
+        work_class: WorkClass,
         answer: _Answer,
         expected: Echo,
         seconds: float,
@@ -215,7 +219,7 @@
         elif answer.is_from_backend and not answer.matches(expected):
             counts.wrong += 1
         else:
-            counts.note_answer(seconds, work)
+            counts.count_answer(seconds, work_class)
 
 
 class _Answer(Struct, kw_only=True):
@@ -246,7 +250,7 @@
         return echo == expected
 
 
-def sum_counts(callers: Sequence[Caller]) -> dict[str, WorkCounts]:
+def sum_counts(callers: Sequence[Caller]) -> dict[str, CallCounts]:
     """Add up what callers have counted.
 
     Args:
@@ -255,8 +259,8 @@
     Returns:
         By class.
     """
-    totals: dict[str, WorkCounts] = {}
+    totals: dict[str, CallCounts] = {}
     for caller in callers:
         for name, counts in caller.counts.items():
-            totals.setdefault(name, WorkCounts()).add(counts)
+            totals.setdefault(name, CallCounts()).add(counts)
     return totals
--- a/standins/onward.py
+++ b/standins/chained_calls.py
@@ -6,19 +6,19 @@
 from typing import Final
 
 CHAIN_PREFIX: Final = b'/chain/'
-LENGTH: Final = b'content-length:'
+CONTENT_LENGTH: Final = b'content-length:'
 HEAD_END: Final = b'\r\n\r\n'
 # A backend server copies these onto the calls that it makes.
-CONTEXT: Final = (
+CONTEXT_HEADERS: Final = (
     b'wagtaildale-deadline-ms',
     b'wagtaildale-depth',
     b'wagtaildale-retries',
 )
 
-Line = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-def find_left(target: bytes) -> int:
+def parse_remaining_calls(target: bytes) -> int:
     """Find how many calls are still to follow.
 
     Args:
@@ -32,7 +32,7 @@
     return int(target.removeprefix(CHAIN_PREFIX))
 
 
-class Onward:
+class ChainedCaller:
     """Kept-alive connections to the node beside a backend server."""
 
     def __init__(self, host: str, port: int) -> None:
@@ -44,42 +44,44 @@
         """
         self._host = host
         self._port = port
-        self._idle: list[Line] = []
+        self._idle: list[Connection] = []
 
-    async def call(self, left: int, headers: dict[bytes, bytes]) -> None:
+    async def call(
+        self, remaining_calls: int, headers: dict[bytes, bytes]
+    ) -> None:
         """Make the next call of a chain, if one is to follow.
 
         Args:
-            left: calls that are still to follow.
+            remaining_calls: calls that are still to follow.
             headers: of the request that leads to it.
 
         Raises:
             OSError: when the node cannot be reached.
             EOFError: when it closes without an answer.
         """
-        if not left:
+        if not remaining_calls:
             return
-        line = self._idle.pop() if self._idle else await self._open()
-        reader, writer = line
+        connection = self._idle.pop() if self._idle else await self._open()
+        reader, writer = connection
         context = b''.join(
             b'%b: %b\r\n' % (name, headers[name])
-            for name in CONTEXT
+            for name in CONTEXT_HEADERS
             if name in headers
         )
         writer.write(
             b'GET /chain/%d HTTP/1.1\r\nhost: mesh\r\n%b\r\n'
-            % (left - 1, context),
+            % (remaining_calls - 1, context),
         )
         head = await reader.readuntil(HEAD_END)
-        await reader.readexactly(_find_length(head))
-        self._idle.append(line)
+        await reader.readexactly(_parse_content_length(head))
+        self._idle.append(connection)
 
-    async def _open(self) -> Line:
+    async def _open(self) -> Connection:
         return await asyncio.open_connection(self._host, self._port)
 
 
-def _find_length(head: bytes) -> int:
-    for field in head.lower().split(b'\r\n'):
-        if field.startswith(LENGTH):
-            return int(field.removeprefix(LENGTH))
+def _parse_content_length(head: bytes) -> int:
+    for header in head.lower().split(b'\r\n'):
+        if header.startswith(CONTENT_LENGTH):
+            return int(header.removeprefix(CONTENT_LENGTH))
     return 0
--- a/standins/client.py
+++ b/standins/client.py
@@ -8,25 +8,25 @@
 
 from msgspec import MsgspecError, json
 
-Shape = TypeVar('Shape')
+DocumentType = TypeVar('DocumentType')
 
-SECONDS: Final = 3.0
+TIMEOUT_SECONDS: Final = 3.0
 OK: Final = 200
 
 
 def read_json(
     address: tuple[str, int],
     path: str,
-    shape: type[Shape],
+    document_type: type[DocumentType],
     *,
     body: bytes | None = None,
-) -> Shape | None:
+) -> DocumentType | None:
     """Read one JSON document.
 
     Args:
         address: IP number and port.
         path: with the query.
-        shape: what it becomes.
+        document_type: what it becomes.
         body: sent by POST if given.
 
     Returns:
@@ -37,13 +37,15 @@
     except (OSError, HTTPException):
         return None
     try:
-        return json.decode(text, type=shape)
+        return json.decode(text, type=document_type)
     except MsgspecError:
         return None
 
 
 def _fetch(address: tuple[str, int], path: str, body: bytes | None) -> bytes:
-    with closing(HTTPConnection(*address, timeout=SECONDS)) as connection:
+    with closing(
+        HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
+    ) as connection:
         connection.request('GET' if body is None else 'POST', path, body)
         response = connection.getresponse()
         return response.read() if response.status == OK else b''
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -41,14 +41,14 @@
 ADMIN_PORT: Final = 8083
 BACKEND_PORT: Final = 8090
 NODES_PER_NETWORK: Final = 200
-SEEDS: Final = 3
-START_SECONDS: Final = 60.0
-STOP_SECONDS: Final = 15.0
-LOOK_SECONDS: Final = 0.05
-TAIL: Final = 2000
+SEED_NODES: Final = 3
+START_TIMEOUT_SECONDS: Final = 60.0
+STOP_TIMEOUT_SECONDS: Final = 15.0
+POLL_SECONDS: Final = 0.05
+LOG_TAIL_CHARACTERS: Final = 2000
 
 
-class AddressTakenError(Exception):
+class AddressInUseError(Exception):
     """Somebody else listens where a fleet would."""
 
 
@@ -74,8 +74,8 @@
         backend: how the backend servers behave.
         program: module that runs a node.
         log_level: of the nodes.
-        arguments: more arguments for each node.
-        more_settings: TOML that is added to each node's settings.
+        extra_arguments: more arguments for each node.
+        extra_settings: TOML that is added to each node's settings.
         network: third part of the first instance's IP number.
     """
 
@@ -83,8 +83,8 @@
     backend: BackendFaults = field(default_factory=BackendFaults)
     program: str = 'wagtaildale.daemon'
     log_level: str = 'info'
-    arguments: tuple[str, ...] = ()
-    more_settings: str = ''
+    extra_arguments: tuple[str, ...] = ()
+    extra_settings: str = ''
     network: int = 1
 
 
@@ -110,7 +110,7 @@
             options: which program, and its arguments.
         """
         command = [sys.executable, '-m', options.program]
-        command += ['--settings', str(self.settings), *options.arguments]
+        command += ['--settings', str(self.settings), *options.extra_arguments]
         with self.log_path.open('ab') as log:
             self.process = subprocess.Popen(command, stderr=log, stdout=log)
 
@@ -150,7 +150,7 @@
         """
         assert self.process is not None
         try:
-            return self.process.wait(STOP_SECONDS)
+            return self.process.wait(STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             self.kill()
             return self.process.returncode
@@ -181,8 +181,8 @@
             options: how it is started.
         """
         self.options = options or FleetOptions()
-        self.records = _place(placement, self.options.network)
-        _check_free(self.records)
+        self.records = _make_records(placement, self.options.network)
+        _check_addresses(self.records)
         self.folder = Path(tempfile.mkdtemp(prefix='wagtaildale-'))
         self.platform = PlatformStandIn('127.0.0.1', 0)
         self.nodes = [
@@ -201,14 +201,14 @@
             TimeoutError: when a node is not ready in a minute.
         """
         self.platform.publish(compiled)
-        self.list_now()
+        self.publish_instances()
         self.start_backends()
         for node in self.nodes:
             self.write_settings(node)
             node.start(self.options)
         self.wait_ready(self.nodes)
 
-    def list_now(self, *, leaving: Collection[str] = ()) -> None:
+    def publish_instances(self, *, leaving: Collection[str] = ()) -> None:
         """List the instances as they are at the platform.
 
         Args:
@@ -221,7 +221,7 @@
             else record
             for record in self.records
         )
-        self.platform.list_instances(self.list_index, listed)
+        self.platform.publish_instances(self.list_index, listed)
 
     def start_backends(self) -> None:
         """Start the process of the backend servers, and wait for it."""
@@ -240,7 +240,7 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        _feed(process.stdin, json.encode(specs))
+        _write_input(process.stdin, json.encode(specs))
         assert process.stdout is not None
         process.stdout.readline()
         self._backends.append(process)
@@ -254,13 +254,13 @@
         Raises:
             TimeoutError: when one is not in a minute.
         """
-        deadline = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         for node in nodes:
             while not self._is_ready(node):
                 if time.monotonic() > deadline or not node.is_running():
-                    tail = node.log_path.read_text()[-TAIL:]
+                    tail = node.log_path.read_text()[-LOG_TAIL_CHARACTERS:]
                     raise TimeoutError(f'{node.record.instance}: {tail}')
-                time.sleep(LOOK_SECONDS)
+                time.sleep(POLL_SECONDS)
 
     def close(self) -> None:
         """End every process that was started."""
@@ -281,7 +281,7 @@
         record = node.record
         seeds = [
             other.control_address
-            for other in self.records[: SEEDS + 1]
+            for other in self.records[: SEED_NODES + 1]
             if other.instance != record.instance
         ]
         node.settings.write_text(
@@ -310,7 +310,7 @@
 
 [log]
 level = "{self.options.log_level}"
-{self.options.more_settings}
+{self.options.extra_settings}
 """,
         )
 
@@ -319,19 +319,19 @@
         return report is not None and report.state == 'ready'
 
 
-def _place(placement: Placement, network: int) -> list[InstanceRecord]:
+def _make_records(placement: Placement, network: int) -> list[InstanceRecord]:
     records: list[InstanceRecord] = []
     for service, count in placement.services.items():
         for number in range(count):
-            place = len(records)
+            position = len(records)
             names = placement.data_centres
             records.append(
                 InstanceRecord(
                     instance=InstanceId(f'{service}-{number + 1}'),
                     service=ServiceName(service),
-                    data_centre=DataCentre(names[place % len(names)]),
+                    data_centre=DataCentre(names[position % len(names)]),
                     region=Region(placement.region),
-                    host=_find_host(place, network),
+                    host=_make_host(position, network),
                     entry_port=ENTRY_PORT,
                     owner_port=OWNER_PORT,
                     control_port=CONTROL_PORT,
@@ -341,12 +341,12 @@
     return records
 
 
-def _find_host(place: int, first: int) -> str:
-    network, number = divmod(place, NODES_PER_NETWORK)
+def _make_host(position: int, first: int) -> str:
+    network, number = divmod(position, NODES_PER_NETWORK)
     return f'127.0.{first + network}.{number + 1}'
 
 
-def _check_free(records: list[InstanceRecord]) -> None:
+def _check_addresses(records: list[InstanceRecord]) -> None:
     """Check that a fleet's addresses are free.
 
     Failure guarded here: two runs have the same addresses, nodes of one find
@@ -356,12 +356,12 @@
         records: of the fleet's instances.
 
     Raises:
-        AddressTakenError: with the first address that is taken.
+        AddressInUseError: with the first address that is taken.
     """
     for record in records:
         for port in _list_ports(record):
-            if _is_taken(record.host, port):
-                raise AddressTakenError(f'{record.host}:{port} is taken')
+            if _is_in_use(record.host, port):
+                raise AddressInUseError(f'{record.host}:{port} is taken')
 
 
 def _list_ports(record: InstanceRecord) -> tuple[int, ...]:
@@ -374,7 +374,7 @@
     )
 
 
-def _is_taken(host: str, port: int) -> bool:
+def _is_in_use(host: str, port: int) -> bool:
     with closing(socket.socket(socket.AF_INET, socket.SOCK_STREAM)) as sock:
         # As the nodes bind: connections of an earlier run that are still
         # being closed take no address.
@@ -388,7 +388,7 @@
     return False
 
 
-def _feed(stream: IO[Any] | None, text: bytes) -> None:
+def _write_input(stream: IO[Any] | None, text: bytes) -> None:
     assert stream is not None
     stream.write(text)
     stream.close()
--- a/standins/judge.py
+++ b/standins/invariants.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from standins.caller import WorkCounts
+    from standins.caller import CallCounts
 
 
 class Verdict(Struct, frozen=True, kw_only=True):
@@ -34,15 +34,15 @@
     broken: int
 
     @property
-    def is_good(self) -> bool:
+    def has_passed(self) -> bool:
         """Whether nothing broke."""
         return not (self.twice or self.lied or self.wrong or self.broken)
 
 
-def judge(
+def check_invariants(
     fleet: Fleet,
     *,
-    counts: dict[str, WorkCounts],
+    counts: dict[str, CallCounts],
 ) -> Verdict:
     """Judge a run by the backend servers' own counts.
 
@@ -54,13 +54,17 @@
         What was found.
     """
     runs = count_runs(fleet)
-    not_run = [key for tally in counts.values() for key in tally.keys_not_run]
-    keys = _list_single_runs(fleet)
+    not_run = [
+        key
+        for call_counts in counts.values()
+        for key in call_counts.keys_not_run
+    ]
+    keys = _list_non_idempotent_runs(fleet)
     return Verdict(
         twice=sum(1 for count in keys if count > 1),
         lied=sum(1 for key in not_run if key in runs),
-        wrong=sum(tally.wrong for tally in counts.values()),
-        broken=_count_broken(fleet),
+        wrong=sum(call_counts.wrong for call_counts in counts.values()),
+        broken=_count_broken_invariants(fleet),
     )
 
 
@@ -74,7 +78,7 @@
         By key.
     """
     runs: dict[str, int] = {}
-    for counts in _read_backends(fleet):
+    for counts in _read_backend_counts(fleet):
         for key, count in counts.by_key.items():
             runs[key] = runs.get(key, 0) + count
     return runs
@@ -102,7 +106,7 @@
     return event.stamp, event.node
 
 
-def _read_backends(fleet: Fleet) -> list[BackendCounts]:
+def _read_backend_counts(fleet: Fleet) -> list[BackendCounts]:
     found = (
         read_json(
             (record.host, BACKEND_PORT),
@@ -114,15 +118,15 @@
     return [counts for counts in found if counts is not None]
 
 
-def _list_single_runs(fleet: Fleet) -> list[int]:
+def _list_non_idempotent_runs(fleet: Fleet) -> list[int]:
     totals: dict[str, int] = {}
-    for counts in _read_backends(fleet):
+    for counts in _read_backend_counts(fleet):
         for key, count in counts.by_single_key.items():
             totals[key] = totals.get(key, 0) + count
     return list(totals.values())
 
 
-def _count_broken(fleet: Fleet) -> int:
+def _count_broken_invariants(fleet: Fleet) -> int:
     broken = EventKind.invariant_broken
     logged = sum(
         node.log_path.read_text().count(f'kind={broken.value}')
--- a/standins/load.py
+++ b/standins/load.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from standins.caller import Caller, Work, WorkCounts, sum_counts
+from standins.caller import Caller, WorkClass, CallCounts, sum_counts
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -29,14 +29,14 @@
         seed: of all choices.
     """
 
-    mix: tuple[Work, ...]
+    mix: tuple[WorkClass, ...]
     callers: int
     calls_per_second: float
     latency_ms: float = 0
     seed: int = 1
 
 
-STOP_SECONDS: Final = 60.0
+STOP_TIMEOUT_SECONDS: Final = 60.0
 
 
 class Load:
@@ -62,11 +62,11 @@
         ]
         self._executor = ThreadPoolExecutor(plan.callers)
         self._futures = [
-            self._executor.submit(self._work, caller, plan.seed + number)
+            self._executor.submit(self._run_caller, caller, plan.seed + number)
             for number, caller in enumerate(self._callers)
         ]
 
-    def count(self) -> dict[str, WorkCounts]:
+    def count(self) -> dict[str, CallCounts]:
         """Add up the counts so far.
 
         Returns:
@@ -74,14 +74,14 @@
         """
         return sum_counts(self._callers)
 
-    def stop(self) -> dict[str, WorkCounts]:
+    def stop(self) -> dict[str, CallCounts]:
         """End the load after the calls under way.
 
         Returns:
             All counts, by class.
         """
         self._stopping.set()
-        wait(self._futures, timeout=STOP_SECONDS)
+        wait(self._futures, timeout=STOP_TIMEOUT_SECONDS)
         self._executor.shutdown(wait=False)
         for caller in self._callers:
             caller.close()
@@ -89,14 +89,14 @@
             future.result()
         return self.count()
 
-    def _work(self, caller: Caller, seed: int) -> None:
-        chooser = random.Random(seed)
-        weights = [work.weight for work in self._plan.mix]
-        gap = self._plan.callers / self._plan.calls_per_second
-        due = time.monotonic() + chooser.uniform(0, gap)
+    def _run_caller(self, caller: Caller, seed: int) -> None:
+        random_generator = random.Random(seed)
+        weights = [work_class.weight for work_class in self._plan.mix]
+        mean_gap = self._plan.callers / self._plan.calls_per_second
+        due = time.monotonic() + random_generator.uniform(0, mean_gap)
         while not self._stopping.is_set():
-            pause = due - time.monotonic()
-            if pause > 0:
-                self._stopping.wait(pause)
-            due += gap * chooser.uniform(0, 2)
-            caller.call(chooser.choices(self._plan.mix, weights)[0])
+            delay = due - time.monotonic()
+            if delay > 0:
+                self._stopping.wait(delay)
+            due += mean_gap * random_generator.uniform(0, 2)
+            caller.call(random_generator.choices(self._plan.mix, weights)[0])
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -24,19 +24,19 @@
     from wagtaildale.membership.records import InstanceRecord
 
 MANIFEST_PATH: Final = '/v1/kv/wagtaildale/manifest'
-PARTS: Final = '/v1/kv/wagtaildale/parts/'
-INSTANCES: Final = '/v1/instances'
-LARGEST_VALUE: Final = 1_000_000
+PARTS_PREFIX: Final = '/v1/kv/wagtaildale/parts/'
+INSTANCES_PATH: Final = '/v1/instances'
+LARGEST_VALUE_BYTES: Final = 1_000_000
 MILLISECONDS: Final = 1000
 OK: Final = 200
-SAME: Final = 304
-MISSING: Final = 404
-TOO_MANY: Final = 429
-DOWN: Final = 503
-POLL_SECONDS: Final = 0.02
+NOT_MODIFIED: Final = 304
+NOT_FOUND: Final = 404
+TOO_MANY_REQUESTS: Final = 429
+UNAVAILABLE: Final = 503
+SHUTDOWN_POLL_SECONDS: Final = 0.02
 
 
-class Entry(Struct, frozen=True, kw_only=True):
+class StoredValue(Struct, frozen=True, kw_only=True):
     """A published value.
 
     Attributes:
@@ -48,42 +48,42 @@
     body: bytes
 
 
-class Faults(Struct, kw_only=True):
+class PlatformFaults(Struct, kw_only=True):
     """What is wrong with the platform; tests set these.
 
     Attributes:
         down: every read is answered with 503.
-        delay: seconds before each answer.
+        delay_seconds: seconds before each answer.
         frozen: reads give what was published before the freeze.
         half: answers are cut in the middle.
         reads_per_second: more than these are refused with 429; 0 for any.
-        list_lag: seconds until a change of the instance list is seen.
+        list_lag_seconds: seconds until a change of the instance list is seen.
         missing_parts: parts are answered with 404.
     """
 
     down: bool = False
-    delay: float = 0
+    delay_seconds: float = 0
     frozen: bool = False
     half: bool = False
     reads_per_second: int = 0
-    list_lag: float = 0
+    list_lag_seconds: float = 0
     missing_parts: bool = False
 
 
-class Counts(Struct, kw_only=True):
+class PlatformCounts(Struct, kw_only=True):
     """What was asked of the platform.
 
     Attributes:
         reads: all calls, a waiting watch counting as one.
         refused: of these, refused over the rate.
-        waiting: watches that wait now.
+        waiting_watches: watches that wait now.
         answered_bytes: bodies sent.
         by_second: reads by second of the monotonic clock.
     """
 
     reads: int = 0
     refused: int = 0
-    waiting: int = 0
+    waiting_watches: int = 0
     answered_bytes: int = 0
     by_second: dict[int, int] = field(default_factory=dict)
 
@@ -104,16 +104,16 @@
             host: IP number.
             port: 0 for any that is free.
         """
-        self.faults = Faults()
-        self.counts = Counts()
-        self._entries: dict[str, Entry] = {}
+        self.faults = PlatformFaults()
+        self.counts = PlatformCounts()
+        self._stored_values: dict[str, StoredValue] = {}
         self._index = 1
         self._changed = threading.Condition()
-        self._server = _Server((host, port), _Reader)
+        self._server = _Server((host, port), _RequestHandler)
         self._server.standin = self
         self._thread = threading.Thread(
             target=self._server.serve_forever,
-            args=(POLL_SECONDS,),
+            args=(SHUTDOWN_POLL_SECONDS,),
             daemon=True,
         )
         self._thread.start()
@@ -131,10 +131,10 @@
             compiled: manifest and parts.
         """
         for blob in compiled.parts.values():
-            self.put(f'{PARTS}{hash_part(blob).hex()}', blob)
+            self.put(f'{PARTS_PREFIX}{hash_part(blob).hex()}', blob)
         self.put(MANIFEST_PATH, json.encode(compiled.manifest))
 
-    def list_instances(
+    def publish_instances(
         self,
         index: int,
         instances: tuple[InstanceRecord, ...],
@@ -147,13 +147,13 @@
         """
         listing = InstanceList(index=index, instances=instances)
         body = json.encode(listing)
-        if not self.faults.list_lag:
-            self.put(INSTANCES, body)
+        if not self.faults.list_lag_seconds:
+            self.put(INSTANCES_PATH, body)
             return
         timer = threading.Timer(
-            self.faults.list_lag,
+            self.faults.list_lag_seconds,
             self.put,
-            (INSTANCES, body),
+            (INSTANCES_PATH, body),
         )
         timer.daemon = True
         timer.start()
@@ -168,23 +168,27 @@
         Raises:
             ValueError: for a larger one.
         """
-        if len(body) > LARGEST_VALUE:
-            raise ValueError(f'got {len(body)} bytes, {LARGEST_VALUE} at most')
+        if len(body) > LARGEST_VALUE_BYTES:
+            raise ValueError(
+                f'got {len(body)} bytes, {LARGEST_VALUE_BYTES} at most'
+            )
         with self._changed:
             self._index += 1
-            self._entries[key] = Entry(index=self._index, body=body)
+            self._stored_values[key] = StoredValue(index=self._index, body=body)
             self._changed.notify_all()
 
     def reset_index(self) -> None:
         """Begin to count anew, as after a restart of the platform."""
         with self._changed:
             self._index = 1
-            self._entries = {
-                key: Entry(index=1, body=entry.body)
-                for key, entry in self._entries.items()
+            self._stored_values = {
+                key: StoredValue(index=1, body=stored.body)
+                for key, stored in self._stored_values.items()
             }
 
-    def find(self, key: str, index: int, wait: float) -> Entry | None:
+    def wait_for_value(
+        self, key: str, index: int, wait: float
+    ) -> StoredValue | None:
         """Find a value, waiting until it is past an index.
 
         Args:
@@ -197,16 +201,16 @@
         """
         deadline = time.monotonic() + wait
         with self._changed:
-            self.counts.waiting += 1
-            entry = self._entries.get(key)
-            while index and entry and entry.index <= index:
-                rest = deadline - time.monotonic()
-                if rest <= 0 or not self._changed.wait(rest):
+            self.counts.waiting_watches += 1
+            stored = self._stored_values.get(key)
+            while index and stored and stored.index <= index:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0 or not self._changed.wait(remaining):
                     break
                 if not self.faults.frozen:
-                    entry = self._entries.get(key)
-            self.counts.waiting -= 1
-        return entry
+                    stored = self._stored_values.get(key)
+            self.counts.waiting_watches -= 1
+        return stored
 
     def count_read(self) -> bool:
         """Count a read.
@@ -242,7 +246,7 @@
         """Say nothing: readers are killed in the middle of reads."""
 
 
-class _Reader(BaseHTTPRequestHandler):
+class _RequestHandler(BaseHTTPRequestHandler):
     """Answers one connection's reads."""
 
     protocol_version = 'HTTP/1.1'
@@ -253,14 +257,14 @@
         """Answer a read."""
         standin = self._standin
         within_rate = standin.count_read()
-        if standin.faults.delay:
-            time.sleep(standin.faults.delay)
+        if standin.faults.delay_seconds:
+            time.sleep(standin.faults.delay_seconds)
         if standin.faults.down:
-            self._answer(DOWN, 0, b'')
+            self._answer(UNAVAILABLE, 0, b'')
         elif within_rate:
-            self._read()
+            self._answer_read()
         else:
-            self._answer(TOO_MANY, 0, b'')
+            self._answer(TOO_MANY_REQUESTS, 0, b'')
 
     def log_message(self, *_args: Any) -> None:
         """Log nothing."""
@@ -270,21 +274,23 @@
         assert isinstance(self.server, _Server)
         return self.server.standin
 
-    def _read(self) -> None:
+    def _answer_read(self) -> None:
         url = urlsplit(self.path)
         query = parse_qs(url.query)
         index = int(query.get('index', ['0'])[0])
         wait = int(query.get('wait', ['0ms'])[0].removesuffix('ms'))
         hidden = self._standin.faults.missing_parts
-        entry = self._standin.find(url.path, index, wait / MILLISECONDS)
-        if entry is None:
-            self._answer(MISSING, 1, b'')
-        elif hidden and url.path.startswith(PARTS):
-            self._answer(MISSING, 1, b'')
-        elif index and entry.index == index:
-            self._answer(SAME, entry.index, b'')
+        stored = self._standin.wait_for_value(
+            url.path, index, wait / MILLISECONDS
+        )
+        if stored is None:
+            self._answer(NOT_FOUND, 1, b'')
+        elif hidden and url.path.startswith(PARTS_PREFIX):
+            self._answer(NOT_FOUND, 1, b'')
+        elif index and stored.index == index:
+            self._answer(NOT_MODIFIED, stored.index, b'')
         else:
-            self._answer(OK, entry.index, entry.body)
+            self._answer(OK, stored.index, stored.body)
 
     def _answer(self, status: int, index: int, body: bytes) -> None:
         self.send_response(status)
--- a/standins/tests/asking.py
+++ b/standins/tests/node_client.py
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from standins.fleet import NodeProcess
 
-PATIENCE: Final = 20.0
+TIMEOUT_SECONDS: Final = 20.0
 
 
-def ask(node: NodeProcess, path: str) -> int:
+def send_lookup(node: NodeProcess, path: str) -> int:
     """Send a lookup to a node and give the status of its answer."""
     address = (node.record.host, node.record.entry_port)
-    connection = HTTPConnection(*address, timeout=PATIENCE)
+    connection = HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
     connection.request('GET', path)
     status = connection.getresponse().status
     connection.close()
@@ -30,9 +30,9 @@
 def read_counts(node: NodeProcess) -> BackendCounts:
     """Read what the server beside a node has seen, once it answers."""
     address = (node.record.host, BACKEND_PORT)
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < deadline:
-        connection = HTTPConnection(*address, timeout=PATIENCE)
+        connection = HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
         try:
             connection.request('GET', '/standin/counts')
         except ConnectionRefusedError:
--- a/standins/tests/test_harmful.py
+++ b/standins/tests/test_crashing_requests.py
@@ -12,7 +12,7 @@
 
 from standins.backend import BackendFaults
 from standins.fleet import Fleet, FleetOptions, Placement
-from standins.tests.asking import PATIENCE, ask, read_counts
+from standins.tests.node_client import TIMEOUT_SECONDS, send_lookup, read_counts
 from wagtaildale.cli.main import main
 from wagtaildale.testing.builders import build_compiled
 
@@ -24,10 +24,10 @@
     from standins.fleet import NodeProcess
 
 NETWORK: Final = 45
-DEADLY: Final = '/files/deadly'
-ENDED: Final = 'servers ended'
-VISITS: Final = 12
-ENDS_BORNE: Final = 6
+CRASH_PATH: Final = '/files/deadly'
+CRASH_REASON: Final = 'servers ended'
+LOOKUPS: Final = 12
+CRASHES_ALLOWED: Final = 6
 PLACEMENT: Final = Placement(
     region='midlands',
     data_centres=('derby', 'coventry'),
@@ -39,76 +39,80 @@
 def fleet() -> Iterator[Fleet]:
     options = FleetOptions(
         network=NETWORK,
-        backend=BackendFaults(ends_under=DEADLY),
+        backend=BackendFaults(ends_under=CRASH_PATH),
     )
     with Fleet(PLACEMENT, options=options) as started:
         started.start(build_compiled(1))
         yield started
 
 
-def count_ends(fleet: Fleet) -> int:
+def count_crashes(fleet: Fleet) -> int:
     return sum(read_counts(node).ends for node in fleet.nodes)
 
 
-def show(node: NodeProcess, *arguments: str) -> Result:
+def run_suspects_command(node: NodeProcess, *arguments: str) -> Result:
     address = f'{node.record.host}:{node.record.admin_port}'
     command = ['suspects', '--node', address, *arguments]
     return CliRunner().invoke(main, command)
 
 
-def is_held_back(node: NodeProcess) -> bool:
+def is_refused(node: NodeProcess) -> bool:
     # Harmful, or about to be tried once more.
-    return ENDED in show(node).output
+    return CRASH_REASON in run_suspects_command(node).output
 
 
-def is_not_held_back(node: NodeProcess) -> bool:
-    return not is_held_back(node)
+def is_not_refused(node: NodeProcess) -> bool:
+    return not is_refused(node)
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline
         time.sleep(0.05)
 
 
-def test_request_at_all_nodes_ends_few_servers(
+def test_retried_request_crashes_few_servers(
     fleet: Fleet,
 ) -> None:
     """One caller ends the servers of a service again and again."""
-    for visit in range(VISITS):
-        ask(fleet.nodes[visit % len(fleet.nodes)], DEADLY)
-    assert count_ends(fleet) <= ENDS_BORNE
+    for number in range(LOOKUPS):
+        send_lookup(fleet.nodes[number % len(fleet.nodes)], CRASH_PATH)
+    assert count_crashes(fleet) <= CRASHES_ALLOWED
     for node in fleet.nodes:
-        wait_until(partial(is_held_back, node))
-        assert ask(node, '/files/1') == 200
+        wait_until(partial(is_refused, node))
+        assert send_lookup(node, '/files/1') == 200
 
 
-def test_node_that_starts_again_is_told(fleet: Fleet) -> None:
+def test_restarted_node_learns_crashing_requests(fleet: Fleet) -> None:
     """A request comes to a node that was not there when servers ended."""
-    before = count_ends(fleet)
+    before = count_crashes(fleet)
     node = fleet.nodes[0]
     node.kill()
     node.start(fleet.options)
     fleet.wait_ready([node])
-    wait_until(partial(is_held_back, node))
-    ask(node, DEADLY)
-    assert count_ends(fleet) <= before + 1
+    wait_until(partial(is_refused, node))
+    send_lookup(node, CRASH_PATH)
+    assert count_crashes(fleet) <= before + 1
 
 
-def test_operators_let_a_request_run_again(fleet: Fleet) -> None:
+def test_cleared_request_runs_again(fleet: Fleet) -> None:
     """A server was mended, and its callers are refused for an hour."""
-    shown = json.decode(show(fleet.nodes[0], '--output', 'json').stdout)
+    shown = json.decode(
+        run_suspects_command(fleet.nodes[0], '--output', 'json').stdout
+    )
     fingerprint = shown['suspects'][0]['fingerprint']
-    cleared = show(fleet.nodes[1], '--clear', fingerprint)
+    cleared = run_suspects_command(fleet.nodes[1], '--clear', fingerprint)
     assert cleared.exit_code == 0, cleared.output
     assert 'cleared' in cleared.stdout
     for node in fleet.nodes:
-        wait_until(partial(is_not_held_back, node))
+        wait_until(partial(is_not_refused, node))
 
 
-@pytest.mark.parametrize('named', ['00', 'x', ''])
-def test_unknown_fingerprint_is_a_fault(fleet: Fleet, named: str) -> None:
-    outcome = show(fleet.nodes[0], '--clear', named)
+@pytest.mark.parametrize('fingerprint', ['00', 'x', ''])
+def test_unknown_fingerprint_is_an_error(
+    fleet: Fleet, fingerprint: str
+) -> None:
+    outcome = run_suspects_command(fleet.nodes[0], '--clear', fingerprint)
     assert outcome.exit_code == 1
     assert 'E6003' in outcome.output
--- a/standins/tests/test_fleet.py
+++ b/standins/tests/test_fleet.py
@@ -13,7 +13,7 @@
 from demo.deployments import DEPLOYMENTS
 from standins.fleet import (
     ADMIN_PORT,
-    AddressTakenError,
+    AddressInUseError,
     Fleet,
     FleetOptions,
     Placement,
@@ -23,7 +23,7 @@
     from collections.abc import Iterator
 
 NETWORK: Final = 43
-TAKEN: Final = (f'127.0.{NETWORK}.2', ADMIN_PORT)
+USED_ADDRESS: Final = (f'127.0.{NETWORK}.2', ADMIN_PORT)
 DEMO_HOST: Final = '127.0.1.1'
 PLACEMENT: Final = Placement(
     region='midlands',
@@ -33,7 +33,7 @@
 
 
 @pytest.fixture
-def another_run() -> Iterator[None]:
+def occupied_demo_address() -> Iterator[None]:
     """Take an address of the demonstration, if no other run has it."""
     with ExitStack() as stack:
         with suppress(OSError):
@@ -41,20 +41,22 @@
         yield
 
 
-def test_fleet_beside_another_is_not_started() -> None:
+def test_fleet_does_not_start_on_used_addresses() -> None:
     """Two runs share addresses: nodes of one serve the callers of the other.
 
     The second run finds an address taken before it starts anything.
     """
-    with socket.create_server(TAKEN):
-        with pytest.raises(AddressTakenError, match=f'{TAKEN[0]}:{TAKEN[1]}'):
+    with socket.create_server(USED_ADDRESS):
+        with pytest.raises(
+            AddressInUseError, match=f'{USED_ADDRESS[0]}:{USED_ADDRESS[1]}'
+        ):
             Fleet(PLACEMENT, options=FleetOptions(network=NETWORK))
     Fleet(PLACEMENT, options=FleetOptions(network=NETWORK)).close()
 
 
 @pytest.mark.parametrize('deployment', DEPLOYMENTS)
-def test_demonstration_beside_another_run_says_so(
-    another_run: None,
+def test_demonstration_reports_used_addresses(
+    occupied_demo_address: None,
     deployment: str,
 ) -> None:
     """A user starts the demonstration twice and reads a traceback.
@@ -62,8 +64,8 @@
     Both runs use the same addresses. The nodes of the two mixed, no node
     held the last version, and a third of the calls did not run.
     """
-    told = CliRunner().invoke(main, ['--deployment', deployment])
-    assert told.exit_code not in {0, 1}
-    assert len(told.output.splitlines()) == 1
-    assert f'{DEMO_HOST}:' in told.output
-    assert 'make demo' in told.output
+    outcome = CliRunner().invoke(main, ['--deployment', deployment])
+    assert outcome.exit_code not in {0, 1}
+    assert len(outcome.output.splitlines()) == 1
+    assert f'{DEMO_HOST}:' in outcome.output
+    assert 'make demo' in outcome.output
--- a/wagtaildale/source/tests/test_http.py
+++ b/wagtaildale/source/tests/test_http.py
@@ -23,7 +23,7 @@
 def platform() -> Iterator[PlatformStandIn]:
     standin = PlatformStandIn('127.0.0.1', 0)
     standin.publish(build_compiled(1))
-    standin.list_instances(1, (build_record('a'),))
+    standin.publish_instances(1, (build_record('a'),))
     yield standin
     standin.close()
 
