--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, for tests and the demo only."""
+"""Stand-ins of external systems, for tests, benchmarks and the demo."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,9 +1,9 @@
 """Stand-in of backend servers: one process serves any number of them.
 
-Each listens on an address of its own and runs ``slots`` requests at once;
-more are shed with 503. ``GET /standin/counts`` tells what has run, and
-``POST /standin/faults`` sets what is wrong, on the backend server's own
-address.
+Each listens on its own address and runs up to ``slots`` requests at once;
+further requests are shed with 503. On the same address,
+``GET /standin/counts`` returns what has run and ``POST /standin/faults``
+sets the faults to simulate.
 """
 
 from __future__ import annotations
@@ -31,24 +31,24 @@
 
 
 class BackendFaults(Struct, kw_only=True):
-    """How a backend server behaves; tests set these.
+    """How a backend server behaves; set by tests.
 
     Attributes:
-        service_ms: time that a request takes.
-        slots: requests that run at once; more are shed.
-        cold_ms: added to each request while the server is cold.
-        cold_requests: requests until it is warm.
-        cut_share: share of answers that are cut in the middle.
-        close_share: share of requests after which it closes the
-            connection without an answer, though the request has run.
-        error: requests run and are answered with an error.
-        hang: requests get no answer.
-        draining: new requests are shed.
-        ends_under: path of the requests under which it ends; empty for none.
-        down_ms: until it is back.
-        rate_limit: requests a second that it names in its answers; negative
-            for none.
-        leaving: it says in its answers that it leaves.
+        service_ms: processing time of a request.
+        slots: requests that run at once; further ones are shed.
+        cold_ms: extra processing time while the server is cold.
+        cold_requests: number of requests until the server is warm.
+        cut_share: share of responses that are truncated.
+        close_share: share of requests that run, but whose connection is
+            closed without a response.
+        error: whether requests run and get an error response.
+        hang: whether requests run and get no response.
+        draining: whether all new requests are shed.
+        ends_under: path of requests that crash the server; empty for none.
+        down_ms: time from a crash until the server listens again.
+        rate_limit: limit announced in responses, requests per second;
+            negative for none.
+        leaving: whether responses announce that the server is leaving.
     """
 
     service_ms: float = 1
@@ -67,17 +67,18 @@
 
 
 class BackendCounts(Struct, kw_only=True):
-    """What a backend server has seen.
+    """Counts of the requests and connections of a backend server.
 
     Attributes:
-        runs: requests that ran.
-        ends: how often it has ended under a request.
-        shed: requests that were refused.
-        cancelled: requests whose caller hung up while they ran.
-        connections: opened to it.
-        by_request: runs by the request id of the mesh.
-        by_key: runs by the caller's own key.
-        by_single_key: the same for POST alone, which must not run twice.
+        runs: requests that were run.
+        ends: crashes caused by a request.
+        shed: requests refused with 503.
+        cancelled: requests whose connection closed while they ran.
+        connections: connections accepted.
+        by_request: number of runs by the request id of the mesh.
+        by_key: number of runs by the caller's own key.
+        by_single_key: like ``by_key``, for POST requests only, which must
+            not run twice.
     """
 
     runs: int = 0
@@ -91,14 +92,15 @@
 
 
 class BackendSpec(Struct, kw_only=True):
-    """One backend server to serve.
+    """Address and behaviour of one backend server.
 
     Attributes:
-        name: goes into its answers.
-        host: IP number.
-        port: to listen on.
-        entry_port: of the node beside it, for calls that it makes.
-        faults: how it behaves.
+        name: name included in responses.
+        host: IP address to listen on.
+        port: port to listen on.
+        entry_port: port of the node beside it for the backend server's own
+            calls.
+        faults: initial behaviour.
     """
 
     name: str
@@ -109,13 +111,13 @@
 
 
 class BackendStandIn:
-    """One backend server."""
+    """A backend server that simulates work and faults."""
 
     def __init__(self, spec: BackendSpec) -> None:
-        """Begin cold.
+        """Create the server without listening yet.
 
         Args:
-            spec: where and how.
+            spec: address and behaviour.
         """
         self.spec = spec
         self.counts = BackendCounts()
@@ -127,7 +129,7 @@
         self._random = random.Random(spec.name)
 
     async def listen(self) -> None:
-        """Open the port."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self),
@@ -137,37 +139,38 @@
         )
 
     def close(self) -> None:
-        """Close the port and every connection."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for transport in tuple(self.transports):
             transport.abort()
 
     async def crash(self) -> None:
-        """End with whatever runs here, and be back after a while."""
+        """Abort all requests, and listen again after ``down_ms``."""
         self.counts.ends += 1
-        # The port first: whoever sees a connection end finds it closed.
+        # The port closes first, so that a client that sees its connection
+        # abort cannot reconnect.
         self.close()
         await asyncio.sleep(self.spec.faults.down_ms / MILLISECONDS)
         await self.listen()
 
     def draw_fault(self, share: float) -> bool:
-        """Draw whether a fault strikes.
+        """Decide at random whether a fault applies to a request.
 
         Args:
-            share: of requests that it strikes.
+            share: share of requests that the fault applies to.
 
         Returns:
-            Whether it does.
+            Whether it applies.
         """
         return share > 0 and self._random.random() < share
 
     def count_run(self, headers: dict[bytes, bytes], method: bytes) -> None:
-        """Count a run.
+        """Count the run of a request.
 
         Args:
-            headers: of the request.
-            method: of the request.
+            headers: request headers.
+            method: request method.
         """
         counts = self.counts
         counts.runs += 1
@@ -177,24 +180,24 @@
             _increment(counts.by_single_key, headers.get(KEY_HEADER))
 
     def update_faults(self, body: bytes) -> None:
-        """Change how the server behaves.
+        """Change some of the simulated faults.
 
         Args:
-            body: JSON with some of the fields of ``BackendFaults``.
+            body: JSON object with fields of ``BackendFaults``.
         """
         updated = {**structs.asdict(self.spec.faults), **json.decode(body)}
         self.spec.faults = convert(updated, BackendFaults)
 
     @property
     def crash_target(self) -> bytes:
-        """Target of the requests under which it ends."""
+        """Target of the requests that crash the server."""
         return self.spec.faults.ends_under.encode()
 
     def format_notices(self) -> bytes:
-        """Write what it says of itself in its answers.
+        """Format the headers that announce a rate limit or leaving.
 
         Returns:
-            Header lines.
+            Header lines, each ended by CRLF.
         """
         faults = self.spec.faults
         notices = b''
@@ -206,7 +209,7 @@
 
     @property
     def service_seconds(self) -> float:
-        """Time that the next request takes."""
+        """Processing time of the next request."""
         faults = self.spec.faults
         milliseconds = faults.service_ms
         if self.counts.runs < faults.cold_requests:
@@ -221,7 +224,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection to a backend server; requests run in turn."""
+    """One connection to a backend server; requests run one at a time."""
 
     def __init__(self, backend: BackendStandIn) -> None:
         self._backend = backend
@@ -293,8 +296,8 @@
         try:
             await backend.chained_caller.call(remaining_calls, headers)
         except (OSError, EOFError):
-            # As a server does that cannot do its part without the call.
-            self._send_response(SERVER_ERROR, b'no answer to a call of its own')
+            # Like a real server that depends on the response of its own call.
+            self._send_response(SERVER_ERROR, b'no response to an onward call')
             return
         if backend.draw_fault(backend.spec.faults.close_share):
             self._transport.close()
@@ -351,10 +354,10 @@
 
 
 async def serve(specs: list[BackendSpec]) -> None:
-    """Serve until the process ends.
+    """Serve until the process is ended.
 
     Args:
-        specs: one for each backend server.
+        specs: backend servers to run.
     """
     backends = [BackendStandIn(spec) for spec in specs]
     await asyncio.gather(*(backend.listen() for backend in backends))
@@ -364,7 +367,7 @@
 
 
 def main() -> None:
-    """Serve the backend servers described on standard input."""
+    """Run the backend servers described in JSON on standard input."""
     decoded_specs: Any = json.decode(sys.stdin.read())
     specs = convert(decoded_specs, list[BackendSpec])
     asyncio.run(serve(specs))
--- a/standins/backend_thread.py
+++ b/standins/backend_thread.py
@@ -1,4 +1,4 @@
-"""Runs a backend server's stand-in inside this process, for tests."""
+"""Runs the stand-in of a backend server on a thread, for tests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BackendThread(Closing):
-    """One backend server on a thread of its own.
+    """A backend server that runs on a thread of this process.
 
     Example:
         >>> with BackendThread('a', host='127.0.0.1', port=8090) as backend:
@@ -30,14 +30,15 @@
         entry_port: int = 0,
         faults: BackendFaults | None = None,
     ) -> None:
-        """Start it.
+        """Start the server and wait until it listens.
 
         Args:
-            name: goes into its answers.
-            host: IP number.
-            port: to listen on.
-            entry_port: of the node beside it, for calls that it makes.
-            faults: how it behaves.
+            name: name included in responses.
+            host: IP address to listen on.
+            port: port to listen on.
+            entry_port: port of the node beside it for the backend
+                server's own calls.
+            faults: initial behaviour.
         """
         spec = BackendSpec(
             name=name,
@@ -56,11 +57,11 @@
 
     @property
     def faults(self) -> BackendFaults:
-        """How it behaves; may be changed."""
+        """Simulated faults; may be changed while the server runs."""
         return self._backend.spec.faults
 
     def close(self) -> None:
-        """End it with all its connections."""
+        """Stop the server and abort its connections."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(TIMEOUT_SECONDS)
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,8 +1,8 @@
-"""Stand-in of callers: keeps connections to entries and judges the answers.
+"""Stand-in of callers: sends requests to entries and checks the responses.
 
-A caller checks that each answer is whole and its own: backend servers echo
-the target and the caller's key. A request that is not idempotent is never
-sent twice by a caller either.
+Backend servers echo the target and the caller's key, so that a caller can
+check that each response is complete and belongs to its request. Callers
+never send a request twice, since it may not be idempotent.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 
 class WorkClass(Struct, frozen=True, kw_only=True):
-    """One class of work as callers ask for it.
+    """A class of requests that callers send.
 
     Attributes:
-        name: service and class.
+        name: service and class, separated by a slash.
         method: HTTP method.
-        path: with ``{}`` for a number.
-        target_ms: the class's target.
-        idempotent: whether the class is.
-        weight: how often it is asked for, among the others.
-        body_bytes: size of the request's body.
+        path: request path with ``{}`` for a random number.
+        target_ms: target response time.
+        idempotent: whether requests may run more than once.
+        weight: relative frequency among all classes.
+        body_bytes: size of the request body.
     """
 
     name: str
@@ -51,18 +51,18 @@
 
 
 class CallCounts(Struct, kw_only=True):
-    """How the calls of one class ended, as callers saw it.
+    """Outcomes of the calls of one class, as seen by callers.
 
     Attributes:
-        sent: all calls.
-        answered: whole answers to their own requests.
-        in_time: of these, within the target.
-        not_run: refused and called not run.
-        unknown: called unknown.
-        lost: no HTTP answer at all.
-        wrong: answers to something else, or cut.
-        seconds: durations of the answered.
-        keys_not_run: keys of requests that were called not run.
+        sent: all requests sent.
+        answered: complete responses that match their request.
+        in_time: answered calls within the target.
+        not_run: calls refused with the outcome "not-run".
+        unknown: calls with the outcome "unknown".
+        lost: calls without an HTTP response.
+        wrong: responses to another request, or truncated ones.
+        seconds: durations of the answered calls.
+        keys_not_run: keys of the requests counted in ``not_run``.
     """
 
     sent: int = 0
@@ -76,11 +76,11 @@
     keys_not_run: list[str] = field(default_factory=list)
 
     def count_answer(self, seconds: float, work_class: WorkClass) -> None:
-        """Note a whole answer to its own request.
+        """Count a complete and matching response.
 
         Args:
-            seconds: it took.
-            work_class: its class.
+            seconds: duration of the call.
+            work_class: class of the request.
         """
         self.answered += 1
         self.seconds.append(seconds)
@@ -91,7 +91,7 @@
         """Add another caller's counts.
 
         Args:
-            other: stays as it is.
+            other: counts to add; not changed.
         """
         self.sent += other.sent
         self.answered += other.answered
@@ -105,14 +105,14 @@
 
 
 class Echo(Struct, kw_only=True):
-    """What a backend server's stand-in answers."""
+    """Request fields echoed by the stand-in of a backend server."""
 
     target: str
     key: str
 
 
 class Caller:
-    """One caller: asks one thing after the other."""
+    """A caller that sends one request at a time."""
 
     def __init__(
         self,
@@ -121,12 +121,12 @@
         seed: int,
         latency_ms: float = 0,
     ) -> None:
-        """Prepare; no connection is open yet.
+        """Create the caller without opening a connection.
 
         Args:
-            entries: where nodes take requests; may be changed by others.
-            seed: of the choices.
-            latency_ms: one way to the data centres, added to each call.
+            entries: entry addresses of nodes; the list may change.
+            seed: seed of the random choices.
+            latency_ms: simulated one-way latency to the data centres.
         """
         self.counts: dict[str, CallCounts] = {}
         self._entries = entries
@@ -135,10 +135,10 @@
         self._connection: HTTPConnection | None = None
 
     def call(self, work_class: WorkClass) -> None:
-        """Send one request and judge what comes back.
+        """Send one request and count its outcome.
 
         Args:
-            work_class: its class.
+            work_class: class of the request.
         """
         counts = self.counts.setdefault(work_class.name, CallCounts())
         key = f'{self._random_generator.getrandbits(KEY_BITS):x}'
@@ -175,7 +175,7 @@
         try:
             connection.connect()
         except OSError:
-            # Nothing was sent: another entry is as good.
+            # No request was sent, so the next call may use another entry.
             time.sleep(RECONNECT_DELAY_SECONDS)
             return None
         self._connection = connection
@@ -223,7 +223,7 @@
 
 
 class _Answer(Struct, kw_only=True):
-    """What came back."""
+    """Response to one request."""
 
     status: int
     outcome: str
@@ -231,14 +231,14 @@
 
     @property
     def is_from_backend(self) -> bool:
-        """Whether a backend server gave it, and did not shed."""
+        """Whether the response is not a server error."""
         return self.status < SERVER_ERROR
 
     def matches(self, expected: Echo) -> bool:
-        """Tell whether it answers the request.
+        """Check whether the response belongs to the request.
 
         Args:
-            expected: what the request said.
+            expected: target and key of the request.
 
         Returns:
             Whether target and key are echoed.
@@ -251,13 +251,13 @@
 
 
 def sum_counts(callers: Sequence[Caller]) -> dict[str, CallCounts]:
-    """Add up what callers have counted.
+    """Add up the counts of callers.
 
     Args:
-        callers: that have stopped.
+        callers: callers whose counts are added.
 
     Returns:
-        By class.
+        Counts by class name.
     """
     totals: dict[str, CallCounts] = {}
     for caller in callers:
--- a/standins/chained_calls.py
+++ b/standins/chained_calls.py
@@ -1,4 +1,4 @@
-"""Calls that a backend server's stand-in makes in its turn."""
+"""Onward calls that the stand-in of a backend server makes to the mesh."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 CHAIN_PREFIX: Final = b'/chain/'
 CONTENT_LENGTH: Final = b'content-length:'
 HEAD_END: Final = b'\r\n\r\n'
-# A backend server copies these onto the calls that it makes.
+# Headers that a backend server copies from a request to its onward calls.
 CONTEXT_HEADERS: Final = (
     b'wagtaildale-deadline-ms',
     b'wagtaildale-depth',
@@ -19,13 +19,13 @@
 
 
 def parse_remaining_calls(target: bytes) -> int:
-    """Find how many calls are still to follow.
+    """Parse how many calls follow in the chain.
 
     Args:
-        target: of the request.
+        target: request target.
 
     Returns:
-        The number in ``/chain/N``; 0 for any other target.
+        N of ``/chain/N``; 0 for any other target.
     """
     if not target.startswith(CHAIN_PREFIX):
         return 0
@@ -33,14 +33,14 @@
 
 
 class ChainedCaller:
-    """Kept-alive connections to the node beside a backend server."""
+    """Makes calls on kept-alive connections to the adjacent node."""
 
     def __init__(self, host: str, port: int) -> None:
-        """Prepare; nothing is open yet.
+        """Create the caller without opening a connection.
 
         Args:
-            host: IP number of the node.
-            port: where it takes callers' requests.
+            host: IP address of the node.
+            port: entry port of the node.
         """
         self._host = host
         self._port = port
@@ -49,15 +49,15 @@
     async def call(
         self, remaining_calls: int, headers: dict[bytes, bytes]
     ) -> None:
-        """Make the next call of a chain, if one is to follow.
+        """Make the next call of a chain, if any remains.
 
         Args:
-            remaining_calls: calls that are still to follow.
-            headers: of the request that leads to it.
+            remaining_calls: number of calls that follow.
+            headers: headers of the request being served.
 
         Raises:
-            OSError: when the node cannot be reached.
-            EOFError: when it closes without an answer.
+            OSError: if the node cannot be reached.
+            EOFError: if the node closes the connection without a response.
         """
         if not remaining_calls:
             return
--- a/standins/client.py
+++ b/standins/client.py
@@ -1,4 +1,4 @@
-"""Reads JSON from a node or a stand-in, for tests and the demo."""
+"""Reads JSON from nodes and stand-ins over HTTP."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     """Read one JSON document.
 
     Args:
-        address: IP number and port.
-        path: with the query.
-        document_type: what it becomes.
-        body: sent by POST if given.
+        address: IP address and port.
+        path: path and query.
+        document_type: type to decode into.
+        body: body to send by POST; None for a GET request.
 
     Returns:
-        The document, or nothing if there is no good answer.
+        The document, or None if the request or the decoding fails.
     """
     try:
         text = _fetch(address, path, body)
--- a/standins/invariants.py
+++ b/standins/invariants.py
@@ -1,4 +1,4 @@
-"""Judges a run: bookings run twice, refusals that lied, invariants."""
+"""Checks the invariants of a run against the counts of backend servers."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class Verdict(Struct, frozen=True, kw_only=True):
-    """What a run has shown of the invariants.
+    """Violations of invariants found in a run.
 
     Attributes:
-        twice: keys of callers that ran more than once.
-        lied: requests called not run that ran.
-        wrong: answers that were cut or another's.
-        broken: invariants that nodes found broken.
+        twice: non-idempotent requests that ran more than once.
+        lied: requests reported as not run that had run.
+        wrong: responses that were truncated or belong to another request.
+        broken: broken invariants reported or logged by nodes.
     """
 
     twice: int
@@ -35,7 +35,7 @@
 
     @property
     def has_passed(self) -> bool:
-        """Whether nothing broke."""
+        """Whether no violation was found."""
         return not (self.twice or self.lied or self.wrong or self.broken)
 
 
@@ -44,14 +44,14 @@
     *,
     counts: dict[str, CallCounts],
 ) -> Verdict:
-    """Judge a run by the backend servers' own counts.
+    """Compare the counts of callers with those of backend servers.
 
     Args:
-        fleet: still running.
-        counts: of the callers, by class.
+        fleet: running fleet.
+        counts: counts of the callers by class name.
 
     Returns:
-        What was found.
+        The violations found.
     """
     runs = count_runs(fleet)
     not_run = [
@@ -72,10 +72,10 @@
     """Count the runs of each caller's key over all backend servers.
 
     Args:
-        fleet: still running.
+        fleet: running fleet.
 
     Returns:
-        By key.
+        Number of runs by key.
     """
     runs: dict[str, int] = {}
     for counts in _read_backend_counts(fleet):
@@ -88,10 +88,10 @@
     """Gather the events of running nodes in causal order.
 
     Args:
-        nodes: those that do not run are left out.
+        nodes: nodes to query; those that do not respond are skipped.
 
     Returns:
-        By their stamps.
+        Events sorted by their stamps.
     """
     events: list[Event] = []
     for node in nodes:
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""A load of many callers, each a thread."""
+"""Generates load by many callers, each on its own thread."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class LoadPlan(Struct, frozen=True, kw_only=True):
-    """What a load does.
+    """Shape of a load.
 
     Attributes:
-        mix: classes of work with their weights.
-        callers: at once.
-        calls_per_second: of all callers together.
-        latency_ms: one way from each caller.
-        seed: of all choices.
+        mix: classes of requests with their weights.
+        callers: number of concurrent callers.
+        calls_per_second: mean rate of all callers together.
+        latency_ms: simulated one-way latency of each caller.
+        seed: seed of all random choices.
     """
 
     mix: tuple[WorkClass, ...]
@@ -40,14 +40,14 @@
 
 
 class Load:
-    """Callers at work; starts at once."""
+    """Running load; the callers start on construction."""
 
     def __init__(self, plan: LoadPlan, *, entries: Sequence[Address]) -> None:
         """Start every caller.
 
         Args:
-            plan: what they do.
-            entries: where nodes take requests; read anew for each
+            plan: shape of the load.
+            entries: entry addresses of nodes; read again for each
                 connection, so that the list may be changed in place.
         """
         self._plan = plan
@@ -70,15 +70,15 @@
         """Add up the counts so far.
 
         Returns:
-            By class.
+            Counts by class name.
         """
         return sum_counts(self._callers)
 
     def stop(self) -> dict[str, CallCounts]:
-        """End the load after the calls under way.
+        """Stop the load once the calls in progress have ended.
 
         Returns:
-            All counts, by class.
+            All counts by class name.
         """
         self._stopping.set()
         wait(self._futures, timeout=STOP_TIMEOUT_SECONDS)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,10 @@
-"""Stand-in of the platform: key-value reads with long polls, and a list.
+"""Stand-in of the platform: key-value store and instance list.
 
-``GET /v1/kv/PREFIX/manifest?index=N&wait=5000ms`` answers once the key's
-index is past ``N`` or with 304 when the wait is over; each answer carries
-``X-Index``. ``GET /v1/instances`` is watched alike. Nothing can be written
-by HTTP: tests and the demo publish by method calls.
+``GET /v1/kv/PREFIX/manifest?index=N&wait=5000ms`` is a long poll: it
+responds once the index of the key is past ``N``, or with 304 when the wait
+is over. Each response has the header ``X-Index``. ``GET /v1/instances``
+supports the same long poll. Nothing can be written over HTTP: tests and the
+demo publish by method calls.
 """
 
 from __future__ import annotations
@@ -40,8 +41,8 @@
     """A published value.
 
     Attributes:
-        index: when it was published, on the stand-in's own count.
-        body: the bytes.
+        index: index of the store when the value was published.
+        body: content.
     """
 
     index: int
@@ -49,16 +50,17 @@
 
 
 class PlatformFaults(Struct, kw_only=True):
-    """What is wrong with the platform; tests set these.
+    """Simulated faults of the platform; set by tests.
 
     Attributes:
-        down: every read is answered with 503.
-        delay_seconds: seconds before each answer.
-        frozen: reads give what was published before the freeze.
-        half: answers are cut in the middle.
-        reads_per_second: more than these are refused with 429; 0 for any.
-        list_lag_seconds: seconds until a change of the instance list is seen.
-        missing_parts: parts are answered with 404.
+        down: whether every read gets 503.
+        delay_seconds: delay of each response.
+        frozen: whether waiting reads miss values published meanwhile.
+        half: whether responses are truncated in the middle.
+        reads_per_second: rate limit; reads above it get 429; 0 for no limit.
+        list_lag_seconds: delay until a change of the instance list is
+            visible.
+        missing_parts: whether reads of parts get 404.
     """
 
     down: bool = False
@@ -71,14 +73,14 @@
 
 
 class PlatformCounts(Struct, kw_only=True):
-    """What was asked of the platform.
+    """Counts of the reads of the platform.
 
     Attributes:
-        reads: all calls, a waiting watch counting as one.
-        refused: of these, refused over the rate.
-        waiting_watches: watches that wait now.
-        answered_bytes: bodies sent.
-        by_second: reads by second of the monotonic clock.
+        reads: all reads; a long poll counts once.
+        refused: reads refused because of the rate limit.
+        waiting_watches: reads that are waiting now.
+        answered_bytes: total size of the response bodies.
+        by_second: number of reads by second of the monotonic clock.
     """
 
     reads: int = 0
@@ -89,7 +91,7 @@
 
 
 class PlatformStandIn:
-    """The platform as the system meets it.
+    """HTTP server that serves published values to nodes.
 
     Example:
         >>> platform = PlatformStandIn('127.0.0.1', 0)
@@ -98,11 +100,11 @@
     """
 
     def __init__(self, host: str, port: int) -> None:
-        """Listen and serve from threads of this process.
+        """Listen and serve on threads of this process.
 
         Args:
-            host: IP number.
-            port: 0 for any that is free.
+            host: IP address.
+            port: port to listen on; 0 for any free port.
         """
         self.faults = PlatformFaults()
         self.counts = PlatformCounts()
@@ -120,15 +122,15 @@
 
     @property
     def url(self) -> str:
-        """The base address for the daemons' settings."""
+        """Base URL for the settings of nodes."""
         host, port = self._server.server_address[:2]
         return f'http://{host!s}:{port}'
 
     def publish(self, compiled: Compiled) -> None:
-        """Publish a version as operators do: parts first.
+        """Publish a configuration version, its parts before the manifest.
 
         Args:
-            compiled: manifest and parts.
+            compiled: manifest and parts of the version.
         """
         for blob in compiled.parts.values():
             self.put(f'{PARTS_PREFIX}{hash_part(blob).hex()}', blob)
@@ -139,11 +141,11 @@
         index: int,
         instances: tuple[InstanceRecord, ...],
     ) -> None:
-        """Set the instance list, seen after the lag that is set.
+        """Publish the instance list, after ``list_lag_seconds`` if set.
 
         Args:
-            index: the list's own, increasing.
-            instances: live and leaving.
+            index: increasing index of the list.
+            instances: live and leaving instances.
         """
         listing = InstanceList(index=index, instances=instances)
         body = json.encode(listing)
@@ -159,14 +161,14 @@
         timer.start()
 
     def put(self, key: str, body: bytes) -> None:
-        """Set a value.
+        """Store a value and wake waiting reads.
 
         Args:
-            key: the path it is read by.
-            body: at most a megabyte.
+            key: path of the value.
+            body: content, at most ``LARGEST_VALUE_BYTES`` long.
 
         Raises:
-            ValueError: for a larger one.
+            ValueError: if the content is too long.
         """
         if len(body) > LARGEST_VALUE_BYTES:
             raise ValueError(
@@ -178,7 +180,7 @@
             self._changed.notify_all()
 
     def reset_index(self) -> None:
-        """Begin to count anew, as after a restart of the platform."""
+        """Reset all indexes to 1, as a restart of the platform does."""
         with self._changed:
             self._index = 1
             self._stored_values = {
@@ -187,19 +189,19 @@
             }
 
     def wait_for_value(
-        self, key: str, index: int, wait: float
+        self, key: str, index: int, timeout: float
     ) -> StoredValue | None:
-        """Find a value, waiting until it is past an index.
+        """Return a value once its index is past a known one.
 
         Args:
-            key: the path.
-            index: already known to the reader.
-            wait: seconds at most.
+            key: path of the value.
+            index: index known to the reader; 0 to return at once.
+            timeout: longest wait, seconds.
 
         Returns:
-            The value as it stands after the wait.
+            The value after the wait, or None if the key is missing.
         """
-        deadline = time.monotonic() + wait
+        deadline = time.monotonic() + timeout
         with self._changed:
             self.counts.waiting_watches += 1
             stored = self._stored_values.get(key)
@@ -216,7 +218,7 @@
         """Count a read.
 
         Returns:
-            Whether it is within the rate.
+            Whether it is within the rate limit.
         """
         second = int(time.monotonic())
         with self._changed:
@@ -236,25 +238,25 @@
 
 
 class _Server(ThreadingHTTPServer):
-    """Threads for the reads that wait."""
+    """HTTP server with one thread per connection, for long polls."""
 
     daemon_threads = True
     request_queue_size = 512
     standin: PlatformStandIn
 
     def handle_error(self, *_request: Any) -> None:
-        """Say nothing: readers are killed in the middle of reads."""
+        """Ignore errors: tests kill nodes in the middle of reads."""
 
 
 class _RequestHandler(BaseHTTPRequestHandler):
-    """Answers one connection's reads."""
+    """Serves the reads of one connection."""
 
     protocol_version = 'HTTP/1.1'
     disable_nagle_algorithm = True
     wbufsize = -1
 
     def do_GET(self) -> None:
-        """Answer a read."""
+        """Respond to a read, with the simulated faults applied."""
         standin = self._standin
         within_rate = standin.count_read()
         if standin.faults.delay_seconds:
@@ -278,10 +280,10 @@
         url = urlsplit(self.path)
         query = parse_qs(url.query)
         index = int(query.get('index', ['0'])[0])
-        wait = int(query.get('wait', ['0ms'])[0].removesuffix('ms'))
+        wait_ms = int(query.get('wait', ['0ms'])[0].removesuffix('ms'))
         hidden = self._standin.faults.missing_parts
         stored = self._standin.wait_for_value(
-            url.path, index, wait / MILLISECONDS
+            url.path, index, wait_ms / MILLISECONDS
         )
         if stored is None:
             self._answer(NOT_FOUND, 1, b'')
