--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: a small fleet on loopback addresses."""
+"""Demo of the mesh: a small fleet on loopback addresses."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,7 @@
-"""``make demo``: a small fleet, a mixed load, a change, a kill, a stop."""
+"""Runs the demo: a small fleet under load, with changes, a kill and a stop.
+
+Started by ``make demo``.
+"""
 
 from __future__ import annotations
 
@@ -44,13 +47,13 @@
 
 
 class Demo:
-    """One run of the demonstration."""
+    """One run of the demo."""
 
     def __init__(self, deployment: Deployment) -> None:
-        """Prepare the fleet.
+        """Prepare the fleet without starting nodes.
 
         Args:
-            deployment: which one.
+            deployment: deployment to run.
         """
         self._deployment = deployment
         self._fleet = Fleet(
@@ -64,10 +67,10 @@
         self._started_at = time.monotonic()
 
     def run(self) -> DemoOutcome:
-        """Run every phase.
+        """Run all phases.
 
         Returns:
-            What was measured.
+            Measurements of the run.
         """
         self._print_progress(f'starting {len(self._fleet.nodes)} nodes')
         self._fleet.start(self._compile_next())
@@ -90,7 +93,7 @@
         )
 
     def close(self) -> None:
-        """End every process."""
+        """Kill all processes."""
         self._fleet.close()
 
     def _make_outcome(
@@ -184,12 +187,12 @@
 
 
 class PublishedChange(Struct, frozen=True, kw_only=True):
-    """A published version.
+    """A published configuration version.
 
     Attributes:
-        version: its number.
-        published_at_ms: when it was published, milliseconds since the epoch.
-        nodes: that ran then.
+        version: version number.
+        published_at_ms: time of publishing, milliseconds since the epoch.
+        nodes: names of the instances that ran at that time.
     """
 
     version: int
@@ -198,17 +201,17 @@
 
 
 class ControlTraffic(Struct, frozen=True, kw_only=True):
-    """Control bytes of one node so far.
+    """Control traffic of one node since its start.
 
     Attributes:
-        incarnation: of its process.
-        read_at: when it was asked, seconds.
-        sent: bytes to other nodes.
+        incarnation: incarnation of its process.
+        read_at: monotonic time of the reading, seconds.
+        total_bytes: bytes sent to and received from other nodes.
     """
 
     incarnation: int
     read_at: float
-    sent: int
+    total_bytes: int
 
 
 def _read_control_traffic(
@@ -221,7 +224,8 @@
             found[report.instance] = ControlTraffic(
                 incarnation=report.incarnation,
                 read_at=time.monotonic(),
-                sent=report.control.sent_bytes + report.control.received_bytes,
+                total_bytes=report.control.sent_bytes
+                + report.control.received_bytes,
             )
     return found
 
@@ -231,7 +235,7 @@
     after: dict[str, ControlTraffic],
 ) -> float:
     rates = [
-        (control.sent - before[name].sent)
+        (control.total_bytes - before[name].total_bytes)
         / (control.read_at - before[name].read_at)
         for name, control in after.items()
         if name in before and before[name].incarnation == control.incarnation
@@ -266,12 +270,12 @@
     default='hailmark',
 )
 def main(deployment: str) -> None:
-    """Run the demonstration and print what it has shown.
+    """Run the demo and print its measurements.
 
     \f
 
     Args:
-        deployment: which of the two.
+        deployment: name of the deployment.
     """
     try:
         demo = Demo(DEPLOYMENTS[deployment])
--- a/demo/deployments.py
+++ b/demo/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of the brief: places, services, callers' mix."""
+"""The two deployments of the demo: data centres, services and load."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class Deployment(Struct, frozen=True, kw_only=True):
-    """One deployment.
+    """A deployment to demonstrate.
 
     Attributes:
-        title: for people.
-        mesh_file: the operators' file.
-        placement: data centres and services.
-        latency_ms: one way from callers.
-        spread: what it weighs more.
-        mix: what callers ask for.
-        file_change: a text of the file and what a change makes of it.
+        title: title to print.
+        mesh_file: path of the mesh configuration.
+        placement: services and data centres.
+        latency_ms: one-way latency of callers.
+        spread: distribution setting of the nodes.
+        mix: classes of requests that callers send.
+        file_change: text in the mesh file and its replacement.
     """
 
     title: str
--- a/demo/summary.py
+++ b/demo/summary.py
@@ -1,4 +1,4 @@
-"""The table at the end of the demonstration, and its time line."""
+"""Prints the summary tables of the demo and writes its time line."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
 
 
 class DemoOutcome(Struct, frozen=True, kw_only=True):
-    """What the demonstration measured.
+    """Measurements of one run of the demo.
 
     Attributes:
-        deployment: which one ran.
-        version: published last.
-        updated: how many running nodes hold it.
-        running: nodes that run at the end.
-        convergence_ms: for each change, until the last node had applied it.
-        control_bytes_per_second: sent and received by a node, on average.
-        counts: of the callers, by class.
-        verdict: on the invariants.
-        stop_code: exit code of the planned stop.
-        timeline: file with all events.
+        deployment: deployment that ran.
+        version: last published version.
+        updated: number of running nodes that hold it.
+        running: number of nodes that run at the end.
+        convergence_ms: time until the last node applied each change.
+        control_bytes_per_second: mean control traffic of a node, sent and
+            received.
+        counts: counts of the callers by class name.
+        verdict: violations of invariants.
+        stop_code: exit code of the node that was stopped as planned.
+        timeline: path of the file with all events.
     """
 
     deployment: Deployment
@@ -50,16 +51,16 @@
 
     @property
     def has_passed(self) -> bool:
-        """Whether all invariants held and the change is everywhere."""
+        """Whether no invariant broke and all nodes hold the last change."""
         everywhere = self.updated == self.running
         return self.verdict.has_passed and everywhere and self.stop_code == 0
 
 
 def print_summary(outcome: DemoOutcome) -> None:
-    """Print the figures as two tables.
+    """Print two tables: calls by class, and measurements of the run.
 
     Args:
-        outcome: of one run.
+        outcome: measurements to print.
     """
     click.echo()
     click.echo(outcome.deployment.title)
@@ -98,14 +99,14 @@
 
 
 def write_timeline(events: Sequence[Event], *, folder: Path) -> Path:
-    """Write all events of a run, one to a line.
+    """Write all events of a run as JSON lines.
 
     Args:
-        events: in causal order.
-        folder: made where it is missing.
+        events: events in causal order.
+        folder: folder to write to; created if missing.
 
     Returns:
-        The file.
+        Path of the written file.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / 'timeline.jsonl'
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,6 +1,7 @@
 """Starts a small fleet on loopback addresses: nodes and their stand-ins.
 
-Used by the demo, the benchmarks and the soak; a node itself starts nothing.
+Used by tests, the demo, the benchmarks and the soak. Nodes never start
+processes themselves.
 """
 
 from __future__ import annotations
@@ -49,16 +50,17 @@
 
 
 class AddressInUseError(Exception):
-    """Somebody else listens where a fleet would."""
+    """Another process listens on an address of the fleet."""
 
 
 class Placement(Struct, frozen=True, kw_only=True):
-    """Which services run in which data centres, and how many of each.
+    """Number of instances of each service and their data centres.
 
     Attributes:
-        region: of all data centres.
-        data_centres: by name.
-        services: by name, the number of instances, spread in turn.
+        region: region of all data centres.
+        data_centres: names of the data centres.
+        services: number of instances by service name; instances are
+            assigned to the data centres in turn.
     """
 
     region: str
@@ -67,16 +69,16 @@
 
 
 class FleetOptions(Struct, kw_only=True):
-    """How a fleet is started.
+    """Settings of a fleet.
 
     Attributes:
-        spread: the daemons' distribution setting.
-        backend: how the backend servers behave.
+        spread: distribution setting of the nodes.
+        backend: initial behaviour of the backend servers.
         program: module that runs a node.
-        log_level: of the nodes.
-        extra_arguments: more arguments for each node.
-        extra_settings: TOML that is added to each node's settings.
-        network: third part of the first instance's IP number.
+        log_level: log level of the nodes.
+        extra_arguments: additional command-line arguments of each node.
+        extra_settings: TOML appended to the settings of each node.
+        network: third octet of the IP address of the first instance.
     """
 
     spread: str = 'prompt'
@@ -89,17 +91,17 @@
 
 
 class NodeProcess:
-    """One node's process and its files."""
+    """A node process with its settings and log files."""
 
     def __init__(self, record: InstanceRecord, folder: Path) -> None:
-        """Describe a node; ``start`` runs it.
+        """Describe a node without starting it.
 
         Args:
-            record: its instance.
-            folder: for settings and log.
+            record: instance record of the node.
+            folder: folder of its settings and log files.
         """
         self.record = record
-        self.settings = folder / f'{record.instance}.toml'
+        self.settings_path = folder / f'{record.instance}.toml'
         self.log_path = folder / f'{record.instance}.log'
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -107,23 +109,27 @@
         """Start the process.
 
         Args:
-            options: which program, and its arguments.
+            options: program and arguments.
         """
         command = [sys.executable, '-m', options.program]
-        command += ['--settings', str(self.settings), *options.extra_arguments]
+        command += [
+            '--settings',
+            str(self.settings_path),
+            *options.extra_arguments,
+        ]
         with self.log_path.open('ab') as log:
             self.process = subprocess.Popen(command, stderr=log, stdout=log)
 
     def is_running(self) -> bool:
-        """Tell whether the process runs.
+        """Check whether the process runs.
 
         Returns:
-            Whether it was started and has not ended.
+            Whether it was started and has not exited.
         """
         return self.process is not None and self.process.poll() is None
 
     def terminate(self) -> None:
-        """Begin a planned stop."""
+        """Send SIGTERM, which begins a planned stop."""
         if self.process is not None:
             self.process.terminate()
 
@@ -131,22 +137,22 @@
         """Send a signal to the process.
 
         Args:
-            number: of the signal.
+            number: signal number.
         """
         if self.process is not None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has exited."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
     def wait(self) -> int:
-        """Wait until the process has ended, killing it at last.
+        """Wait until the process has exited; kill it after a timeout.
 
         Returns:
-            Its exit code.
+            Exit code of the process.
         """
         assert self.process is not None
         try:
@@ -156,17 +162,17 @@
             return self.process.returncode
 
     def report(self) -> NodeReport | None:
-        """Ask the node for its state.
+        """Read the state of the node from its admin API.
 
         Returns:
-            The report, or nothing if it does not answer.
+            The report, or None if the node does not respond.
         """
         address = (self.record.host, self.record.admin_port)
         return read_json(address, '/v1/node', NodeReport)
 
 
 class Fleet(Closing):
-    """Stand-ins of platform and backend servers, and nodes beside them."""
+    """A platform, backend servers and a node beside each of them."""
 
     def __init__(
         self,
@@ -174,11 +180,14 @@
         *,
         options: FleetOptions | None = None,
     ) -> None:
-        """Describe the fleet and start its platform.
+        """Start the platform; nodes and backend servers are not started.
 
         Args:
             placement: services and data centres.
-            options: how it is started.
+            options: settings of the fleet.
+
+        Raises:
+            AddressInUseError: if an address of the fleet is in use.
         """
         self.options = options or FleetOptions()
         self.records = _make_records(placement, self.options.network)
@@ -192,13 +201,13 @@
         self._backends: list[subprocess.Popen[Any]] = []
 
     def start(self, compiled: Compiled) -> None:
-        """Publish, start everything and wait until every node is ready.
+        """Publish, start all processes and wait until the nodes are ready.
 
         Args:
-            compiled: the first version.
+            compiled: first configuration version.
 
         Raises:
-            TimeoutError: when a node is not ready in a minute.
+            TimeoutError: if a node is not ready within a minute.
         """
         self.platform.publish(compiled)
         self.publish_instances()
@@ -209,10 +218,10 @@
         self.wait_ready(self.nodes)
 
     def publish_instances(self, *, leaving: Collection[str] = ()) -> None:
-        """List the instances as they are at the platform.
+        """Publish the current instance list at the platform.
 
         Args:
-            leaving: instances that are listed as leaving.
+            leaving: names of the instances to list as leaving.
         """
         self.list_index += 1
         listed = tuple(
@@ -224,7 +233,7 @@
         self.platform.publish_instances(self.list_index, listed)
 
     def start_backends(self) -> None:
-        """Start the process of the backend servers, and wait for it."""
+        """Start the backend server process and wait until it listens."""
         specs = [
             BackendSpec(
                 name=record.instance,
@@ -249,21 +258,23 @@
         """Wait until nodes are ready.
 
         Args:
-            nodes: that were started.
+            nodes: started nodes.
 
         Raises:
-            TimeoutError: when one is not in a minute.
+            TimeoutError: if a node exits or is not ready within a minute.
         """
         deadline = time.monotonic() + START_TIMEOUT_SECONDS
         for node in nodes:
             while not self._is_ready(node):
                 if time.monotonic() > deadline or not node.is_running():
                     tail = node.log_path.read_text()[-LOG_TAIL_CHARACTERS:]
-                    raise TimeoutError(f'{node.record.instance}: {tail}')
+                    raise TimeoutError(
+                        f'{node.record.instance} is not ready; log: {tail}',
+                    )
                 time.sleep(POLL_SECONDS)
 
     def close(self) -> None:
-        """End every process that was started."""
+        """Kill all processes and stop the platform."""
         for node in self.nodes:
             if node.is_running():
                 node.kill()
@@ -276,7 +287,7 @@
         """Write the settings file of a node.
 
         Args:
-            node: whose.
+            node: node to write the file for.
         """
         record = node.record
         seeds = [
@@ -284,7 +295,7 @@
             for other in self.records[: SEED_NODES + 1]
             if other.instance != record.instance
         ]
-        node.settings.write_text(
+        node.settings_path.write_text(
             f"""
 instance = "{record.instance}"
 service = "{record.service}"
@@ -347,21 +358,23 @@
 
 
 def _check_addresses(records: list[InstanceRecord]) -> None:
-    """Check that a fleet's addresses are free.
+    """Check that no other process uses the addresses of a fleet.
 
-    Failure guarded here: two runs have the same addresses, nodes of one find
-    those of the other, and both meshes mix.
+    All runs use the same addresses. Without this check, the nodes of two
+    concurrent runs find each other and the two meshes mix.
 
     Args:
-        records: of the fleet's instances.
+        records: instances of the fleet.
 
     Raises:
-        AddressInUseError: with the first address that is taken.
+        AddressInUseError: with the first address that is in use.
     """
     for record in records:
         for port in _list_ports(record):
             if _is_in_use(record.host, port):
-                raise AddressInUseError(f'{record.host}:{port} is taken')
+                raise AddressInUseError(
+                    f'{record.host}:{port} is already in use'
+                )
 
 
 def _list_ports(record: InstanceRecord) -> tuple[int, ...]:
@@ -376,8 +389,8 @@
 
 def _is_in_use(host: str, port: int) -> bool:
     with closing(socket.socket(socket.AF_INET, socket.SOCK_STREAM)) as sock:
-        # As the nodes bind: connections of an earlier run that are still
-        # being closed take no address.
+        # Nodes bind with this option too: connections of an earlier run in
+        # TIME_WAIT do not block an address.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             sock.bind((host, port))
--- a/standins/tests/node_client.py
+++ b/standins/tests/node_client.py
@@ -1,4 +1,4 @@
-"""How tests talk to nodes and stand-ins that run as processes."""
+"""Client functions for nodes and stand-ins that run as processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def send_lookup(node: NodeProcess, path: str) -> int:
-    """Send a lookup to a node and give the status of its answer."""
+    """Send a lookup to a node and return the HTTP status."""
     address = (node.record.host, node.record.entry_port)
     connection = HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
     connection.request('GET', path)
@@ -28,7 +28,7 @@
 
 
 def read_counts(node: NodeProcess) -> BackendCounts:
-    """Read what the server beside a node has seen, once it answers."""
+    """Read the counts of the server beside a node, once it responds."""
     address = (node.record.host, BACKEND_PORT)
     deadline = time.monotonic() + TIMEOUT_SECONDS
     while time.monotonic() < deadline:
@@ -41,4 +41,4 @@
         text = connection.getresponse().read()
         connection.close()
         return json.decode(text, type=BackendCounts)
-    raise TimeoutError(f'no server at {address}')
+    raise TimeoutError(f'no backend server listens at {address}')
--- a/standins/tests/test_crashing_requests.py
+++ b/standins/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Tests of nodes whose servers end under a request, as processes."""
+"""Tests of requests that crash backend servers, with real processes."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def is_refused(node: NodeProcess) -> bool:
-    # Harmful, or about to be tried once more.
+    # Covers requests that are refused or about to get one more try.
     return CRASH_REASON in run_suspects_command(node).output
 
 
@@ -72,10 +72,10 @@
         time.sleep(0.05)
 
 
-def test_retried_request_crashes_few_servers(
+def test_repeated_request_crashes_few_servers(
     fleet: Fleet,
 ) -> None:
-    """One caller ends the servers of a service again and again."""
+    """A repeated request could crash all servers of a service in turn."""
     for number in range(LOOKUPS):
         send_lookup(fleet.nodes[number % len(fleet.nodes)], CRASH_PATH)
     assert count_crashes(fleet) <= CRASHES_ALLOWED
@@ -85,7 +85,7 @@
 
 
 def test_restarted_node_learns_crashing_requests(fleet: Fleet) -> None:
-    """A request comes to a node that was not there when servers ended."""
+    """A node that restarts after crashes must still refuse the request."""
     before = count_crashes(fleet)
     node = fleet.nodes[0]
     node.kill()
@@ -97,7 +97,7 @@
 
 
 def test_cleared_request_runs_again(fleet: Fleet) -> None:
-    """A server was mended, and its callers are refused for an hour."""
+    """Without clearing, a fixed server's callers are refused for an hour."""
     shown = json.decode(
         run_suspects_command(fleet.nodes[0], '--output', 'json').stdout
     )
--- a/standins/tests/test_fleet.py
+++ b/standins/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of starting a fleet, and of the demonstration that does it."""
+"""Tests of starting a fleet and the demo on addresses in use."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def occupied_demo_address() -> Iterator[None]:
-    """Take an address of the demonstration, if no other run has it."""
+    """Listen on an address of the demo, unless another run does."""
     with ExitStack() as stack:
         with suppress(OSError):
             stack.enter_context(socket.create_server((DEMO_HOST, ADMIN_PORT)))
@@ -42,9 +42,9 @@
 
 
 def test_fleet_does_not_start_on_used_addresses() -> None:
-    """Two runs share addresses: nodes of one serve the callers of the other.
+    """Two runs use the same addresses, so their nodes would mix.
 
-    The second run finds an address taken before it starts anything.
+    The second run must fail before it starts a process.
     """
     with socket.create_server(USED_ADDRESS):
         with pytest.raises(
@@ -59,10 +59,10 @@
     occupied_demo_address: None,
     deployment: str,
 ) -> None:
-    """A user starts the demonstration twice and reads a traceback.
+    """A second demo run prints one line with the reason, and no traceback.
 
-    Both runs use the same addresses. The nodes of the two mixed, no node
-    held the last version, and a third of the calls did not run.
+    Both runs use the same addresses. Without the check, their nodes mix: no
+    node holds the last version, and a third of the calls do not run.
     """
     outcome = CliRunner().invoke(main, ['--deployment', deployment])
     assert outcome.exit_code not in {0, 1}
--- a/standins/tests/test_limits_and_leaving.py
+++ b/standins/tests/test_limits_and_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of nodes whose servers name limits or leave, as processes."""
+"""Tests of rate limits and leaving announced by backend servers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 TIMEOUT_SECONDS: Final = 20.0
 LOOKUPS: Final = 80
 LIMIT: Final = 1.0
-# What users bear beyond the limit, whatever its size.
+# Excess over the limit that is acceptable, as a factor and in requests.
 ALLOWED_SHARE: Final = 1.5
 ALLOWED_EXTRA: Final = 5
 PLACEMENT: Final = Placement(
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def fleet(started: Fleet) -> Fleet:
-    """The fleet with sound servers that all entries have asked."""
+    """The fleet without faults, after requests to all entries."""
     for node in started.nodes:
         set_faults(node, BackendFaults())
     send_lookups(started)
@@ -62,7 +62,8 @@
 def send_lookups(fleet: Fleet) -> list[int]:
     nodes = fleet.nodes
     return [
-        send_lookup(nodes[time % len(nodes)], PATH) for time in range(LOOKUPS)
+        send_lookup(nodes[number % len(nodes)], PATH)
+        for number in range(LOOKUPS)
     ]
 
 
@@ -77,7 +78,7 @@
     fleet: Fleet,
     limited: int,
 ) -> None:
-    """Servers name a limit, and each node sends as much as that."""
+    """Without sharing, each node would send as much as the whole limit."""
     limited_nodes = fleet.nodes[:limited]
     for node in limited_nodes:
         set_faults(node, BackendFaults(rate_limit=LIMIT))
@@ -92,7 +93,7 @@
 
 
 def test_rate_limit_survives_the_kill_of_its_node(fleet: Fleet) -> None:
-    """A node is killed, and its successor lets everything through."""
+    """A node restarted after a kill must still apply the limit."""
     node = fleet.nodes[0]
     set_faults(node, BackendFaults(rate_limit=LIMIT))
     send_lookups(fleet)
@@ -108,10 +109,10 @@
 def test_leaving_server_gets_no_new_requests(
     fleet: Fleet,
 ) -> None:
-    """A server says that it leaves, and is asked while it is listed."""
+    """A server that announces leaving gets no requests while still listed."""
     leaving_node = fleet.nodes[3]
     set_faults(leaving_node, BackendFaults(leaving=True))
     before = read_counts(leaving_node).runs
     send_lookups(fleet)
-    # Word of it crosses the requests that are under way.
+    # Each node may send one request before it learns of the leaving.
     assert read_counts(leaving_node).runs - before <= len(fleet.nodes)
