--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks against real processes on loopback."""
+"""Benchmarks that run real processes on loopback addresses."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,7 @@
-"""``make bench``: prints one line a figure."""
+"""Runs all benchmarks and prints one line for each measurement.
+
+Started by ``make bench``.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +26,12 @@
 @click.command()
 @click.option('--seconds', type=float, default=SECONDS)
 def main(seconds: float) -> None:
-    """Measure everything and print the figures.
+    """Run all benchmarks and print their measurements.
 
     \f
 
     Args:
-        seconds: for each step of a benchmark.
+        seconds: duration of each step of a benchmark.
     """
     measurements = chain(
         measure_hops(),
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,4 +1,4 @@
-"""What the mesh adds to a call, against calling the backend server itself."""
+"""Measures the latency that the mesh adds to a direct call."""
 
 from __future__ import annotations
 
@@ -36,16 +36,17 @@
 
 
 def measure_calls(*, seconds: float) -> Iterator[Measurement]:
-    """Measure the added time at several rates.
+    """Measure the added latency and processor time at several rates.
 
-    The entries' own backend servers are of another service, so that every
-    call takes both hops.
+    The backend servers beside the entries belong to another service, so
+    that every call takes both hops.
 
     Args:
-        seconds: for each rate.
+        seconds: duration of the measurement at each rate.
 
     Yields:
-        Median and 99th percentile of what is added, by rate.
+        Processor time per call, and median and 99th percentile of the added
+        latency, by rate.
     """
     placement = Placement(
         region='midlands',
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,8 +1,9 @@
-"""Plays a day of its own for each kind of trouble, on the users' bench.
+"""Runs a scenario for each kind of fault on an external test bench.
 
-Each day has its trouble early and again late, over planned work: a change of
-configuration, a release, a rolling restart. The bench is a program that is
-given by its path; without one this module is of no use, and CI leaves it be.
+Each scenario, called a day, has its fault early and again late, during
+planned work: a change of configuration, a release and a rolling restart. The
+test bench is an external program that is given by its path. CI does not run
+this module, since it does not have that program.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     '{ at = 18.0, kind = "config_change", how = "weights" }',
     '{ at = 22.0, kind = "roll_term", share = 0.3, gap_s = 1.5, how = "busy" }',
 )
-# Kind, variant, and what else stands in the entry.
+# Kind, variant and the other fields of the entry.
 FAULTS: Final = (
     ('burst', '', 'x = 1.8, for_s = 4.0'),
     ('shift', '', 'share = 0.5, for_s = 5.0'),
@@ -121,12 +122,12 @@
 
 
 class DayFault(Struct, frozen=True, kw_only=True):
-    """One kind of trouble.
+    """A kind of fault that the bench can cause.
 
     Attributes:
-        kind: as the bench names it.
-        variant: its variant; empty for the plain one.
-        other_fields: the other fields of its entry.
+        kind: name of the fault in the bench.
+        variant: words that select variants; empty for the default.
+        other_fields: other fields of its entry, as TOML.
     """
 
     kind: str
@@ -135,17 +136,17 @@
 
     @property
     def name(self) -> str:
-        """Names the day."""
+        """Name of the day with this fault."""
         return '-'.join((self.kind, *self.variant.split()))
 
     def write_entry(self, at: float) -> str:
-        """Write its entry of a day.
+        """Format the entry of the fault in a day.
 
         Args:
             at: seconds from the start of traffic.
 
         Returns:
-            An inline table.
+            A TOML inline table.
         """
         named = f', how = "{self.variant}"' if self.variant else ''
         other_fields = f', {self.other_fields}' if self.other_fields else ''
@@ -153,14 +154,14 @@
 
 
 def write_day(fault: DayFault, *, seed: int) -> str:
-    """Write a day with a trouble early and late.
+    """Format a day that has a fault early and late.
 
     Args:
-        fault: the trouble.
-        seed: of the day.
+        fault: fault to cause.
+        seed: seed of the day.
 
     Returns:
-        TOML.
+        The day as TOML.
     """
     faults = (
         fault.write_entry(EARLY_SECONDS),
@@ -185,17 +186,17 @@
     folder: Path,
     seed: int,
 ) -> str:
-    """Play one day.
+    """Run one day on the bench.
 
     Args:
-        fault: of the day.
-        bench: the program.
-        site: the site file.
-        folder: where the day and its report are kept.
-        seed: of the day.
+        fault: fault of the day.
+        bench: path of the bench program.
+        site: path of the site file.
+        folder: folder for the day file and the output of the bench.
+        seed: seed of the day.
 
     Returns:
-        A line: what the bench says of the day.
+        The result line that the bench prints for the day.
     """
     day = folder / f'{site.stem}-{fault.name}.toml'
     day.write_text(write_day(fault, seed=seed))
@@ -226,7 +227,9 @@
 @click.argument('bench', type=click.Path(path_type=Path))
 @click.argument('site', type=click.Path(path_type=Path))
 @click.option('--folder', type=click.Path(path_type=Path), default='out/days')
-@click.option('--only', default='', help='Part of the names to play.')
+@click.option(
+    '--only', default='', help='Run only days whose name has this text.'
+)
 @click.option('--seed', default=1)
 @click.option('--jobs', default=4)
 def main(
@@ -237,17 +240,17 @@
     seed: int,
     jobs: int,
 ) -> None:
-    """Play a day of each kind of trouble and print a line for each.
+    """Run a day for each kind of fault and print a line for each.
 
     \f
 
     Args:
-        bench: the program.
-        site: the site file.
-        folder: where days and reports are kept.
-        only: part of the names of those to play.
-        seed: of the days.
-        jobs: days at once.
+        bench: path of the bench program.
+        site: path of the site file.
+        folder: folder for day files and the output of the bench.
+        only: text in the names of the days to run; empty for all.
+        seed: seed of the days.
+        jobs: number of days to run at once.
     """
     folder.mkdir(parents=True, exist_ok=True)
     faults = [
--- a/benchmarks/deep.py
+++ b/benchmarks/deep.py
@@ -1,4 +1,4 @@
-"""Calls that lead to calls, up to 11 deep."""
+"""Measures chains of nested calls, 11 deep."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 def measure_call_chain() -> Iterator[Measurement]:
-    """Measure one request that leads to ten more, one after the other.
+    """Measure a request that causes a chain of ten onward calls.
 
     Yields:
-        What the mesh adds, against as many calls straight to a backend
-        server.
+        Latency added by the mesh, with the same number of direct calls to a
+        backend server as baseline.
     """
     placement = Placement(
         region='midlands',
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -1,7 +1,8 @@
-"""``wagtaildale-bench``: runs a described experiment on real processes.
+"""``wagtaildale-bench``: runs experiments on real processes.
 
-Not shipped to nodes and no simulator: it starts a fleet on loopback, sends a
-load, causes the faults at their times and writes what callers saw.
+This is not a simulator, and it is not installed on nodes. It starts a fleet
+on loopback addresses, sends a load, causes the described faults at their
+times and writes the results that callers saw.
 
     python -m benchmarks.experiment run benchmarks/experiments/kill.toml
     python -m benchmarks.experiment compare out/a.json out/b.json
@@ -44,7 +45,7 @@
 
 @final
 class FaultKind(Enum):
-    """What can be caused."""
+    """Faults and other actions that an experiment can cause."""
 
     kill = 'kill'
     start = 'start'
@@ -57,12 +58,13 @@
 
 
 class FaultEntry(Struct, frozen=True, kw_only=True):
-    """One fault.
+    """A fault in an experiment.
 
     Attributes:
-        at: seconds after the load began.
-        kind: what is caused.
-        node: to which instance, where it concerns one.
+        at: seconds after the start of the load.
+        kind: kind of the fault.
+        node: instance that the fault applies to; empty for the platform
+            and for publishing.
     """
 
     at: float
@@ -71,17 +73,17 @@
 
 
 class Experiment(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What an experiment's file says.
+    """Description of an experiment, as read from its file.
 
     Attributes:
-        name: goes into the results.
-        deployment: one of the demo's.
-        seconds: of load.
-        calls_per_second: of all callers.
-        callers: at once.
-        seed: of all choices.
-        settings: TOML that is added to each node's settings.
-        faults: in any order.
+        name: name shown in the results.
+        deployment: name of a deployment of the demo.
+        seconds: duration of the load.
+        calls_per_second: mean rate of all callers together.
+        callers: number of concurrent callers.
+        seed: seed of all random choices.
+        settings: TOML appended to the settings of each node.
+        faults: faults to cause, in any order.
     """
 
     name: str
@@ -95,7 +97,7 @@
 
 
 class ClassResult(Struct, frozen=True, kw_only=True):
-    """How the calls of one class went."""
+    """Results of the calls of one class."""
 
     sent: int
     in_target_percent: float
@@ -107,7 +109,7 @@
 
 
 class ExperimentReport(Struct, frozen=True, kw_only=True):
-    """What an experiment has shown."""
+    """Results of an experiment."""
 
     name: str
     seed: int
@@ -119,11 +121,11 @@
     """Runs one experiment."""
 
     def __init__(self, experiment: Experiment, *, fleet: Fleet) -> None:
-        """Prepare.
+        """Prepare the run.
 
         Args:
-            experiment: what to do.
-            fleet: started.
+            experiment: experiment to run.
+            fleet: started fleet.
         """
         self._experiment = experiment
         self._fleet = fleet
@@ -133,7 +135,7 @@
         """Send the load and cause the faults.
 
         Returns:
-            What callers counted.
+            Counts of the callers by class name.
         """
         experiment = self._experiment
         deployment = DEPLOYMENTS[experiment.deployment]
@@ -187,7 +189,7 @@
 
 @click.group()
 def main() -> None:
-    """Run described experiments and compare their results."""
+    """Run experiments and compare their results."""
 
 
 @main.command()
@@ -199,8 +201,8 @@
     \f
 
     Args:
-        path: TOML.
-        out: folder.
+        path: path of the TOML file.
+        out: folder for results and plot.
     """
     table = tomllib.loads(path.read_text(encoding='utf-8'))
     experiment = convert(table, Experiment)
@@ -226,7 +228,7 @@
     \f
 
     Args:
-        paths: of results.
+        paths: paths of two result files.
     """
     _print_reports(
         [
--- a/benchmarks/faulty_node.py
+++ b/benchmarks/faulty_node.py
@@ -1,4 +1,7 @@
-"""A node with lossy sockets or other figures, for soak and sweep."""
+"""Runs a node that loses messages or has another tuning.
+
+Used by the soak, the sweep and the benchmarks of distribution under faults.
+"""
 
 from __future__ import annotations
 
@@ -24,38 +27,38 @@
 
 
 class LossySockets(NodeSockets):
-    """Loses a share of all messages that are sent."""
+    """Sockets that drop a share of all messages sent."""
 
     def __init__(self, keys: tuple[KeyPair, ...] = ()) -> None:
-        """Open nothing yet.
+        """Create the sockets without opening them.
 
         Args:
-            keys: of the fleet.
+            keys: key pairs of the fleet.
         """
         super().__init__(keys)
         self._loss_share = float(os.environ.get(LOSS_VARIABLE, '0'))
 
     def answer(self, instance: InstanceId, frame: bytes) -> bool:
-        """Send by the connection on which an instance last spoke.
+        """Send on the connection that an instance used last, or drop.
 
         Args:
-            instance: the receiver.
-            frame: the message.
+            instance: receiving instance.
+            frame: encoded message.
 
         Returns:
-            Whether it was taken, as far as the node can tell.
+            Whether the message was accepted; True if it was dropped.
         """
         return self._is_lost() or super().answer(instance, frame)
 
     def send(self, address: str, frame: bytes) -> bool:
-        """Send to an address.
+        """Send to an address, or drop the message.
 
         Args:
-            address: as ZeroMQ writes it.
-            frame: the message.
+            address: ZeroMQ endpoint.
+            frame: encoded message.
 
         Returns:
-            Whether it was taken, as far as the node can tell.
+            Whether the message was accepted; True if it was dropped.
         """
         return self._is_lost() or super().send(address, frame)
 
@@ -69,7 +72,7 @@
     """Run one node with lossy sockets.
 
     Args:
-        settings_file: path of the settings.
+        settings_file: path of the settings file.
     """
     settings = load_settings(settings_file).unwrap()
     tuning_text = os.environ.get(TUNING_VARIABLE)
--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -1,4 +1,7 @@
-"""The gate under a lock against the same decisions in a task of their own."""
+"""Compares the gate under a lock with a gate task that has an inbox.
+
+Both make the same admission decisions.
+"""
 
 from __future__ import annotations
 
@@ -36,14 +39,14 @@
 
 
 class Submission(Struct, frozen=True):
-    """A message to the task, and where the verdict goes."""
+    """A message to the gate task and the queue for its verdicts."""
 
     message: RequestArrived | RequestFinished
     replies: SimpleQueue[list[Verdict]]
 
 
 class GateTask:
-    """Owns the admission state; callers talk to it by messages."""
+    """Task that owns the admission state and receives messages."""
 
     def __init__(self) -> None:
         """Start the task."""
@@ -55,20 +58,20 @@
     def submit(
         self, message: RequestArrived | RequestFinished
     ) -> list[Verdict]:
-        """Ask and wait.
+        """Send a message and wait for the verdicts.
 
         Args:
-            message: to the gate.
+            message: message to the gate.
 
         Returns:
-            The verdicts.
+            Verdicts on the message.
         """
         replies: SimpleQueue[list[Verdict]] = SimpleQueue()
         self._inbox.put(Submission(message, replies))
         return replies.get()
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop the task and wait until it has ended."""
         self._inbox.put(None)
         self._thread.join()
 
@@ -85,10 +88,10 @@
 
 
 def measure_gates() -> Iterator[Measurement]:
-    """Measure entering and leaving, one caller, nobody waiting.
+    """Measure admission and release with one caller and an empty queue.
 
     Yields:
-        Median and tail of both.
+        Median and 99th percentile, with the gate task as baseline.
     """
     gate = Gate(make_admission(SLOTS), alarms=Alarms())
     task = GateTask()
--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -1,8 +1,8 @@
-"""What one hop between nodes costs by each transport that was weighed.
+"""Compares the cost of one hop between nodes by transport.
 
-The same request goes to one echoing process in frames of our own on one
-connection, by pycurl with a reused handle (HTTP), and by pyzmq (REQ to
-ROUTER).
+The same request goes to one echo process in three ways: in the frames of the
+mesh on one connection, over HTTP by pycurl with a reused handle, and by
+pyzmq (REQ to ROUTER).
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
 
 
 class Costs(Struct, frozen=True, kw_only=True):
-    """What one transport costs: median, tail, the client's processor."""
+    """Call durations and client processor time of one transport."""
 
     p50_ms: float
     p99_ms: float
@@ -80,13 +80,13 @@
 
 
 class HttpEcho:
-    """Answers every request with the same body."""
+    """Responds to every request with the same body."""
 
     def handle_request(self, exchange: Exchange) -> None:
-        """Answer one request.
+        """Respond to one request.
 
         Args:
-            exchange: the request.
+            exchange: exchange of the request.
         """
         exchange.begin_response(
             ResponseHead(status=200, headers=(HEADER,)), body=BODY
@@ -94,14 +94,14 @@
 
 
 class FrameEcho:
-    """Sends every frame back; receives the events of one connection."""
+    """Sends every frame of one connection back."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
-        """Take a connection.
+        """Handle an accepted connection.
 
         Args:
-            loop: carries it.
-            sock: the socket.
+            loop: event loop of the connection.
+            sock: connected socket.
         """
         self._reader = FrameReader()
         self._stream = Stream(loop, sock, self)
@@ -110,23 +110,23 @@
         """Do nothing."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Send frames back.
+        """Send the received frames back.
 
         Args:
-            chunk: as read.
+            chunk: bytes read from the connection.
         """
         for frame in self._reader.feed(chunk):
             self._stream.send(encode_frame(frame))
 
     def on_end(self) -> None:
-        """Close too."""
+        """Close the connection after the peer has closed it."""
         self._stream.close()
 
     def on_lost(self, error: OSError) -> None:
         """Do nothing.
 
         Args:
-            error: why.
+            error: reason of the loss.
         """
 
     def on_drained(self) -> None:
@@ -134,7 +134,7 @@
 
 
 def serve() -> None:
-    """Serve all protocols until the process is ended."""
+    """Serve all transports until the process is ended."""
     executor = ThreadPoolExecutor()
     loop = Loop(on_defect=print, on_late=print)
     port = CallerPort(
@@ -163,7 +163,8 @@
     """Measure each transport in turn.
 
     Yields:
-        Median, tail and the client's processor time, by transport.
+        Median, 99th percentile and processor time of the client for the
+        frames of the mesh, with each other transport as baseline.
     """
     server = subprocess.Popen(
         [sys.executable, '-m', 'benchmarks.hops'],
@@ -176,13 +177,13 @@
 
 
 class _ProcessCloser:
-    """Ends a process when closed."""
+    """Kills a process when closed."""
 
     def __init__(self, process: subprocess.Popen[bytes]) -> None:
         self._process = process
 
     def close(self) -> None:
-        """End the process."""
+        """Kill the process and wait until it has exited."""
         self._process.kill()
         self._process.wait()
 
--- a/benchmarks/measurements.py
+++ b/benchmarks/measurements.py
@@ -1,4 +1,4 @@
-"""How a benchmark's figures are printed: one line each."""
+"""Measurements of benchmarks, printed one per line."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class Measurement(Struct, frozen=True, kw_only=True):
-    """One figure, with a baseline of the same run.
+    """A measured value with a baseline from the same run.
 
     Attributes:
-        name: what was measured.
-        amount: how much.
-        unit: of what.
-        nodes: in the fleet.
-        baseline: our own other way to do the same.
-        baseline_amount: what that gave.
+        name: name of the measured quantity.
+        amount: measured value.
+        unit: unit of both values.
+        nodes: number of nodes in the fleet.
+        baseline: name of the alternative that is compared.
+        baseline_amount: value measured for the baseline.
     """
 
     name: str
@@ -31,7 +31,7 @@
     baseline_amount: float
 
     def print_line(self) -> None:
-        """Print the figure as key=value pairs."""
+        """Print the measurement as key=value pairs."""
         ratio = float('inf')
         if self.baseline_amount:
             ratio = self.amount / self.baseline_amount
@@ -43,14 +43,14 @@
 
 
 def find_percentile(amounts: Sequence[float], *, percent: float) -> float:
-    """Find a percentile.
+    """Find a percentile by the nearest-rank method.
 
     Args:
-        amounts: at least one.
-        percent: from 0 to 100.
+        amounts: values, at least one.
+        percent: percentile from 0 to 100.
 
     Returns:
-        The smallest amount that ``percent`` of all do not exceed.
+        The smallest value that ``percent`` of all values do not exceed.
     """
     ordered = sorted(amounts)
     index = round(len(ordered) * percent / 100 + 0.5) - 1
--- a/benchmarks/pinger.py
+++ b/benchmarks/pinger.py
@@ -1,8 +1,9 @@
-"""One process that calls through the mesh and directly, in turn.
+"""Process that alternates calls through the mesh and direct calls.
 
-Reads its orders from standard input and writes the durations of both to
-standard output. One thread and raw sockets keep its own noise small; both
-ways are measured alike, so that what is left of it cancels out.
+Reads its plan from standard input and writes the durations of both kinds of
+calls to standard output. One thread and raw sockets keep the overhead of
+the measurement small; both kinds are measured in the same way, so that the
+remaining overhead cancels out.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 
 class PingPlan(Struct, frozen=True, kw_only=True):
-    """What one pinger does.
+    """Calls that one pinger makes.
 
     Attributes:
-        mesh: entry to call through.
-        direct: backend server to call.
-        request: whole request, head and body.
-        calls_per_second: through the mesh, and as many directly.
-        seconds: how long.
-        warm_up: calls of each kind that are not counted.
-        seed: of the gaps between calls.
+        mesh: entry address for calls through the mesh.
+        direct: address of the backend server for direct calls.
+        request: complete request, head and body.
+        calls_per_second: mean rate of each kind of call.
+        seconds: duration of the measurement.
+        warm_up: number of unmeasured calls of each kind.
+        seed: seed of the random intervals between calls.
     """
 
     mesh: tuple[str, int]
@@ -44,35 +45,35 @@
 
 
 class Durations(Struct, frozen=True, kw_only=True):
-    """How long each call took, seconds."""
+    """Durations of the calls of each kind, seconds."""
 
     mesh: list[float]
     direct: list[float]
 
 
 class Connection:
-    """One kept-alive connection."""
+    """A kept-alive HTTP connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         """Connect.
 
         Args:
-            address: IP number and port.
+            address: IP address and port.
         """
         self._sock = socket.create_connection(address, TIMEOUT_SECONDS)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def call(self, request: bytes) -> float:
-        """Send a request and read the whole response.
+        """Send a request and read the complete response.
 
         Args:
-            request: head and body.
+            request: head and body of the request.
 
         Returns:
-            Seconds it took.
+            Duration of the call, seconds.
 
         Raises:
-            RuntimeError: for anything but a plain 200.
+            RuntimeError: if the response is truncated or not a 200.
         """
         started = time.perf_counter()
         self._sock.sendall(request)
@@ -80,22 +81,22 @@
         while not _is_complete(response):
             chunk = self._sock.recv(READ_BYTES)
             if not chunk:
-                raise RuntimeError(f'cut answer: {response!r}')
+                raise RuntimeError(f'truncated response: {response!r}')
             response += chunk
         seconds = time.perf_counter() - started
         if not response.startswith(b'HTTP/1.1 200'):
-            raise RuntimeError(f'got {response!r}')
+            raise RuntimeError(f'expected status 200, got {response!r}')
         return seconds
 
 
 def run_plan(plan: PingPlan) -> Durations:
-    """Carry out an order.
+    """Make the calls of a plan.
 
     Args:
-        plan: what to do.
+        plan: calls to make.
 
     Returns:
-        What was measured.
+        Durations of the calls.
     """
     mesh = Connection(plan.mesh)
     direct = Connection(plan.direct)
@@ -127,7 +128,7 @@
 
 
 def main() -> None:
-    """Carry out the order on standard input."""
+    """Run the plan given on standard input."""
     plan = json.decode(sys.stdin.buffer.read(), type=PingPlan)
     sys.stdout.buffer.write(json.encode(run_plan(plan)))
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,7 +1,7 @@
-"""Whether each class meets its target: our policy against plain round robin.
+"""Compares the share of calls within target with plain round robin.
 
 The baseline is the same program with admission, reservations and hedges
-switched off and every upstream taken in turn.
+switched off and upstreams chosen in turn.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class SituationCounts(Struct, frozen=True, kw_only=True):
-    """Share of calls within target, by class, in three situations."""
+    """Call counts by class under usual load, doubled load and node loss."""
 
     usual: dict[str, CallCounts]
     doubled: dict[str, CallCounts]
@@ -52,13 +52,13 @@
 
 
 def measure_policy(*, seconds: float) -> Iterator[Measurement]:
-    """Measure our policy and the baseline.
+    """Measure the default policy and the baseline.
 
     Args:
-        seconds: for each situation.
+        seconds: duration of each situation.
 
     Yields:
-        Share in target by class and situation.
+        Share of calls within target by situation and class.
     """
     policy_shares = _measure_fleet('', seconds)
     baseline_shares = _measure_fleet(ROUND_ROBIN_SETTINGS, seconds)
@@ -82,7 +82,7 @@
     """Restart every node in turn under load.
 
     Yields:
-        Calls that had no good answer, against all calls sent.
+        Calls without a complete response, with all calls sent as baseline.
     """
     with _start_fleet('', service_ms=5) as fleet:
         load = _start_load(fleet, ROLLING_CALLS_PER_SECOND)
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -1,7 +1,8 @@
-"""What the state of one node costs at the size to build for.
+"""Measures the cost of one node's state at full size.
 
-The pure parts of a node are given documents of full size: 360 services and
-2,500 instances. The baseline is a tenth of that, in the same run.
+The pure parts of a node get documents of the largest supported size: 360
+services and 2,500 instances. The baseline is a tenth of that, in the same
+run.
 """
 
 from __future__ import annotations
@@ -64,14 +65,14 @@
 
 
 class Size(Struct, frozen=True, kw_only=True):
-    """How large a fleet is."""
+    """Number of services and instances in a fleet."""
 
     services: int
     instances: int
 
 
 class Costs(Struct, frozen=True, kw_only=True):
-    """What one node's state costs."""
+    """Processing time, memory and message sizes of one node's state."""
 
     change_apply_ms: float
     table_build_ms: float
@@ -85,10 +86,10 @@
 
 
 def measure_size() -> Iterator[Measurement]:
-    """Measure the full size and a tenth of it.
+    """Measure the full size with a tenth of it as baseline.
 
     Yields:
-        Each cost.
+        One measurement for each field of ``Costs``.
     """
     full = _measure(Size(services=SERVICES, instances=INSTANCES))
     tenth = _measure(
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,8 +1,8 @@
-"""``make soak``: real processes under random faults from a seed.
+"""Soak test: real processes under seeded random faults.
 
-Invariants are asserted inside the nodes; the backend servers count runs;
-callers check every answer. Exits non-zero on a break and keeps the time
-line.
+Started by ``make soak``. Nodes assert invariants, backend servers count runs
+and callers check every response. Exits with a non-zero status if an
+invariant breaks, and writes the time line in any case.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from demo.deployments import HAILMARK
 from demo.summary import write_timeline
 from standins.backend import FAULTS_PATH, BackendFaults
-from standins.caller import WorkClass, CallCounts
+from standins.caller import CallCounts, WorkClass
 from standins.client import read_json
 from standins.fleet import BACKEND_PORT, Fleet, FleetOptions, NodeProcess
-from standins.invariants import Verdict, gather_events, check_invariants
+from standins.invariants import Verdict, check_invariants, gather_events
 from standins.load import Load, LoadPlan
 from wagtaildale.configuration.compiled import Compiled, hash_part
 from wagtaildale.configuration.model import Manifest
@@ -48,14 +48,14 @@
 
 
 class Outcome(Struct, frozen=True, kw_only=True):
-    """What a soak has shown.
+    """Results of a soak.
 
     Attributes:
-        verdict: on the invariants.
-        converged: whether a last change reached every node.
-        failed_stops: planned stops that cut work.
-        faults: how many were caused.
-        counts: of the callers.
+        verdict: violations of invariants.
+        converged: whether all nodes hold a version published at the end.
+        failed_stops: planned stops that cut work and so exited non-zero.
+        faults: number of faults caused.
+        counts: counts of the callers by class name.
     """
 
     verdict: Verdict
@@ -66,14 +66,14 @@
 
     @property
     def has_passed(self) -> bool:
-        """Whether nothing broke."""
+        """Whether invariants held, the fleet converged and stops passed."""
         return (
             self.verdict.has_passed and self.converged and not self.failed_stops
         )
 
 
 class Soak:
-    """One run."""
+    """One soak run on a fleet."""
 
     def __init__(
         self,
@@ -82,12 +82,12 @@
         seed: int,
         mix: tuple[WorkClass, ...],
     ) -> None:
-        """Prepare.
+        """Prepare the run.
 
         Args:
-            fleet: started.
-            seed: of all choices.
-            mix: what callers ask for.
+            fleet: started fleet.
+            seed: seed of all random choices.
+            mix: classes of requests that callers send.
         """
         self._mix = mix
         self._fleet = fleet
@@ -98,13 +98,13 @@
         self._paused: dict[NodeProcess, float] = {}
 
     def run(self, seconds: float) -> Outcome:
-        """Cause faults for a time, then heal and judge.
+        """Cause faults for a time, then remove them and check invariants.
 
         Args:
-            seconds: of faults.
+            seconds: how long faults are caused.
 
         Returns:
-            What was shown.
+            Results of the run.
         """
         plan = LoadPlan(
             mix=self._mix,
@@ -164,8 +164,8 @@
     def _stop_and_start(self) -> None:
         node = self._choose_node()
         if node.is_running() and node not in self._paused:
-            # A process that has not yet come to its signal handlers is
-            # ended by the signal at once; that is no planned stop.
+            # SIGTERM kills a process that has not installed its signal
+            # handlers yet, which would not be a planned stop.
             self._fleet.wait_ready([node])
             node.terminate()
             exit_code = node.wait()
@@ -252,8 +252,10 @@
 @click.command()
 @click.option('--seconds', type=float, default=60)
 @click.option('--seed', type=int, default=1)
-@click.option('--bookings', is_flag=True, help='Send nothing but bookings.')
-@click.option('--one-step', is_flag=True, help='Run without reserving.')
+@click.option('--bookings', is_flag=True, help='Send only bookings.')
+@click.option(
+    '--one-step', is_flag=True, help='Send calls without a reservation.'
+)
 def main(
     seconds: float,
     seed: int,
@@ -261,15 +263,15 @@
     bookings: bool,
     one_step: bool,
 ) -> None:
-    """Soak a small fleet and print one summary line.
+    """Run a soak on a small fleet and print one summary line.
 
     \f
 
     Args:
-        seconds: of faults.
-        seed: of all choices.
-        bookings: send nothing but what must not run twice.
-        one_step: send it at once, without a reservation.
+        seconds: how long faults are caused.
+        seed: seed of all random choices.
+        bookings: whether to send only requests that must not run twice.
+        one_step: whether to send calls without a reservation.
     """
     mix = tuple(
         work_class
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,4 +1,4 @@
-"""How a change spreads: convergence time, control bytes, source reads."""
+"""Measures distribution: convergence time, control bytes, platform reads."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class ControlCosts(Struct, frozen=True, kw_only=True):
-    """What control has cost the fleet so far.
+    """Cumulative cost of control traffic in a fleet.
 
     Attributes:
-        read_at: when, seconds.
-        transferred_bytes: sent and received by all nodes, including what
-            is read from the platform.
-        cpu_seconds: processor seconds of all nodes.
-        reads: calls to the platform.
+        read_at: monotonic time of the reading, seconds.
+        transferred_bytes: bytes sent and received by all nodes, including
+            those read from the platform.
+        cpu_seconds: processor time of all nodes.
+        reads: number of reads of the platform.
     """
 
     read_at: float
@@ -49,15 +49,16 @@
 
 
 class Rates(Struct, frozen=True, kw_only=True):
-    """What control costs.
+    """Cost of control traffic and convergence times.
 
     Attributes:
-        bytes_per_second: sent and received by a node.
-        cpu_share: of a core, by a node.
-        reads_per_second: by the whole fleet.
-        resident_mb: of the largest node.
-        convergence_ms: each change's, for each node.
-        bytes_per_change: sent and received by a node, over the idle rate.
+        bytes_per_second: bytes sent and received by a node while idle.
+        cpu_share: share of a core used by a node while idle.
+        reads_per_second: platform reads of the whole fleet while idle.
+        resident_mb: resident memory of the largest node.
+        convergence_ms: time until each node applied each change.
+        bytes_per_change: bytes sent and received by a node for a change,
+            above the idle rate.
     """
 
     bytes_per_second: float
@@ -73,14 +74,14 @@
     sizes: tuple[int, ...] = SIZES,
     spread: str = 'prompt',
 ) -> Iterator[Measurement]:
-    """Measure fleets of several sizes against our own ``direct`` mode.
+    """Measure fleets of several sizes with ``direct`` mode as baseline.
 
     Args:
-        sizes: nodes in each fleet.
-        spread: the distribution setting.
+        sizes: number of nodes of each fleet.
+        spread: distribution setting to measure.
 
     Yields:
-        Convergence, bytes, reads, processor time and memory, by size.
+        Convergence, bytes, reads, processor time and memory by size.
     """
     for nodes in sizes:
         rates = measure_fleet(nodes, spread=spread)
@@ -89,13 +90,13 @@
 
 
 def place_nodes(nodes: int) -> Placement:
-    """Place a number of nodes.
+    """Place nodes of two services in three data centres.
 
     Args:
-        nodes: how many.
+        nodes: number of nodes.
 
     Returns:
-        Two services in three data centres.
+        The placement, half of the nodes for each service.
     """
     return Placement(
         region='midlands',
@@ -108,25 +109,25 @@
     """Measure one fleet, idle and while changes are published.
 
     Args:
-        nodes: how many.
-        spread: the distribution setting.
+        nodes: number of nodes.
+        spread: distribution setting.
 
     Returns:
-        What was measured.
+        Costs and convergence times.
     """
     options = FleetOptions(spread=spread, log_level='error')
     return measure_fleet_with_options(nodes, options=options)
 
 
 def measure_fleet_with_options(nodes: int, *, options: FleetOptions) -> Rates:
-    """Measure one fleet with any options.
+    """Measure one fleet with given options.
 
     Args:
-        nodes: how many.
-        options: how it is started.
+        nodes: number of nodes.
+        options: settings of the fleet.
 
     Returns:
-        What was measured.
+        Costs and convergence times.
     """
     with Fleet(place_nodes(nodes), options=options) as fleet:
         fleet.start(compile_version(1))
@@ -146,13 +147,13 @@
 
 
 def compile_version(version: int) -> Compiled:
-    """Compile a version that differs from its neighbours in one target.
+    """Compile a version that differs from all others in one target.
 
     Args:
-        version: its number.
+        version: version number.
 
     Returns:
-        What is published.
+        Manifest and parts to publish.
     """
     text = MESH_FILE.read_text(encoding='utf-8')
     text = text.replace('within_ms = 150', f'within_ms = {100 + version}')
@@ -164,14 +165,14 @@
     """Publish a version and measure when each running node applied it.
 
     Args:
-        fleet: running.
-        version: its number.
+        fleet: running fleet.
+        version: version number.
 
     Returns:
-        Milliseconds for each node.
+        Milliseconds until each node applied the version.
 
     Raises:
-        TimeoutError: when a node does not apply it in time.
+        TimeoutError: if a node does not apply it in time.
     """
     running = [node for node in fleet.nodes if node.is_running()]
     published = time.time() * MILLISECONDS
@@ -180,7 +181,9 @@
     applied: dict[str, float] = {}
     while len(applied) < len(running):
         if time.monotonic() > deadline:
-            raise TimeoutError(f'{len(applied)} of {len(running)} nodes')
+            raise TimeoutError(
+                f'{len(applied)} of {len(running)} nodes applied the version',
+            )
         time.sleep(CHANGE_SECONDS)
         applied = {
             event.node: read_milliseconds(event.stamp) - published
--- a/benchmarks/spread_faults.py
+++ b/benchmarks/spread_faults.py
@@ -1,4 +1,4 @@
-"""How a change spreads under faults, and what a mass restart reads."""
+"""Measures distribution under faults, and platform reads on mass restart."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     """Measure one fleet size under each fault.
 
     Args:
-        nodes: in the fleet.
-        spread: the distribution setting.
+        nodes: number of nodes in the fleet.
+        spread: distribution setting to measure.
 
     Yields:
-        Convergence with lost messages and with all readers killed, and the
-        platform's reads at a mass restart; against ``direct``.
+        Convergence with lost messages and with all readers killed, and
+        platform reads on a mass restart, with ``direct`` as baseline.
     """
     lossy = measure_lossy_changes(nodes, spread=spread)
     yield _make_measurement(
@@ -69,11 +69,11 @@
     """Measure changes while messages between nodes are lost.
 
     Args:
-        nodes: in the fleet.
-        spread: the distribution setting.
+        nodes: number of nodes in the fleet.
+        spread: distribution setting.
 
     Returns:
-        Milliseconds, of every change at every node.
+        Milliseconds until each node applied each change.
     """
     os.environ[LOSS_VARIABLE] = str(LOSS_SHARE)
     options = FleetOptions(
@@ -92,13 +92,13 @@
 
 
 def measure_mass_restart(fleet: Fleet) -> tuple[float, float]:
-    """Kill every node at once, start all and count the platform's reads.
+    """Kill all nodes, start them again and count the platform reads.
 
     Args:
-        fleet: running.
+        fleet: running fleet.
 
     Returns:
-        Most reads in a second, and seconds until all were ready.
+        Most reads within a second, and seconds until all nodes are ready.
     """
     for node in fleet.nodes:
         node.kill()
--- a/benchmarks/sweep.py
+++ b/benchmarks/sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps the figures of distribution: what each one trades.
+"""Measures distribution with different tuning parameters.
 
 python -m benchmarks.sweep
 """
@@ -28,10 +28,10 @@
 
 
 def list_tunings() -> Iterator[tuple[str, Tuning]]:
-    """List what is tried: one figure changed at a time.
+    """List the tunings to measure; each changes one parameter.
 
     Yields:
-        What was changed, and the figures.
+        Description of the change, and the tuning.
     """
     yield 'as it is', DEFAULT_TUNING
     for fan_out in (2, 8):
@@ -46,14 +46,14 @@
 
 
 def measure_row(name: str, tuning: Tuning) -> list[str]:
-    """Measure one set of figures with 5% of messages lost.
+    """Measure one tuning with 5% of messages lost.
 
     Args:
-        name: what was changed.
-        tuning: the figures.
+        name: description of the change.
+        tuning: tuning to measure.
 
     Returns:
-        Cells of one row.
+        Cells of one table row.
     """
     os.environ[LOSS_VARIABLE] = LOSS_SHARE
     os.environ[TUNING_VARIABLE] = json.encode(tuning).decode()
@@ -75,7 +75,7 @@
 
 @click.command()
 def main() -> None:
-    """Print one row for each set of figures."""
+    """Print one table row for each tuning."""
     rows = [measure_row(name, tuning) for name, tuning in list_tunings()]
     print_table(
         ('changed', 'p50 ms', 'p100 ms', 'idle B/s', 'B/change', 'reads/s'),
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -21,7 +21,7 @@
     FleetOptions,
     NodeProcess,
 )
-from standins.invariants import gather_events, check_invariants
+from standins.invariants import check_invariants, gather_events
 from standins.load import Load, LoadPlan
 from wagtaildale.configuration.compiled import Compiled, compile_mesh
 from wagtaildale.configuration.files import parse_mesh
--- a/standins/load.py
+++ b/standins/load.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from standins.caller import Caller, WorkClass, CallCounts, sum_counts
+from standins.caller import CallCounts, Caller, WorkClass, sum_counts
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/standins/tests/test_crashing_requests.py
+++ b/standins/tests/test_crashing_requests.py
@@ -12,7 +12,7 @@
 
 from standins.backend import BackendFaults
 from standins.fleet import Fleet, FleetOptions, Placement
-from standins.tests.node_client import TIMEOUT_SECONDS, send_lookup, read_counts
+from standins.tests.node_client import TIMEOUT_SECONDS, read_counts, send_lookup
 from wagtaildale.cli.main import main
 from wagtaildale.testing.builders import build_compiled
 
--- a/standins/tests/test_limits_and_leaving.py
+++ b/standins/tests/test_limits_and_leaving.py
@@ -11,7 +11,7 @@
 
 from standins.backend import FAULTS_PATH, BackendFaults
 from standins.fleet import BACKEND_PORT, Fleet, FleetOptions, Placement
-from standins.tests.node_client import send_lookup, read_counts
+from standins.tests.node_client import read_counts, send_lookup
 from wagtaildale.testing.builders import build_compiled
 
 if TYPE_CHECKING:
