--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -73,22 +73,24 @@
         _start_pinger(record, rate, min(load_seconds, 4 * seconds), number)
         for number, record in enumerate(fleet.records[:ENTRIES])
     ]
-    cpu = _read_cpu(fleet)
+    cpu_before = _read_cpu(fleet)
     started_at = time.monotonic()
     measured = [_finish_pinger(pinger) for pinger in pingers]
     cpu_seconds = (
-        _read_cpu(fleet) - cpu - idle_cpu * (time.monotonic() - started_at)
+        _read_cpu(fleet)
+        - cpu_before
+        - idle_cpu * (time.monotonic() - started_at)
     )
     mesh = [each for durations in measured for each in durations.mesh]
     direct = [each for durations in measured for each in durations.direct]
-    base = find_percentile(direct, percent=MEDIAN)
+    direct_seconds = find_percentile(direct, percent=MEDIAN)
     yield Measurement(
         name=f'node_cpu_us_per_call_at_{rate}',
         amount=cpu_seconds / len(mesh) * MICROSECONDS,
         unit='us',
         nodes=len(fleet.nodes),
         baseline='direct_p50',
-        baseline_amount=base * MICROSECONDS,
+        baseline_amount=direct_seconds * MICROSECONDS,
     )
     yield from _compare(mesh, direct, rate, len(fleet.nodes))
 
@@ -111,15 +113,15 @@
     nodes: int,
 ) -> Iterator[Measurement]:
     for percent in (MEDIAN, TAIL):
-        through = find_percentile(mesh, percent=percent) * MILLISECONDS
-        base = find_percentile(direct, percent=percent) * MILLISECONDS
+        mesh_ms = find_percentile(mesh, percent=percent) * MILLISECONDS
+        direct_ms = find_percentile(direct, percent=percent) * MILLISECONDS
         yield Measurement(
             name=f'added_call_p{percent}_ms_at_{rate}',
-            amount=through - base,
+            amount=mesh_ms - direct_ms,
             unit='ms',
             nodes=nodes,
             baseline='direct',
-            baseline_amount=base,
+            baseline_amount=direct_ms,
         )
 
 
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -60,21 +60,23 @@
     Yields:
         Share of calls within target by situation and class.
     """
-    policy_shares = _measure_fleet('', seconds)
-    baseline_shares = _measure_fleet(ROUND_ROBIN_SETTINGS, seconds)
+    policy_situations = _measure_fleet('', seconds)
+    baseline_situations = _measure_fleet(ROUND_ROBIN_SETTINGS, seconds)
     for situation in SituationCounts.__struct_fields__:
-        policy_counts: dict[str, CallCounts] = getattr(policy_shares, situation)
+        policy_counts: dict[str, CallCounts] = getattr(
+            policy_situations, situation
+        )
         baseline_counts: dict[str, CallCounts] = getattr(
-            baseline_shares, situation
+            baseline_situations, situation
         )
         for name in sorted(policy_counts):
             yield Measurement(
                 name=f'in_target_percent_{situation}_{name}',
-                amount=_find_share(policy_counts[name]),
+                amount=_compute_share_in_target(policy_counts[name]),
                 unit='percent',
                 nodes=2 * NODES_PER_SERVICE,
                 baseline='round-robin-no-admission',
-                baseline_amount=_find_share(baseline_counts[name]),
+                baseline_amount=_compute_share_in_target(baseline_counts[name]),
             )
 
 
@@ -82,7 +84,7 @@
     """Restart every node in turn under load.
 
     Yields:
-        Calls without a complete response, with all calls sent as baseline.
+        Calls not answered by a backend server, with all calls sent as baseline.
     """
     with _start_fleet('', service_ms=5) as fleet:
         load = _start_load(fleet, ROLLING_CALLS_PER_SECOND)
@@ -157,5 +159,5 @@
     return load.stop()
 
 
-def _find_share(counts: CallCounts) -> float:
+def _compute_share_in_target(counts: CallCounts) -> float:
     return PERCENT * counts.in_time / max(1, counts.sent)
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -114,7 +114,9 @@
     configuration = _make_filled_store(
         Kind.configuration, _build_configuration(size, 1)
     )
-    instances = _make_filled_store(Kind.instances, _build_list(size, 1))
+    instances = _make_filled_store(
+        Kind.instances, _build_instance_list(size, 1)
+    )
     state = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     parts = check_parts(configuration.held.blobs).unwrap()
@@ -124,7 +126,7 @@
         for number in range(size.instances)
     ]
     change = _build_configuration(size, 2)
-    listing = _build_list(size, 2)
+    listing = _build_instance_list(size, 2)
     return Costs(
         change_apply_ms=_time_apply(configuration.held, change),
         table_build_ms=_time_fastest(lambda: RoutingTable(parts))
@@ -155,7 +157,7 @@
     )
 
 
-def _build_list(size: Size, version: int) -> Document:
+def _build_instance_list(size: Size, version: int) -> Document:
     records = [
         build_record(
             f'i{number}',
--- a/benchmarks/spread_faults.py
+++ b/benchmarks/spread_faults.py
@@ -47,21 +47,23 @@
     with Fleet(place_nodes(nodes), options=options) as fleet:
         fleet.start(compile_version(1))
         time.sleep(SETTLE_SECONDS)
-        killed = max(_measure_reader_kill(fleet, kill) for kill in range(KILLS))
-        peak, ready = measure_mass_restart(fleet)
+        killed_ms = max(
+            _measure_reader_kill(fleet, kill) for kill in range(KILLS)
+        )
+        peak, ready_seconds = measure_mass_restart(fleet)
     direct = FleetOptions(spread='direct', log_level='error')
     with Fleet(place_nodes(nodes), options=direct) as fleet:
         fleet.start(compile_version(1))
         time.sleep(SETTLE_SECONDS)
-        base_peak, base_ready = measure_mass_restart(fleet)
+        base_peak, base_ready_seconds = measure_mass_restart(fleet)
     yield _make_measurement(
-        'convergence_p100_ms_readers_killed', killed, nodes, 0
+        'convergence_p100_ms_readers_killed', killed_ms, nodes, 0
     )
     yield _make_measurement(
         'restart_reads_peak_per_second', peak, nodes, base_peak
     )
     yield _make_measurement(
-        'restart_seconds_to_ready', ready, nodes, base_ready
+        'restart_seconds_to_ready', ready_seconds, nodes, base_ready_seconds
     )
 
 
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -55,7 +55,7 @@
 
     Attributes:
         sent: all requests sent.
-        answered: complete responses that match their request.
+        answered: matching responses and errors from backend servers.
         in_time: answered calls within the target.
         not_run: calls refused with the outcome "not-run".
         unknown: calls with the outcome "unknown".
@@ -76,7 +76,7 @@
     keys_not_run: list[str] = field(default_factory=list)
 
     def count_answer(self, seconds: float, work_class: WorkClass) -> None:
-        """Count a complete and matching response.
+        """Count a matching response or an error of a backend server.
 
         Args:
             seconds: duration of the call.
@@ -216,7 +216,7 @@
             counts.keys_not_run.append(expected.key)
         elif answer.outcome == 'unknown':
             counts.unknown += 1
-        elif answer.is_from_backend and not answer.matches(expected):
+        elif answer.expects_echo and not answer.matches(expected):
             counts.wrong += 1
         else:
             counts.count_answer(seconds, work_class)
@@ -230,8 +230,8 @@
     text: bytes
 
     @property
-    def is_from_backend(self) -> bool:
-        """Whether the response is not a server error."""
+    def expects_echo(self) -> bool:
+        """Whether the body must echo the request; errors have no echo."""
         return self.status < SERVER_ERROR
 
     def matches(self, expected: Echo) -> bool:
