--- a/standins/invariants.py
+++ b/standins/invariants.py
@@ -59,9 +59,9 @@
         for call_counts in counts.values()
         for key in call_counts.keys_not_run
     ]
-    keys = _list_non_idempotent_runs(fleet)
+    run_counts = _list_non_idempotent_runs(fleet)
     return Verdict(
-        twice=sum(1 for count in keys if count > 1),
+        twice=sum(1 for count in run_counts if count > 1),
         lied=sum(1 for key in not_run if key in runs),
         wrong=sum(call_counts.wrong for call_counts in counts.values()),
         broken=_count_broken_invariants(fleet),
