--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -148,9 +148,9 @@
         Returns:
             A TOML inline table.
         """
-        variant_field = f', how = "{self.variant}"' if self.variant else ''
+        how = f', how = "{self.variant}"' if self.variant else ''
         other_fields = f', {self.other_fields}' if self.other_fields else ''
-        return f'{{ at = {at}, kind = "{self.kind}"{variant_field}{other_fields} }}'
+        return f'{{ at = {at}, kind = "{self.kind}"{how}{other_fields} }}'
 
 
 def write_day(fault: DayFault, *, seed: int) -> str:
