--- a/standins/backend.py
+++ b/standins/backend.py
@@ -297,7 +297,7 @@
             await backend.chained_caller.call(remaining_calls, headers)
         except (OSError, EOFError):
             # Like a real server that depends on the response of its own call.
-            self._send_response(SERVER_ERROR, b'no response to an onward call')
+            self._send_response(SERVER_ERROR, b'no answer to a call of its own')
             return
         if backend.draw_fault(backend.spec.faults.close_share):
             self._transport.close()
