--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,4 +1,4 @@
-"""What the mesh adds to a call, against calling the backend server itself."""
+"""Measures the latency that the mesh adds to a direct call."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from msgspec import json
 
-from benchmarks.figures import Figure, find_percentile
-from benchmarks.pinger import Durations, Order
+from benchmarks.measurements import Measurement, find_percentile
+from benchmarks.pinger import Durations, PingPlan
 from standins.backend import BackendFaults
 from standins.fleet import BACKEND_PORT, Fleet, FleetOptions, Placement
 from wagtaildale.configuration.compiled import compile_mesh
@@ -27,25 +27,26 @@
 RATES: Final = (1, 50, 150)
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
-LEAST_CALLS: Final = 200
+MINIMUM_CALLS: Final = 200
 IDLE_SECONDS: Final = 2.0
 MEDIAN: Final = 50
 TAIL: Final = 99
 ENTRIES: Final = 2
-LOOKUP: Final = b'GET /files/7 HTTP/1.1\r\nhost: mesh\r\n\r\n'
+LOOKUP_REQUEST: Final = b'GET /files/7 HTTP/1.1\r\nhost: mesh\r\n\r\n'
 
 
-def measure_calls(*, seconds: float) -> Iterator[Figure]:
-    """Measure the added time at several rates.
+def measure_calls(*, seconds: float) -> Iterator[Measurement]:
+    """Measure the added latency and processor time at several rates.
 
-    The entries' own backend servers are of another service, so that every
-    call takes both hops.
+    The backend servers beside the entries belong to another service, so
+    that every call takes both hops.
 
     Args:
-        seconds: for each rate.
+        seconds: duration of the measurement at each rate.
 
     Yields:
-        Median and 99th percentile of what is added, by rate.
+        Processor time per call, and median and 99th percentile of the added
+        latency, by rate.
     """
     placement = Placement(
         region='midlands',
@@ -63,27 +64,33 @@
             yield from _measure_rate(fleet, rate, seconds)
 
 
-def _measure_rate(fleet: Fleet, rate: int, seconds: float) -> Iterator[Figure]:
-    longer = max(seconds, LEAST_CALLS / rate)
+def _measure_rate(
+    fleet: Fleet, rate: int, seconds: float
+) -> Iterator[Measurement]:
+    load_seconds = max(seconds, MINIMUM_CALLS / rate)
     idle_cpu = _measure_cpu(fleet, IDLE_SECONDS)
     pingers = [
-        _start_pinger(record, rate, min(longer, 4 * seconds), number)
+        _start_pinger(record, rate, min(load_seconds, 4 * seconds), number)
         for number, record in enumerate(fleet.records[:ENTRIES])
     ]
-    cpu = _read_cpu(fleet)
-    began = time.monotonic()
+    cpu_before = _read_cpu(fleet)
+    started_at = time.monotonic()
     measured = [_finish_pinger(pinger) for pinger in pingers]
-    spent = _read_cpu(fleet) - cpu - idle_cpu * (time.monotonic() - began)
+    cpu_seconds = (
+        _read_cpu(fleet)
+        - cpu_before
+        - idle_cpu * (time.monotonic() - started_at)
+    )
     mesh = [each for durations in measured for each in durations.mesh]
     direct = [each for durations in measured for each in durations.direct]
-    base = find_percentile(direct, percent=MEDIAN)
-    yield Figure(
+    direct_seconds = find_percentile(direct, percent=MEDIAN)
+    yield Measurement(
         name=f'node_cpu_us_per_call_at_{rate}',
-        amount=spent / len(mesh) * MICROSECONDS,
+        amount=cpu_seconds / len(mesh) * MICROSECONDS,
         unit='us',
         nodes=len(fleet.nodes),
         baseline='direct_p50',
-        baseline_amount=base * MICROSECONDS,
+        baseline_amount=direct_seconds * MICROSECONDS,
     )
     yield from _compare(mesh, direct, rate, len(fleet.nodes))
 
@@ -104,17 +111,17 @@
     direct: list[float],
     rate: int,
     nodes: int,
-) -> Iterator[Figure]:
+) -> Iterator[Measurement]:
     for percent in (MEDIAN, TAIL):
-        through = find_percentile(mesh, percent=percent) * MILLISECONDS
-        base = find_percentile(direct, percent=percent) * MILLISECONDS
-        yield Figure(
+        mesh_ms = find_percentile(mesh, percent=percent) * MILLISECONDS
+        direct_ms = find_percentile(direct, percent=percent) * MILLISECONDS
+        yield Measurement(
             name=f'added_call_p{percent}_ms_at_{rate}',
-            amount=through - base,
+            amount=mesh_ms - direct_ms,
             unit='ms',
             nodes=nodes,
             baseline='direct',
-            baseline_amount=base,
+            baseline_amount=direct_ms,
         )
 
 
@@ -124,10 +131,10 @@
     seconds: float,
     seed: int,
 ) -> subprocess.Popen[Any]:
-    order = Order(
+    plan = PingPlan(
         mesh=(record.host, record.entry_port),
         direct=(record.host, BACKEND_PORT),
-        request=LOOKUP,
+        request=LOOKUP_REQUEST,
         calls_per_second=rate,
         seconds=seconds,
         seed=seed,
@@ -138,7 +145,7 @@
         stdout=subprocess.PIPE,
     )
     assert process.stdin is not None
-    process.stdin.write(json.encode(order))
+    process.stdin.write(json.encode(plan))
     process.stdin.close()
     return process
 
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,8 +1,9 @@
-"""Plays a day of its own for each kind of trouble, on the users' bench.
+"""Runs a scenario for each kind of fault on an external test bench.
 
-Each day has its trouble early and again late, over planned work: a change of
-configuration, a release, a rolling restart. The bench is a program that is
-given by its path; without one this module is of no use, and CI leaves it be.
+Each scenario, called a day, has its fault early and again late, during
+planned work: a change of configuration, a release and a rolling restart. The
+test bench is an external program that is given by its path. CI does not run
+this module, since it does not have that program.
 """
 
 from __future__ import annotations
@@ -19,16 +20,16 @@
 
 EARLY_SECONDS: Final = 5.0
 LATE_SECONDS: Final = 17.0
-PLAY_SECONDS: Final = 500
-PLAN: Final = (
+DAY_TIMEOUT_SECONDS: Final = 500
+PLANNED_WORK: Final = (
     '{ at = 6.0, kind = "config_change", how = "route" }',
     '{ at = 8.0, kind = "config_storm", for_s = 2.0, gap_s = 0.25 }',
     '{ at = 16.0, kind = "release", share = 0.3, gap_s = 1.0 }',
     '{ at = 18.0, kind = "config_change", how = "weights" }',
     '{ at = 22.0, kind = "roll_term", share = 0.3, gap_s = 1.5, how = "busy" }',
 )
-# Kind, variant, and what else stands in the entry.
-TROUBLES: Final = (
+# Kind, variant and the other fields of the entry.
+FAULTS: Final = (
     ('burst', '', 'x = 1.8, for_s = 4.0'),
     ('shift', '', 'share = 0.5, for_s = 5.0'),
     ('retry_abuse', '', 'x = 3.0, share = 0.3, for_s = 5.0'),
@@ -120,86 +121,86 @@
 )
 
 
-class Trouble(Struct, frozen=True, kw_only=True):
-    """One kind of trouble.
+class DayFault(Struct, frozen=True, kw_only=True):
+    """A kind of fault that the bench can cause.
 
     Attributes:
-        kind: as the bench names it.
-        how: its variant; empty for the plain one.
-        rest: the other fields of its entry.
+        kind: name of the fault in the bench.
+        variant: words that select variants; empty for the default.
+        other_fields: other fields of its entry, as TOML.
     """
 
     kind: str
-    how: str
-    rest: str
+    variant: str
+    other_fields: str
 
     @property
     def name(self) -> str:
-        """Names the day."""
-        return '-'.join((self.kind, *self.how.split()))
+        """Name of the day with this fault."""
+        return '-'.join((self.kind, *self.variant.split()))
 
     def write_entry(self, at: float) -> str:
-        """Write its entry of a day.
+        """Format the entry of the fault in a day.
 
         Args:
             at: seconds from the start of traffic.
 
         Returns:
-            An inline table.
+            A TOML inline table.
         """
-        named = f', how = "{self.how}"' if self.how else ''
-        rest = f', {self.rest}' if self.rest else ''
-        return f'{{ at = {at}, kind = "{self.kind}"{named}{rest} }}'
+        how = f', how = "{self.variant}"' if self.variant else ''
+        other_fields = f', {self.other_fields}' if self.other_fields else ''
+        return f'{{ at = {at}, kind = "{self.kind}"{how}{other_fields} }}'
 
 
-def write_day(trouble: Trouble, *, seed: int) -> str:
-    """Write a day with a trouble early and late.
+def write_day(fault: DayFault, *, seed: int) -> str:
+    """Format a day that has a fault early and late.
 
     Args:
-        trouble: the trouble.
-        seed: of the day.
+        fault: fault to cause.
+        seed: seed of the day.
 
     Returns:
-        TOML.
+        The day as TOML.
     """
     faults = (
-        trouble.write_entry(EARLY_SECONDS),
-        trouble.write_entry(LATE_SECONDS),
+        fault.write_entry(EARLY_SECONDS),
+        fault.write_entry(LATE_SECONDS),
     )
     return '\n'.join(
         (
-            f'name = "{trouble.name}"',
+            f'name = "{fault.name}"',
             f'seed = {seed}',
-            'plan = [\n  {0},\n]'.format(',\n  '.join(PLAN)),
+            'plan = [\n  {0},\n]'.format(',\n  '.join(PLANNED_WORK)),
             'faults = [\n  {0},\n]'.format(',\n  '.join(faults)),
             '',
         ),
     )
 
 
-def play_day(
-    trouble: Trouble,
+def run_day(
+    fault: DayFault,
     *,
     bench: Path,
     site: Path,
     folder: Path,
     seed: int,
 ) -> str:
-    """Play one day.
+    """Run one day on the bench.
 
     Args:
-        trouble: of the day.
-        bench: the program.
-        site: the site file.
-        folder: where the day and its report are kept.
-        seed: of the day.
+        fault: fault of the day.
+        bench: path of the bench program.
+        site: path of the site file.
+        folder: folder for the day file and the output of the bench.
+        seed: seed of the day.
 
     Returns:
-        A line: what the bench says of the day.
+        The result line that the bench prints for the day.
     """
-    day = folder / f'{site.stem}-{trouble.name}.toml'
-    day.write_text(write_day(trouble, seed=seed))
-    played = subprocess.run(
+    day = folder / f'{site.stem}-{fault.name}.toml'
+    day.write_text(write_day(fault, seed=seed))
+    completed = subprocess.run(
         [
             bench,
             'run',
@@ -208,23 +209,27 @@
             '--jobs',
             '1',
             '--why',
-            f'a day of {trouble.name}, early and late',
+            f'a day of {fault.name}, early and late',
         ],
         capture_output=True,
         text=True,
-        timeout=PLAY_SECONDS,
+        timeout=DAY_TIMEOUT_SECONDS,
         check=False,
     )
-    day.with_suffix('.txt').write_text(played.stdout + played.stderr)
-    found = re.search(f'^{trouble.name} .*$', played.stdout, re.MULTILINE)
-    return found.group() if found else f'{trouble.name}: {played.stdout[-300:]}'
+    day.with_suffix('.txt').write_text(completed.stdout + completed.stderr)
+    found = re.search(f'^{fault.name} .*$', completed.stdout, re.MULTILINE)
+    return (
+        found.group() if found else f'{fault.name}: {completed.stdout[-300:]}'
+    )
 
 
 @click.command()
 @click.argument('bench', type=click.Path(path_type=Path))
 @click.argument('site', type=click.Path(path_type=Path))
 @click.option('--folder', type=click.Path(path_type=Path), default='out/days')
-@click.option('--only', default='', help='Part of the names to play.')
+@click.option(
+    '--only', default='', help='Run only days whose name has this text.'
+)
 @click.option('--seed', default=1)
 @click.option('--jobs', default=4)
 def main(
@@ -235,26 +240,27 @@
     seed: int,
     jobs: int,
 ) -> None:
-    """Play a day of each kind of trouble and print a line for each.
+    """Run a day for each kind of fault and print a line for each.
 
     \f
 
     Args:
-        bench: the program.
-        site: the site file.
-        folder: where days and reports are kept.
-        only: part of the names of those to play.
-        seed: of the days.
-        jobs: days at once.
+        bench: path of the bench program.
+        site: path of the site file.
+        folder: folder for day files and the output of the bench.
+        only: text in the names of the days to run; empty for all.
+        seed: seed of the days.
+        jobs: number of days to run at once.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    troubles = [
-        Trouble(kind=kind, how=how, rest=rest) for kind, how, rest in TROUBLES
+    faults = [
+        DayFault(kind=kind, variant=variant, other_fields=other_fields)
+        for kind, variant, other_fields in FAULTS
     ]
-    play = partial(play_day, bench=bench, site=site, folder=folder, seed=seed)
+    run_one = partial(run_day, bench=bench, site=site, folder=folder, seed=seed)
     with ThreadPoolExecutor(jobs) as executor:
-        wanted = [each for each in troubles if only in each.name]
-        for line in executor.map(play, wanted):
+        wanted = [each for each in faults if only in each.name]
+        for line in executor.map(run_one, wanted):
             click.echo(line)
 
 
--- a/benchmarks/pinger.py
+++ b/benchmarks/pinger.py
@@ -1,8 +1,9 @@
-"""One process that calls through the mesh and directly, in turn.
+"""Process that alternates calls through the mesh and direct calls.
 
-Reads its orders from standard input and writes the durations of both to
-standard output. One thread and raw sockets keep its own noise small; both
-ways are measured alike, so that what is left of it cancels out.
+Reads its plan from standard input and writes the durations of both kinds of
+calls to standard output. One thread and raw sockets keep the overhead of
+the measurement small; both kinds are measured in the same way, so that the
+remaining overhead cancels out.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 TIMEOUT_SECONDS: Final = 10.0
 
 
-class Order(Struct, frozen=True, kw_only=True):
-    """What one pinger does.
+class PingPlan(Struct, frozen=True, kw_only=True):
+    """Calls that one pinger makes.
 
     Attributes:
-        mesh: entry to call through.
-        direct: backend server to call.
-        request: whole request, head and body.
-        calls_per_second: through the mesh, and as many directly.
-        seconds: how long.
-        warm_up: calls of each kind that are not counted.
-        seed: of the gaps between calls.
+        mesh: entry address for calls through the mesh.
+        direct: address of the backend server for direct calls.
+        request: complete request, head and body.
+        calls_per_second: mean rate of each kind of call.
+        seconds: duration of the measurement.
+        warm_up: number of unmeasured calls of each kind.
+        seed: seed of the random intervals between calls.
     """
 
     mesh: tuple[str, int]
@@ -44,81 +45,81 @@
 
 
 class Durations(Struct, frozen=True, kw_only=True):
-    """How long each call took, seconds."""
+    """Durations of the calls of each kind, seconds."""
 
     mesh: list[float]
     direct: list[float]
 
 
-class Line:
-    """One kept-alive connection."""
+class Connection:
+    """A kept-alive HTTP connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         """Connect.
 
         Args:
-            address: IP number and port.
+            address: IP address and port.
         """
         self._sock = socket.create_connection(address, TIMEOUT_SECONDS)
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def call(self, request: bytes) -> float:
-        """Send a request and read the whole response.
+        """Send a request and read the complete response.
 
         Args:
-            request: head and body.
+            request: head and body of the request.
 
         Returns:
-            Seconds it took.
+            Duration of the call, seconds.
 
         Raises:
-            RuntimeError: for anything but a plain 200.
+            RuntimeError: if the response is truncated or not a 200.
         """
         started = time.perf_counter()
         self._sock.sendall(request)
-        answer = self._sock.recv(READ_BYTES)
-        while not _is_whole(answer):
-            piece = self._sock.recv(READ_BYTES)
-            if not piece:
-                raise RuntimeError(f'cut answer: {answer!r}')
-            answer += piece
+        response = self._sock.recv(READ_BYTES)
+        while not _is_complete(response):
+            chunk = self._sock.recv(READ_BYTES)
+            if not chunk:
+                raise RuntimeError(f'truncated response: {response!r}')
+            response += chunk
         seconds = time.perf_counter() - started
-        if not answer.startswith(b'HTTP/1.1 200'):
-            raise RuntimeError(f'got {answer!r}')
+        if not response.startswith(b'HTTP/1.1 200'):
+            raise RuntimeError(f'expected status 200, got {response!r}')
         return seconds
 
 
-def run(order: Order) -> Durations:
-    """Carry out an order.
+def run_plan(plan: PingPlan) -> Durations:
+    """Make the calls of a plan.
 
     Args:
-        order: what to do.
+        plan: calls to make.
 
     Returns:
-        What was measured.
+        Durations of the calls.
     """
-    mesh = Line(order.mesh)
-    direct = Line(order.direct)
-    _warm_up(order, (mesh, direct))
+    mesh = Connection(plan.mesh)
+    direct = Connection(plan.direct)
+    _warm_up(plan, (mesh, direct))
     measured = Durations(mesh=[], direct=[])
-    chooser = random.Random(order.seed)
-    until = time.monotonic() + order.seconds
+    random_generator = random.Random(plan.seed)
+    end_time = time.monotonic() + plan.seconds
     due = time.monotonic()
-    while time.monotonic() < until:
-        due += chooser.expovariate(order.calls_per_second)
+    while time.monotonic() < end_time:
+        due += random_generator.expovariate(plan.calls_per_second)
         time.sleep(max(0, due - time.monotonic()))
-        measured.mesh.append(mesh.call(order.request))
-        measured.direct.append(direct.call(order.request))
+        measured.mesh.append(mesh.call(plan.request))
+        measured.direct.append(direct.call(plan.request))
     return measured
 
 
-def _warm_up(order: Order, lines: tuple[Line, ...]) -> None:
-    for line in lines * order.warm_up:
-        line.call(order.request)
+def _warm_up(plan: PingPlan, connections: tuple[Connection, ...]) -> None:
+    for connection in connections * plan.warm_up:
+        connection.call(plan.request)
 
 
-def _is_whole(answer: bytes) -> bool:
-    head, found, body = answer.partition(HEAD_END)
+def _is_complete(response: bytes) -> bool:
+    head, found, body = response.partition(HEAD_END)
     if not found:
         return False
     start = head.lower().index(LENGTH_FIELD) + len(LENGTH_FIELD)
@@ -127,9 +128,9 @@
 
 
 def main() -> None:
-    """Carry out the order on standard input."""
-    order = json.decode(sys.stdin.buffer.read(), type=Order)
-    sys.stdout.buffer.write(json.encode(run(order)))
+    """Run the plan given on standard input."""
+    plan = json.decode(sys.stdin.buffer.read(), type=PingPlan)
+    sys.stdout.buffer.write(json.encode(run_plan(plan)))
 
 
 if __name__ == '__main__':
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -1,7 +1,8 @@
-"""What the state of one node costs at the size to build for.
+"""Measures the cost of one node's state at full size.
 
-The pure parts of a node are given documents of full size: 360 services and
-2,500 instances. The baseline is a tenth of that, in the same run.
+The pure parts of a node get documents of the largest supported size: 360
+services and 2,500 instances. The baseline is a tenth of that, in the same
+run.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from msgspec import Struct
 
-from benchmarks.figures import Figure
+from benchmarks.measurements import Measurement
 from wagtaildale.configuration.whole import check_parts
 from wagtaildale.distribution.wire import (
     Envelope,
@@ -54,7 +55,7 @@
 SERVICES: Final = 360
 INSTANCES: Final = 2500
 DATA_CENTRES: Final = 10
-TENTH: Final = 10
+BASELINE_DIVISOR: Final = 10
 REPEATS: Final = 20
 LOOKUPS: Final = 2000
 MILLISECONDS: Final = 1000
@@ -64,14 +65,14 @@
 
 
 class Size(Struct, frozen=True, kw_only=True):
-    """How large a fleet is."""
+    """Number of services and instances in a fleet."""
 
     services: int
     instances: int
 
 
 class Costs(Struct, frozen=True, kw_only=True):
-    """What one node's state costs."""
+    """Processing time, memory and message sizes of one node's state."""
 
     change_apply_ms: float
     table_build_ms: float
@@ -84,18 +85,21 @@
     manifest_bytes: float
 
 
-def measure_size() -> Iterator[Figure]:
-    """Measure the full size and a tenth of it.
+def measure_size() -> Iterator[Measurement]:
+    """Measure the full size with a tenth of it as baseline.
 
     Yields:
-        Each cost.
+        One measurement for each field of ``Costs``.
     """
     full = _measure(Size(services=SERVICES, instances=INSTANCES))
     tenth = _measure(
-        Size(services=SERVICES // TENTH, instances=INSTANCES // TENTH),
+        Size(
+            services=SERVICES // BASELINE_DIVISOR,
+            instances=INSTANCES // BASELINE_DIVISOR,
+        ),
     )
     for name in Costs.__struct_fields__:
-        yield Figure(
+        yield Measurement(
             name=f'size_{name}',
             amount=getattr(full, name),
             unit=name.rpartition('_')[2],
@@ -107,24 +111,31 @@
 
 def _measure(size: Size) -> Costs:
     tracemalloc.start()
-    configuration = _fill(Kind.configuration, _build_configuration(size, 1))
-    instances = _fill(Kind.instances, _build_list(size, 1))
+    configuration = _make_filled_store(
+        Kind.configuration, _build_configuration(size, 1)
+    )
+    instances = _make_filled_store(
+        Kind.instances, _build_instance_list(size, 1)
+    )
     state = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     parts = check_parts(configuration.held.blobs).unwrap()
     table = RoutingTable(parts)
     places = [
-        Member(InstanceId(f'i{number}'), _find_centre(number))
+        Member(InstanceId(f'i{number}'), _assign_data_centre(number))
         for number in range(size.instances)
     ]
     change = _build_configuration(size, 2)
-    listing = _build_list(size, 2)
+    listing = _build_instance_list(size, 2)
     return Costs(
         change_apply_ms=_time_apply(configuration.held, change),
-        table_build_ms=_time(lambda: RoutingTable(parts)) * MILLISECONDS,
+        table_build_ms=_time_fastest(lambda: RoutingTable(parts))
+        * MILLISECONDS,
         find_class_us=_time_lookups(table, size) * MICROSECONDS,
         list_apply_ms=_time_apply(instances.held, listing),
-        topology_ms=_time(lambda: compute_topology(places, own=places[0]))
+        topology_ms=_time_fastest(
+            lambda: compute_topology(places, own=places[0])
+        )
         * MILLISECONDS,
         state_mb=state / MEGABYTE,
         change_push_bytes=_measure_push(configuration.held, change),
@@ -146,12 +157,12 @@
     )
 
 
-def _build_list(size: Size, version: int) -> Document:
+def _build_instance_list(size: Size, version: int) -> Document:
     records = [
         build_record(
             f'i{number}',
             service=f's{number % size.services}',
-            data_centre=_find_centre(number),
+            data_centre=_assign_data_centre(number),
         )
         for number in range(size.instances)
     ]
@@ -159,11 +170,11 @@
     return build_instances(*records, version=version)
 
 
-def _find_centre(number: int) -> DataCentre:
+def _assign_data_centre(number: int) -> DataCentre:
     return DataCentre(f'dc{number % DATA_CENTRES}')
 
 
-def _fill(kind: Kind, document: Document) -> StoreState:
+def _make_filled_store(kind: Kind, document: Document) -> StoreState:
     store = make_store(kind, check=CHECKS[kind])
     delta = make_delta(store.held, target=document)
     decide_offer(DeltaOffered(delta=delta), store)
@@ -172,23 +183,23 @@
 
 def _time_apply(base: Document, target: Document) -> float:
     delta = make_delta(base, target=target)
-    spent = []
+    durations = []
     for _repeat in range(REPEATS):
         store = make_store(base.kind, check=CHECKS[base.kind])
         store.held = base
         started = time.perf_counter()
         decide_offer(DeltaOffered(delta=delta), store)
-        spent.append(time.perf_counter() - started)
-    return min(spent) * MILLISECONDS
+        durations.append(time.perf_counter() - started)
+    return min(durations) * MILLISECONDS
 
 
-def _time(step: Callable[[], object]) -> float:
-    spent = []
+def _time_fastest(step: Callable[[], object]) -> float:
+    durations = []
     for _repeat in range(REPEATS):
         started = time.perf_counter()
         step()
-        spent.append(time.perf_counter() - started)
-    return min(spent)
+        durations.append(time.perf_counter() - started)
+    return min(durations)
 
 
 def _time_lookups(table: RoutingTable, size: Size) -> float:
@@ -200,7 +211,7 @@
         for path in paths:
             assert table.find('GET', path) is not None
 
-    return _time(find_all) / LOOKUPS
+    return _time_fastest(find_all) / LOOKUPS
 
 
 def _measure_push(base: Document, target: Document) -> float:
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,4 +1,4 @@
-"""How a change spreads: convergence time, control bytes, source reads."""
+"""Measures distribution: convergence time, control bytes, platform reads."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from msgspec import Struct
 
-from benchmarks.figures import Figure, find_percentile
+from benchmarks.measurements import Measurement, find_percentile
 from standins.fleet import Fleet, FleetOptions, Placement
-from standins.judge import gather_events
+from standins.invariants import gather_events
 from wagtaildale.configuration.compiled import Compiled, compile_mesh
 from wagtaildale.configuration.files import parse_mesh
 from wagtaildale.telemetry.clock import read_milliseconds
@@ -28,36 +28,37 @@
 SETTLE_SECONDS: Final = 20.0
 MILLISECONDS: Final = 1000
 MEDIAN: Final = 50
-WHOLE: Final = 100
+MAXIMUM: Final = 100
 
 
-class Costs(Struct, frozen=True, kw_only=True):
-    """What control has cost the fleet so far.
+class ControlCosts(Struct, frozen=True, kw_only=True):
+    """Cumulative cost of control traffic in a fleet.
 
     Attributes:
-        at: when, seconds.
-        moved: bytes sent and received by all nodes, those read from the
-            platform included.
-        cpu: processor seconds of all nodes.
-        reads: calls to the platform.
+        read_at: monotonic time of the reading, seconds.
+        transferred_bytes: bytes sent and received by all nodes, including
+            those read from the platform.
+        cpu_seconds: processor time of all nodes.
+        reads: number of reads of the platform.
     """
 
-    at: float
-    moved: int
-    cpu: float
+    read_at: float
+    transferred_bytes: int
+    cpu_seconds: float
     reads: int
 
 
 class Rates(Struct, frozen=True, kw_only=True):
-    """What control costs.
+    """Cost of control traffic and convergence times.
 
     Attributes:
-        bytes_per_second: sent and received by a node.
-        cpu_share: of a core, by a node.
-        reads_per_second: by the whole fleet.
-        resident_mb: of the largest node.
-        convergence_ms: each change's, for each node.
-        bytes_per_change: sent and received by a node, over the idle rate.
+        bytes_per_second: bytes sent and received by a node while idle.
+        cpu_share: share of a core used by a node while idle.
+        reads_per_second: platform reads of the whole fleet while idle.
+        resident_mb: resident memory of the largest node.
+        convergence_ms: time until each node applied each change.
+        bytes_per_change: bytes sent and received by a node for a change,
+            above the idle rate.
     """
 
     bytes_per_second: float
@@ -72,30 +73,30 @@
     *,
     sizes: tuple[int, ...] = SIZES,
     spread: str = 'prompt',
-) -> Iterator[Figure]:
-    """Measure fleets of several sizes against our own ``direct`` mode.
+) -> Iterator[Measurement]:
+    """Measure fleets of several sizes with ``direct`` mode as baseline.
 
     Args:
-        sizes: nodes in each fleet.
-        spread: the distribution setting.
+        sizes: number of nodes of each fleet.
+        spread: distribution setting to measure.
 
     Yields:
-        Convergence, bytes, reads, processor time and memory, by size.
+        Convergence, bytes, reads, processor time and memory by size.
     """
     for nodes in sizes:
         rates = measure_fleet(nodes, spread=spread)
-        base = measure_fleet(nodes, spread='direct')
-        yield from _compare(nodes, rates, base)
+        baseline_rates = measure_fleet(nodes, spread='direct')
+        yield from _compare(nodes, rates, baseline_rates)
 
 
 def place_nodes(nodes: int) -> Placement:
-    """Place a number of nodes.
+    """Place nodes of two services in three data centres.
 
     Args:
-        nodes: how many.
+        nodes: number of nodes.
 
     Returns:
-        Two services in three data centres.
+        The placement, half of the nodes for each service.
     """
     return Placement(
         region='midlands',
@@ -108,49 +109,51 @@
     """Measure one fleet, idle and while changes are published.
 
     Args:
-        nodes: how many.
-        spread: the distribution setting.
+        nodes: number of nodes.
+        spread: distribution setting.
 
     Returns:
-        What was measured.
+        Costs and convergence times.
     """
     options = FleetOptions(spread=spread, log_level='error')
-    return measure_options(nodes, options=options)
+    return measure_fleet_with_options(nodes, options=options)
 
 
-def measure_options(nodes: int, *, options: FleetOptions) -> Rates:
-    """Measure one fleet with any options.
+def measure_fleet_with_options(nodes: int, *, options: FleetOptions) -> Rates:
+    """Measure one fleet with given options.
 
     Args:
-        nodes: how many.
-        options: how it is started.
+        nodes: number of nodes.
+        options: settings of the fleet.
 
     Returns:
-        What was measured.
+        Costs and convergence times.
     """
     with Fleet(place_nodes(nodes), options=options) as fleet:
         fleet.start(compile_version(1))
         time.sleep(CHANGE_SECONDS * 2)
-        idle = _read_costs(fleet)
+        before_idle = _read_control_costs(fleet)
         time.sleep(IDLE_SECONDS)
-        quiet = _read_costs(fleet)
-        spent = [
+        after_idle = _read_control_costs(fleet)
+        convergence_ms = [
             each
             for version in range(2, 2 + CHANGES)
             for each in measure_change(fleet, version)
         ]
-        changed = _read_costs(fleet)
-        return _sum_up(fleet, (idle, quiet, changed), spent)
+        after_changes = _read_control_costs(fleet)
+        return _compute_rates(
+            fleet, (before_idle, after_idle, after_changes), convergence_ms
+        )
 
 
 def compile_version(version: int) -> Compiled:
-    """Compile a version that differs from its neighbours in one target.
+    """Compile a version that differs from all others in one target.
 
     Args:
-        version: its number.
+        version: version number.
 
     Returns:
-        What is published.
+        Manifest and parts to publish.
     """
     text = MESH_FILE.read_text(encoding='utf-8')
     text = text.replace('within_ms = 150', f'within_ms = {100 + version}')
@@ -162,14 +165,14 @@
     """Publish a version and measure when each running node applied it.
 
     Args:
-        fleet: running.
-        version: its number.
+        fleet: running fleet.
+        version: version number.
 
     Returns:
-        Milliseconds for each node.
+        Milliseconds until each node applied the version.
 
     Raises:
-        TimeoutError: when a node does not apply it in time.
+        TimeoutError: if a node does not apply it in time.
     """
     running = [node for node in fleet.nodes if node.is_running()]
     published = time.time() * MILLISECONDS
@@ -178,7 +181,9 @@
     applied: dict[str, float] = {}
     while len(applied) < len(running):
         if time.monotonic() > deadline:
-            raise TimeoutError(f'{len(applied)} of {len(running)} nodes')
+            raise TimeoutError(
+                f'{len(applied)} of {len(running)} nodes applied the version',
+            )
         time.sleep(CHANGE_SECONDS)
         applied = {
             event.node: read_milliseconds(event.stamp) - published
@@ -189,52 +194,62 @@
     return list(applied.values())
 
 
-def _read_costs(fleet: Fleet) -> Costs:
+def _read_control_costs(fleet: Fleet) -> ControlCosts:
     reports = [node.report() for node in fleet.nodes if node.is_running()]
     known = [report for report in reports if report is not None]
-    between = 2 * sum(report.control.sent_bytes for report in known)
-    return Costs(
-        at=time.monotonic(),
-        moved=between + fleet.platform.counts.answered_bytes,
-        cpu=sum(report.cpu_seconds for report in known),
+    node_bytes = 2 * sum(report.control.sent_bytes for report in known)
+    return ControlCosts(
+        read_at=time.monotonic(),
+        transferred_bytes=node_bytes + fleet.platform.counts.answered_bytes,
+        cpu_seconds=sum(report.cpu_seconds for report in known),
         reads=fleet.platform.counts.reads,
     )
 
 
-def _sum_up(
+def _compute_rates(
     fleet: Fleet,
-    costs: tuple[Costs, Costs, Costs],
-    spent: list[float],
+    costs: tuple[ControlCosts, ControlCosts, ControlCosts],
+    convergence_ms: list[float],
 ) -> Rates:
-    idle, quiet, changed = costs
+    before_idle, after_idle, after_changes = costs
     nodes = len(fleet.nodes)
-    seconds = quiet.at - idle.at
-    sent = (quiet.moved - idle.moved) / nodes
-    busy = (changed.moved - quiet.moved) / nodes
-    extra = busy - sent / seconds * (changed.at - quiet.at)
+    seconds = after_idle.read_at - before_idle.read_at
+    idle_bytes = (
+        after_idle.transferred_bytes - before_idle.transferred_bytes
+    ) / nodes
+    change_bytes = (
+        after_changes.transferred_bytes - after_idle.transferred_bytes
+    ) / nodes
+    extra_bytes = change_bytes - idle_bytes / seconds * (
+        after_changes.read_at - after_idle.read_at
+    )
     reports = (node.report() for node in fleet.nodes)
     return Rates(
-        bytes_per_second=sent / seconds,
-        cpu_share=(quiet.cpu - idle.cpu) / seconds / nodes,
-        reads_per_second=(quiet.reads - idle.reads) / seconds,
+        bytes_per_second=idle_bytes / seconds,
+        cpu_share=(after_idle.cpu_seconds - before_idle.cpu_seconds)
+        / seconds
+        / nodes,
+        reads_per_second=(after_idle.reads - before_idle.reads) / seconds,
         resident_mb=max(
             report.resident_bytes / 1e6 for report in reports if report
         ),
-        convergence_ms=spent,
-        bytes_per_change=extra / CHANGES,
+        convergence_ms=convergence_ms,
+        bytes_per_change=extra_bytes / CHANGES,
     )
 
 
-def _compare(nodes: int, rates: Rates, base: Rates) -> Iterator[Figure]:
-    for percent in (MEDIAN, WHOLE):
-        yield Figure(
+def _compare(
+    nodes: int, rates: Rates, baseline_rates: Rates
+) -> Iterator[Measurement]:
+    for percent in (MEDIAN, MAXIMUM):
+        yield Measurement(
             name=f'convergence_p{percent}_ms',
             amount=find_percentile(rates.convergence_ms, percent=percent),
             unit='ms',
             nodes=nodes,
             baseline='direct',
             baseline_amount=find_percentile(
-                base.convergence_ms,
+                baseline_rates.convergence_ms,
                 percent=percent,
             ),
         )
@@ -246,11 +261,11 @@
         'resident_mb': ('node_resident_mb', 'MB'),
     }
     for attribute, (name, unit) in units.items():
-        yield Figure(
+        yield Measurement(
             name=name,
             amount=getattr(rates, attribute),
             unit=unit,
             nodes=nodes,
             baseline='direct',
-            baseline_amount=getattr(base, attribute),
+            baseline_amount=getattr(baseline_rates, attribute),
         )
--- a/demo/summary.py
+++ b/demo/summary.py
@@ -1,4 +1,4 @@
-"""The table at the end of the demonstration, and its time line."""
+"""Prints the summary tables of the demo and writes its time line."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from msgspec import Struct, json
 
 from demo.deployments import Deployment
-from standins.caller import WorkCounts
-from standins.judge import Verdict
+from standins.caller import CallCounts
+from standins.invariants import Verdict
 from wagtaildale.cli.output import print_table
 
 if TYPE_CHECKING:
@@ -21,89 +21,92 @@
 PERCENT = 100
 
 
-class Figures(Struct, frozen=True, kw_only=True):
-    """What the demonstration measured.
+class DemoOutcome(Struct, frozen=True, kw_only=True):
+    """Measurements of one run of the demo.
 
     Attributes:
-        deployment: which one ran.
-        version: published last.
-        held: how many running nodes hold it.
-        running: nodes that run at the end.
-        convergence_ms: for each change, until the last node had applied it.
-        control_bytes: sent and received by a node in a second, on average.
-        counts: of the callers, by class.
-        verdict: on the invariants.
-        stop_code: exit code of the planned stop.
-        timeline: file with all events.
+        deployment: deployment that ran.
+        version: last published version.
+        updated: number of running nodes that hold it.
+        running: number of nodes that run at the end.
+        convergence_ms: time until the last node applied each change.
+        control_bytes_per_second: mean control traffic of a node, sent and
+            received.
+        counts: counts of the callers by class name.
+        verdict: violations of invariants.
+        stop_code: exit code of the node that was stopped as planned.
+        timeline: path of the file with all events.
     """
 
     deployment: Deployment
     version: int
-    held: int
+    updated: int
     running: int
     convergence_ms: list[int]
-    control_bytes: float
-    counts: dict[str, WorkCounts]
+    control_bytes_per_second: float
+    counts: dict[str, CallCounts]
     verdict: Verdict
     stop_code: int
     timeline: Path
 
     @property
-    def is_good(self) -> bool:
-        """Whether all invariants held and the change is everywhere."""
-        everywhere = self.held == self.running
-        return self.verdict.is_good and everywhere and self.stop_code == 0
+    def has_passed(self) -> bool:
+        """Whether no invariant broke and all nodes hold the last change."""
+        everywhere = self.updated == self.running
+        return self.verdict.has_passed and everywhere and self.stop_code == 0
 
 
-def print_summary(figures: Figures) -> None:
-    """Print the figures as two tables.
+def print_summary(outcome: DemoOutcome) -> None:
+    """Print two tables: calls by class, and measurements of the run.
 
     Args:
-        figures: of one run.
+        outcome: measurements to print.
     """
     click.echo()
-    click.echo(figures.deployment.title)
+    click.echo(outcome.deployment.title)
     rows = [
-        _describe_work(name, counts)
-        for name, counts in sorted(figures.counts.items())
+        _describe_class(name, counts)
+        for name, counts in sorted(outcome.counts.items())
     ]
     print_table(
         ('class', 'calls', 'in target', 'not run', 'unknown', 'lost'),
         rows=rows,
     )
     click.echo()
-    verdict = figures.verdict
-    times = ', '.join(f'{spent} ms' for spent in figures.convergence_ms)
+    verdict = outcome.verdict
+    times = ', '.join(
+        f'{duration_ms} ms' for duration_ms in outcome.convergence_ms
+    )
     print_table(
         ('figure', 'this run'),
         rows=(
             (
-                f'version {figures.version} in force',
-                f'{figures.held} of {figures.running} running nodes',
+                f'version {outcome.version} in force',
+                f'{outcome.updated} of {outcome.running} running nodes',
             ),
             ('convergence time of the changes', times),
             (
                 'control bytes a node a second',
-                f'{figures.control_bytes:.0f}',
+                f'{outcome.control_bytes_per_second:.0f}',
             ),
             ('bookings run twice', str(verdict.twice)),
             ('"not run" that had run', str(verdict.lied)),
             ('answers cut or crossed', str(verdict.wrong)),
             ('invariants broken', str(verdict.broken)),
-            ('time line', str(figures.timeline)),
+            ('time line', str(outcome.timeline)),
         ),
     )
 
 
 def write_timeline(events: Sequence[Event], *, folder: Path) -> Path:
-    """Write all events of a run, one to a line.
+    """Write all events of a run as JSON lines.
 
     Args:
-        events: in causal order.
-        folder: made where it is missing.
+        events: events in causal order.
+        folder: folder to write to; created if missing.
 
     Returns:
-        The file.
+        Path of the written file.
     """
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / 'timeline.jsonl'
@@ -111,7 +114,7 @@
     return path
 
 
-def _describe_work(name: str, counts: WorkCounts) -> list[str]:
+def _describe_class(name: str, counts: CallCounts) -> list[str]:
     share = PERCENT * counts.in_time / max(1, counts.sent)
     return [
         name,
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,9 +1,9 @@
 """Stand-in of backend servers: one process serves any number of them.
 
-Each listens on an address of its own and runs ``slots`` requests at once;
-more are shed with 503. ``GET /standin/counts`` tells what has run, and
-``POST /standin/faults`` sets what is wrong, on the backend server's own
-address.
+Each listens on its own address and runs up to ``slots`` requests at once;
+further requests are shed with 503. On the same address,
+``GET /standin/counts`` returns what has run and ``POST /standin/faults``
+sets the faults to simulate.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 import httptools
 from msgspec import Struct, convert, field, json, structs
 
-from standins.onward import Onward, find_left
+from standins.chained_calls import ChainedCaller, parse_remaining_calls
 
 COUNTS_PATH: Final = b'/standin/counts'
 FAULTS_PATH: Final = b'/standin/faults'
-REQUEST_FIELD: Final = b'wagtaildale-request-id'
-KEY_FIELD: Final = b'x-booking'
+REQUEST_ID_HEADER: Final = b'wagtaildale-request-id'
+KEY_HEADER: Final = b'x-booking'
 MILLISECONDS: Final = 1000
 PHOTO_PREFIX: Final = b'/photos/'
 OK: Final = 200
-FAULTY: Final = 500
-SHED: Final = 503
-BACKLOG: Final = 256
+SERVER_ERROR: Final = 500
+UNAVAILABLE: Final = 503
+LISTEN_BACKLOG: Final = 256
 
 
 class BackendFaults(Struct, kw_only=True):
-    """How a backend server behaves; tests set these.
+    """How a backend server behaves; set by tests.
 
     Attributes:
-        service_ms: time that a request takes.
-        slots: requests that run at once; more are shed.
-        cold_ms: added to each request while the server is cold.
-        cold_requests: requests until it is warm.
-        cut_share: share of answers that are cut in the middle.
-        close_share: share of requests after which it closes the
-            connection without an answer, though the request has run.
-        error: requests run and are answered with an error.
-        hang: requests get no answer.
-        draining: new requests are shed.
-        ends_under: path of the requests under which it ends; empty for none.
-        down_ms: until it is back.
-        rate_limit: requests a second that it names in its answers; negative
-            for none.
-        leaving: it says in its answers that it leaves.
+        service_ms: processing time of a request.
+        slots: requests that run at once; further ones are shed.
+        cold_ms: extra processing time while the server is cold.
+        cold_requests: number of requests until the server is warm.
+        cut_share: share of responses that are truncated.
+        close_share: share of requests that run, but whose connection is
+            closed without a response.
+        error: whether requests run and get an error response.
+        hang: whether requests run and get no response.
+        draining: whether all new requests are shed.
+        ends_under: path of requests that crash the server; empty for none.
+        down_ms: time from a crash until the server listens again.
+        rate_limit: limit announced in responses, requests per second;
+            negative for none.
+        leaving: whether responses announce that the server is leaving.
     """
 
     service_ms: float = 1
@@ -67,17 +67,18 @@
 
 
 class BackendCounts(Struct, kw_only=True):
-    """What a backend server has seen.
+    """Counts of the requests and connections of a backend server.
 
     Attributes:
-        runs: requests that ran.
-        ends: how often it has ended under a request.
-        shed: requests that were refused.
-        cancelled: requests whose caller hung up while they ran.
-        connections: opened to it.
-        by_request: runs by the request id of the mesh.
-        by_key: runs by the caller's own key.
-        by_single_key: the same for POST alone, which must not run twice.
+        runs: requests that were run.
+        ends: crashes caused by a request.
+        shed: requests refused with 503.
+        cancelled: requests whose connection closed while they ran.
+        connections: connections accepted.
+        by_request: number of runs by the request id of the mesh.
+        by_key: number of runs by the caller's own key.
+        by_single_key: like ``by_key``, for POST requests only, which must
+            not run twice.
     """
 
     runs: int = 0
@@ -91,14 +92,15 @@
 
 
 class BackendSpec(Struct, kw_only=True):
-    """One backend server to serve.
+    """Address and behaviour of one backend server.
 
     Attributes:
-        name: goes into its answers.
-        host: IP number.
-        port: to listen on.
-        entry_port: of the node beside it, for calls that it makes.
-        faults: how it behaves.
+        name: name included in responses.
+        host: IP address to listen on.
+        port: port to listen on.
+        entry_port: port of the node beside it for the backend server's own
+            calls.
+        faults: initial behaviour.
     """
 
     name: str
@@ -109,104 +111,105 @@
 
 
 class BackendStandIn:
-    """One backend server."""
+    """A backend server that simulates work and faults."""
 
     def __init__(self, spec: BackendSpec) -> None:
-        """Begin cold.
+        """Create the server without listening yet.
 
         Args:
-            spec: where and how.
+            spec: address and behaviour.
         """
         self.spec = spec
         self.counts = BackendCounts()
-        self.running = 0
-        self.onward = Onward(spec.host, spec.entry_port)
+        self.running_requests = 0
+        self.chained_caller = ChainedCaller(spec.host, spec.entry_port)
         self.transports: set[asyncio.Transport] = set()
-        self.ending: asyncio.Task[None] | None = None
+        self.crash_task: asyncio.Task[None] | None = None
         self._server: asyncio.Server | None = None
         self._random = random.Random(spec.name)
 
     async def listen(self) -> None:
-        """Open the port."""
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self),
             self.spec.host,
             self.spec.port,
-            backlog=BACKLOG,
+            backlog=LISTEN_BACKLOG,
         )
 
     def close(self) -> None:
-        """Close the port and every connection."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for transport in tuple(self.transports):
             transport.abort()
 
-    async def end(self) -> None:
-        """End with whatever runs here, and be back after a while."""
+    async def crash(self) -> None:
+        """Abort all requests, and listen again after ``down_ms``."""
         self.counts.ends += 1
-        # The port first: whoever sees a connection end finds it closed.
+        # The port closes first, so that a client that sees its connection
+        # abort cannot reconnect.
         self.close()
         await asyncio.sleep(self.spec.faults.down_ms / MILLISECONDS)
         await self.listen()
 
-    def draw(self, share: float) -> bool:
-        """Draw whether a fault strikes.
+    def draw_fault(self, share: float) -> bool:
+        """Decide at random whether a fault applies to a request.
 
         Args:
-            share: of requests that it strikes.
+            share: share of requests that the fault applies to.
 
         Returns:
-            Whether it does.
+            Whether it applies.
         """
         return share > 0 and self._random.random() < share
 
-    def note_run(self, headers: dict[bytes, bytes], method: bytes) -> None:
-        """Count a run.
+    def count_run(self, headers: dict[bytes, bytes], method: bytes) -> None:
+        """Count the run of a request.
 
         Args:
-            headers: of the request.
-            method: of the request.
+            headers: request headers.
+            method: request method.
         """
         counts = self.counts
         counts.runs += 1
-        _add_run(counts.by_request, headers.get(REQUEST_FIELD))
-        _add_run(counts.by_key, headers.get(KEY_FIELD))
+        _increment(counts.by_request, headers.get(REQUEST_ID_HEADER))
+        _increment(counts.by_key, headers.get(KEY_HEADER))
         if method == b'POST':
-            _add_run(counts.by_single_key, headers.get(KEY_FIELD))
+            _increment(counts.by_single_key, headers.get(KEY_HEADER))
 
-    def change(self, body: bytes) -> None:
-        """Change how the server behaves.
+    def update_faults(self, body: bytes) -> None:
+        """Change some of the simulated faults.
 
         Args:
-            body: JSON with some of the fields of ``BackendFaults``.
+            body: JSON object with fields of ``BackendFaults``.
         """
-        changed = {**structs.asdict(self.spec.faults), **json.decode(body)}
-        self.spec.faults = convert(changed, BackendFaults)
+        updated = {**structs.asdict(self.spec.faults), **json.decode(body)}
+        self.spec.faults = convert(updated, BackendFaults)
 
     @property
-    def deadly_target(self) -> bytes:
-        """Target of the requests under which it ends."""
+    def crash_target(self) -> bytes:
+        """Target of the requests that crash the server."""
         return self.spec.faults.ends_under.encode()
 
-    def write_words(self) -> bytes:
-        """Write what it says of itself in its answers.
+    def format_notices(self) -> bytes:
+        """Format the headers that announce a rate limit or leaving.
 
         Returns:
-            Header lines.
+            Header lines, each ended by CRLF.
         """
         faults = self.spec.faults
-        words = b''
+        notices = b''
         if faults.rate_limit >= 0:
-            words += b'wagtaildale-rate-limit: %.3f\r\n' % faults.rate_limit
+            notices += b'wagtaildale-rate-limit: %.3f\r\n' % faults.rate_limit
         if faults.leaving:
-            words += b'wagtaildale-leaving: 1\r\n'
-        return words
+            notices += b'wagtaildale-leaving: 1\r\n'
+        return notices
 
     @property
     def service_seconds(self) -> float:
-        """Time that the next request takes."""
+        """Processing time of the next request."""
         faults = self.spec.faults
         milliseconds = faults.service_ms
         if self.counts.runs < faults.cold_requests:
@@ -214,14 +217,14 @@
         return milliseconds / MILLISECONDS
 
 
-def _add_run(runs: dict[str, int], key: bytes | None) -> None:
+def _increment(runs: dict[str, int], key: bytes | None) -> None:
     if key is not None:
         runs.setdefault(key.decode(), 0)
         runs[key.decode()] += 1
 
 
 class _Connection(asyncio.Protocol):
-    """One connection to a backend server; requests run in turn."""
+    """One connection to a backend server; requests run one at a time."""
 
     def __init__(self, backend: BackendStandIn) -> None:
         self._backend = backend
@@ -258,77 +261,77 @@
     def on_header(self, name: bytes, text: bytes) -> None:
         self._headers[name.lower()] = text
 
-    def on_body(self, piece: bytes) -> None:
-        self._body.append(piece)
+    def on_body(self, chunk: bytes) -> None:
+        self._body.append(chunk)
 
     def on_message_complete(self) -> None:
         if self._target == COUNTS_PATH:
-            self._answer(OK, json.encode(self._backend.counts))
+            self._send_response(OK, json.encode(self._backend.counts))
         elif self._target == FAULTS_PATH:
-            self._backend.change(b''.join(self._body))
-            self._answer(OK, b'{}')
-        elif self._target == self._backend.deadly_target:
+            self._backend.update_faults(b''.join(self._body))
+            self._send_response(OK, b'{}')
+        elif self._target == self._backend.crash_target:
             loop = asyncio.get_running_loop()
-            self._backend.ending = loop.create_task(self._backend.end())
+            self._backend.crash_task = loop.create_task(self._backend.crash())
         else:
-            self._serve()
+            self._start_request()
 
-    def _serve(self) -> None:
+    def _start_request(self) -> None:
         backend = self._backend
         faults = backend.spec.faults
-        if faults.draining or backend.running >= faults.slots:
+        if faults.draining or backend.running_requests >= faults.slots:
             backend.counts.shed += 1
-            self._answer(SHED, b'shed', b'retry-after: 1\r\n')
+            self._send_response(UNAVAILABLE, b'shed', b'retry-after: 1\r\n')
             return
         loop = asyncio.get_running_loop()
-        self._task = loop.create_task(self._run(self._headers))
+        self._task = loop.create_task(self._handle_request(self._headers))
 
-    async def _run(self, headers: dict[bytes, bytes]) -> None:
+    async def _handle_request(self, headers: dict[bytes, bytes]) -> None:
         backend = self._backend
-        backend.running += 1
+        backend.running_requests += 1
         seconds = backend.service_seconds
-        backend.note_run(headers, self._parser.get_method())
-        left = find_left(self._target)
-        await self._work(seconds)
+        backend.count_run(headers, self._parser.get_method())
+        remaining_calls = parse_remaining_calls(self._target)
+        await self._simulate_work(seconds)
         try:
-            await backend.onward.call(left, headers)
+            await backend.chained_caller.call(remaining_calls, headers)
         except (OSError, EOFError):
-            # As a server does that cannot do its part without the call.
-            self._answer(FAULTY, b'no answer to a call of its own')
+            # Like a real server that depends on the response of its own call.
+            self._send_response(SERVER_ERROR, b'no answer to a call of its own')
             return
-        if backend.draw(backend.spec.faults.close_share):
+        if backend.draw_fault(backend.spec.faults.close_share):
             self._transport.close()
         elif not backend.spec.faults.hang:
-            self._finish()
+            self._send_echo()
 
-    async def _work(self, seconds: float) -> None:
+    async def _simulate_work(self, seconds: float) -> None:
         try:
             await asyncio.sleep(seconds)
         except asyncio.CancelledError:
             self._backend.counts.cancelled += 1
             raise
         finally:
-            self._backend.running -= 1
+            self._backend.running_requests -= 1
 
-    def _finish(self) -> None:
+    def _send_echo(self) -> None:
         body = b'{"by":"%b","target":"%b","key":"%b","bytes":%d}' % (
             self._backend.spec.name.encode(),
             self._target,
-            self._headers.get(KEY_FIELD, b''),
+            self._headers.get(KEY_HEADER, b''),
             sum(map(len, self._body)),
         )
         if self._target.startswith(PHOTO_PREFIX):
             body += b'\xff' * int(self._target.rsplit(b'/', 1)[1])
         faults = self._backend.spec.faults
-        cut = self._backend.draw(faults.cut_share)
-        self._answer(
-            FAULTY if faults.error else OK,
+        cut = self._backend.draw_fault(faults.cut_share)
+        self._send_response(
+            SERVER_ERROR if faults.error else OK,
             body,
-            self._backend.write_words(),
+            self._backend.format_notices(),
             cut=cut,
         )
 
-    def _answer(
+    def _send_response(
         self,
         status: int,
         body: bytes,
@@ -351,10 +354,10 @@
 
 
 async def serve(specs: list[BackendSpec]) -> None:
-    """Serve until the process ends.
+    """Serve until the process is ended.
 
     Args:
-        specs: one for each backend server.
+        specs: backend servers to run.
     """
     backends = [BackendStandIn(spec) for spec in specs]
     await asyncio.gather(*(backend.listen() for backend in backends))
@@ -364,9 +367,9 @@
 
 
 def main() -> None:
-    """Serve the backend servers described on standard input."""
-    described: Any = json.decode(sys.stdin.read())
-    specs = convert(described, list[BackendSpec])
+    """Run the backend servers described in JSON on standard input."""
+    decoded_specs: Any = json.decode(sys.stdin.read())
+    specs = convert(decoded_specs, list[BackendSpec])
     asyncio.run(serve(specs))
 
 
--- a/standins/hosted.py
+++ b/standins/backend_thread.py
@@ -1,4 +1,4 @@
-"""Runs a backend server's stand-in inside this process, for tests."""
+"""Runs the stand-in of a backend server on a thread, for tests."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from standins.backend import BackendFaults, BackendSpec, BackendStandIn
 from wagtaildale.testing.closing import Closing
 
-START_SECONDS: Final = 5.0
+TIMEOUT_SECONDS: Final = 5.0
 
 
-class HostedBackend(Closing):
-    """One backend server on a thread of its own.
+class BackendThread(Closing):
+    """A backend server that runs on a thread of this process.
 
     Example:
-        >>> with HostedBackend('a', host='127.0.0.1', port=8090) as backend:
+        >>> with BackendThread('a', host='127.0.0.1', port=8090) as backend:
         ...     backend.counts.runs
         0
     """
@@ -30,14 +30,15 @@
         entry_port: int = 0,
         faults: BackendFaults | None = None,
     ) -> None:
-        """Start it.
+        """Start the server and wait until it listens.
 
         Args:
-            name: goes into its answers.
-            host: IP number.
-            port: to listen on.
-            entry_port: of the node beside it, for calls that it makes.
-            faults: how it behaves.
+            name: name included in responses.
+            host: IP address to listen on.
+            port: port to listen on.
+            entry_port: port of the node beside it for the backend
+                server's own calls.
+            faults: initial behaviour.
         """
         spec = BackendSpec(
             name=name,
@@ -52,17 +53,17 @@
         self._listening = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
-        assert self._listening.wait(START_SECONDS)
+        assert self._listening.wait(TIMEOUT_SECONDS)
 
     @property
     def faults(self) -> BackendFaults:
-        """How it behaves; may be changed."""
+        """Simulated faults; may be changed while the server runs."""
         return self._backend.spec.faults
 
     def close(self) -> None:
-        """End it with all its connections."""
+        """Stop the server and abort its connections."""
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(START_SECONDS)
+        self._thread.join(TIMEOUT_SECONDS)
 
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,8 +1,8 @@
-"""Stand-in of callers: keeps connections to entries and judges the answers.
+"""Stand-in of callers: sends requests to entries and checks the responses.
 
-A caller checks that each answer is whole and its own: backend servers echo
-the target and the caller's key. A request that is not idempotent is never
-sent twice by a caller either.
+Backend servers echo the target and the caller's key, so that a caller can
+check that each response is complete and belongs to its request. Callers
+never send a request twice, since it may not be idempotent.
 """
 
 from __future__ import annotations
@@ -19,50 +19,50 @@
 
 Address = tuple[str, int]
 
-KEY_FIELD: Final = 'X-Booking'
-OUTCOME_FIELD: Final = 'wagtaildale-outcome'
+KEY_HEADER: Final = 'X-Booking'
+OUTCOME_HEADER: Final = 'wagtaildale-outcome'
 MILLISECONDS: Final = 1000
 SERVER_ERROR: Final = 500
 TIMEOUT_SECONDS: Final = 30.0
-REFUSED_PAUSE: Final = 0.02
+RECONNECT_DELAY_SECONDS: Final = 0.02
 KEY_BITS: Final = 64
 
 
-class Work(Struct, frozen=True, kw_only=True):
-    """One class of work as callers ask for it.
+class WorkClass(Struct, frozen=True, kw_only=True):
+    """A class of requests that callers send.
 
     Attributes:
-        name: service and class.
+        name: service and class, separated by a slash.
         method: HTTP method.
-        path: with ``{}`` for a number.
-        within_ms: the class's target.
-        idempotent: whether the class is.
-        weight: how often it is asked for, among the others.
-        body_bytes: size of the request's body.
+        path: request path with ``{}`` for a random number.
+        target_ms: target response time.
+        idempotent: whether requests may run more than once.
+        weight: relative frequency among all classes.
+        body_bytes: size of the request body.
     """
 
     name: str
     method: str
     path: str
-    within_ms: int
+    target_ms: int
     idempotent: bool
     weight: int
     body_bytes: int = 0
 
 
-class WorkCounts(Struct, kw_only=True):
-    """How the calls of one class ended, as callers saw it.
+class CallCounts(Struct, kw_only=True):
+    """Outcomes of the calls of one class, as seen by callers.
 
     Attributes:
-        sent: all calls.
-        answered: whole answers to their own requests.
-        in_time: of these, within the target.
-        not_run: refused and called not run.
-        unknown: called unknown.
-        lost: no HTTP answer at all.
-        wrong: answers to something else, or cut.
-        seconds: durations of the answered.
-        keys_not_run: keys of requests that were called not run.
+        sent: all requests sent.
+        answered: matching responses and errors from backend servers.
+        in_time: answered calls within the target.
+        not_run: calls refused with the outcome "not-run".
+        unknown: calls with the outcome "unknown".
+        lost: calls without an HTTP response.
+        wrong: responses to another request, or truncated ones.
+        seconds: durations of the answered calls.
+        keys_not_run: keys of the requests counted in ``not_run``.
     """
 
     sent: int = 0
@@ -75,23 +75,23 @@
     seconds: list[float] = field(default_factory=list)
     keys_not_run: list[str] = field(default_factory=list)
 
-    def note_answer(self, seconds: float, work: Work) -> None:
-        """Note a whole answer to its own request.
+    def count_answer(self, seconds: float, work_class: WorkClass) -> None:
+        """Count a matching response or an error of a backend server.
 
         Args:
-            seconds: it took.
-            work: its class.
+            seconds: duration of the call.
+            work_class: class of the request.
         """
         self.answered += 1
         self.seconds.append(seconds)
-        if seconds * MILLISECONDS <= work.within_ms:
+        if seconds * MILLISECONDS <= work_class.target_ms:
             self.in_time += 1
 
-    def add(self, other: WorkCounts) -> None:
+    def add(self, other: CallCounts) -> None:
         """Add another caller's counts.
 
         Args:
-            other: stays as it is.
+            other: counts to add; not changed.
         """
         self.sent += other.sent
         self.answered += other.answered
@@ -105,14 +105,14 @@
 
 
 class Echo(Struct, kw_only=True):
-    """What a backend server's stand-in answers."""
+    """Request fields echoed by the stand-in of a backend server."""
 
     target: str
     key: str
 
 
 class Caller:
-    """One caller: asks one thing after the other."""
+    """A caller that sends one request at a time."""
 
     def __init__(
         self,
@@ -121,41 +121,45 @@
         seed: int,
         latency_ms: float = 0,
     ) -> None:
-        """Prepare; no connection is open yet.
+        """Create the caller without opening a connection.
 
         Args:
-            entries: where nodes take requests; may be changed by others.
-            seed: of the choices.
-            latency_ms: one way to the data centres, added to each call.
+            entries: entry addresses of nodes; the list may change.
+            seed: seed of the random choices.
+            latency_ms: simulated one-way latency to the data centres.
         """
-        self.counts: dict[str, WorkCounts] = {}
+        self.counts: dict[str, CallCounts] = {}
         self._entries = entries
-        self._random = random.Random(seed)
-        self._latency = latency_ms / MILLISECONDS
+        self._random_generator = random.Random(seed)
+        self._latency_seconds = latency_ms / MILLISECONDS
         self._connection: HTTPConnection | None = None
 
-    def call(self, work: Work) -> None:
-        """Send one request and judge what comes back.
+    def call(self, work_class: WorkClass) -> None:
+        """Send one request and count its outcome.
 
         Args:
-            work: its class.
+            work_class: class of the request.
         """
-        counts = self.counts.setdefault(work.name, WorkCounts())
-        key = f'{self._random.getrandbits(KEY_BITS):x}'
-        path = work.path.format(self._random.randrange(MILLISECONDS))
+        counts = self.counts.setdefault(work_class.name, CallCounts())
+        key = f'{self._random_generator.getrandbits(KEY_BITS):x}'
+        path = work_class.path.format(
+            self._random_generator.randrange(MILLISECONDS)
+        )
         connection = self._connect()
         if connection is None:
             return
         counts.sent += 1
         started = time.perf_counter()
         try:
-            answer = self._exchange(connection, work, path, key)
+            answer = self._exchange(connection, work_class, path, key)
         except (OSError, HTTPException):
             counts.lost += 1
             self.close()
             return
         seconds = time.perf_counter() - started
-        self._judge(counts, work, answer, Echo(target=path, key=key), seconds)
+        self._count_outcome(
+            counts, work_class, answer, Echo(target=path, key=key), seconds
+        )
 
     def close(self) -> None:
         """Close the connection, if one is open."""
@@ -166,13 +170,13 @@
     def _connect(self) -> HTTPConnection | None:
         if self._connection is not None:
             return self._connection
-        address = self._random.choice(self._entries)
+        address = self._random_generator.choice(self._entries)
         connection = HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
         try:
             connection.connect()
         except OSError:
-            # Nothing was sent: another entry is as good.
-            time.sleep(REFUSED_PAUSE)
+            # No request was sent, so the next call may use another entry.
+            time.sleep(RECONNECT_DELAY_SECONDS)
             return None
         self._connection = connection
         return connection
@@ -180,29 +184,29 @@
     def _exchange(
         self,
         connection: HTTPConnection,
-        work: Work,
+        work_class: WorkClass,
         path: str,
         key: str,
     ) -> _Answer:
-        time.sleep(self._latency)
-        body = bytes(work.body_bytes) if work.body_bytes else None
-        connection.request(work.method, path, body, {KEY_FIELD: key})
+        time.sleep(self._latency_seconds)
+        body = bytes(work_class.body_bytes) if work_class.body_bytes else None
+        connection.request(work_class.method, path, body, {KEY_HEADER: key})
         response = connection.getresponse()
         text = response.read()
-        time.sleep(self._latency)
+        time.sleep(self._latency_seconds)
         if response.will_close:
             self.close()
-        outcome = response.getheader(OUTCOME_FIELD, 'answered')
+        outcome = response.getheader(OUTCOME_HEADER, 'answered')
         return _Answer(
             status=response.status,
             outcome=outcome.partition(';')[0],
             text=text,
         )
 
-    def _judge(
+    def _count_outcome(
         self,
-        counts: WorkCounts,
-        work: Work,
+        counts: CallCounts,
+        work_class: WorkClass,
         answer: _Answer,
         expected: Echo,
         seconds: float,
@@ -212,29 +216,29 @@
             counts.keys_not_run.append(expected.key)
         elif answer.outcome == 'unknown':
             counts.unknown += 1
-        elif answer.is_from_backend and not answer.matches(expected):
+        elif answer.expects_echo and not answer.matches(expected):
             counts.wrong += 1
         else:
-            counts.note_answer(seconds, work)
+            counts.count_answer(seconds, work_class)
 
 
 class _Answer(Struct, kw_only=True):
-    """What came back."""
+    """Response to one request."""
 
     status: int
     outcome: str
     text: bytes
 
     @property
-    def is_from_backend(self) -> bool:
-        """Whether a backend server gave it, and did not shed."""
+    def expects_echo(self) -> bool:
+        """Whether the body must echo the request; errors have no echo."""
         return self.status < SERVER_ERROR
 
     def matches(self, expected: Echo) -> bool:
-        """Tell whether it answers the request.
+        """Check whether the response belongs to the request.
 
         Args:
-            expected: what the request said.
+            expected: target and key of the request.
 
         Returns:
             Whether target and key are echoed.
@@ -246,17 +250,17 @@
         return echo == expected
 
 
-def sum_counts(callers: Sequence[Caller]) -> dict[str, WorkCounts]:
-    """Add up what callers have counted.
+def sum_counts(callers: Sequence[Caller]) -> dict[str, CallCounts]:
+    """Add up the counts of callers.
 
     Args:
-        callers: that have stopped.
+        callers: callers whose counts are added.
 
     Returns:
-        By class.
+        Counts by class name.
     """
-    totals: dict[str, WorkCounts] = {}
+    totals: dict[str, CallCounts] = {}
     for caller in callers:
         for name, counts in caller.counts.items():
-            totals.setdefault(name, WorkCounts()).add(counts)
+            totals.setdefault(name, CallCounts()).add(counts)
     return totals
--- a/standins/client.py
+++ b/standins/client.py
@@ -1,4 +1,4 @@
-"""Reads JSON from a node or a stand-in, for tests and the demo."""
+"""Reads JSON from nodes and stand-ins over HTTP."""
 
 from __future__ import annotations
 
@@ -8,42 +8,44 @@
 
 from msgspec import MsgspecError, json
 
-Shape = TypeVar('Shape')
+DocumentType = TypeVar('DocumentType')
 
-SECONDS: Final = 3.0
+TIMEOUT_SECONDS: Final = 3.0
 OK: Final = 200
 
 
 def read_json(
     address: tuple[str, int],
     path: str,
-    shape: type[Shape],
+    document_type: type[DocumentType],
     *,
     body: bytes | None = None,
-) -> Shape | None:
+) -> DocumentType | None:
     """Read one JSON document.
 
     Args:
-        address: IP number and port.
-        path: with the query.
-        shape: what it becomes.
-        body: sent by POST if given.
+        address: IP address and port.
+        path: path and query.
+        document_type: type to decode into.
+        body: body to send by POST; None for a GET request.
 
     Returns:
-        The document, or nothing if there is no good answer.
+        The document, or None if the request or the decoding fails.
     """
     try:
         text = _fetch(address, path, body)
     except (OSError, HTTPException):
         return None
     try:
-        return json.decode(text, type=shape)
+        return json.decode(text, type=document_type)
     except MsgspecError:
         return None
 
 
 def _fetch(address: tuple[str, int], path: str, body: bytes | None) -> bytes:
-    with closing(HTTPConnection(*address, timeout=SECONDS)) as connection:
+    with closing(
+        HTTPConnection(*address, timeout=TIMEOUT_SECONDS)
+    ) as connection:
         connection.request('GET' if body is None else 'POST', path, body)
         response = connection.getresponse()
         return response.read() if response.status == OK else b''
--- a/standins/judge.py
+++ b/standins/invariants.py
@@ -1,4 +1,4 @@
-"""Judges a run: bookings run twice, refusals that lied, invariants."""
+"""Checks the invariants of a run against the counts of backend servers."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from standins.caller import WorkCounts
+    from standins.caller import CallCounts
 
 
 class Verdict(Struct, frozen=True, kw_only=True):
-    """What a run has shown of the invariants.
+    """Violations of invariants found in a run.
 
     Attributes:
-        twice: keys of callers that ran more than once.
-        lied: requests called not run that ran.
-        wrong: answers that were cut or another's.
-        broken: invariants that nodes found broken.
+        twice: non-idempotent requests that ran more than once.
+        lied: requests reported as not run that had run.
+        wrong: responses that were truncated or belong to another request.
+        broken: broken invariants reported or logged by nodes.
     """
 
     twice: int
@@ -34,33 +34,37 @@
     broken: int
 
     @property
-    def is_good(self) -> bool:
-        """Whether nothing broke."""
+    def has_passed(self) -> bool:
+        """Whether no violation was found."""
         return not (self.twice or self.lied or self.wrong or self.broken)
 
 
-def judge(
+def check_invariants(
     fleet: Fleet,
     *,
-    counts: dict[str, WorkCounts],
+    counts: dict[str, CallCounts],
 ) -> Verdict:
-    """Judge a run by the backend servers' own counts.
+    """Compare the counts of callers with those of backend servers.
 
     Args:
-        fleet: still running.
-        counts: of the callers, by class.
+        fleet: running fleet.
+        counts: counts of the callers by class name.
 
     Returns:
-        What was found.
+        The violations found.
     """
     runs = count_runs(fleet)
-    not_run = [key for tally in counts.values() for key in tally.keys_not_run]
-    keys = _list_single_runs(fleet)
+    not_run = [
+        key
+        for call_counts in counts.values()
+        for key in call_counts.keys_not_run
+    ]
+    run_counts = _list_non_idempotent_runs(fleet)
     return Verdict(
-        twice=sum(1 for count in keys if count > 1),
+        twice=sum(1 for count in run_counts if count > 1),
         lied=sum(1 for key in not_run if key in runs),
-        wrong=sum(tally.wrong for tally in counts.values()),
-        broken=_count_broken(fleet),
+        wrong=sum(call_counts.wrong for call_counts in counts.values()),
+        broken=_count_broken_invariants(fleet),
     )
 
 
@@ -68,13 +72,13 @@
     """Count the runs of each caller's key over all backend servers.
 
     Args:
-        fleet: still running.
+        fleet: running fleet.
 
     Returns:
-        By key.
+        Number of runs by key.
     """
     runs: dict[str, int] = {}
-    for counts in _read_backends(fleet):
+    for counts in _read_backend_counts(fleet):
         for key, count in counts.by_key.items():
             runs[key] = runs.get(key, 0) + count
     return runs
@@ -84,10 +88,10 @@
     """Gather the events of running nodes in causal order.
 
     Args:
-        nodes: those that do not run are left out.
+        nodes: nodes to query; those that do not respond are skipped.
 
     Returns:
-        By their stamps.
+        Events sorted by their stamps.
     """
     events: list[Event] = []
     for node in nodes:
@@ -102,7 +106,7 @@
     return event.stamp, event.node
 
 
-def _read_backends(fleet: Fleet) -> list[BackendCounts]:
+def _read_backend_counts(fleet: Fleet) -> list[BackendCounts]:
     found = (
         read_json(
             (record.host, BACKEND_PORT),
@@ -114,20 +118,20 @@
     return [counts for counts in found if counts is not None]
 
 
-def _list_single_runs(fleet: Fleet) -> list[int]:
+def _list_non_idempotent_runs(fleet: Fleet) -> list[int]:
     totals: dict[str, int] = {}
-    for counts in _read_backends(fleet):
+    for counts in _read_backend_counts(fleet):
         for key, count in counts.by_single_key.items():
             totals[key] = totals.get(key, 0) + count
     return list(totals.values())
 
 
-def _count_broken(fleet: Fleet) -> int:
+def _count_broken_invariants(fleet: Fleet) -> int:
     broken = EventKind.invariant_broken
     logged = sum(
-        node.log.read_text().count(f'kind={broken.value}')
+        node.log_path.read_text().count(f'kind={broken.value}')
         for node in fleet.nodes
-        if node.log.exists()
+        if node.log_path.exists()
     )
     reports = (node.report() for node in fleet.nodes if node.is_running())
     reported = sum(
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,10 @@
-"""Stand-in of the platform: key-value reads with long polls, and a list.
+"""Stand-in of the platform: key-value store and instance list.
 
-``GET /v1/kv/PREFIX/manifest?index=N&wait=5000ms`` answers once the key's
-index is past ``N`` or with 304 when the wait is over; each answer carries
-``X-Index``. ``GET /v1/instances`` is watched alike. Nothing can be written
-by HTTP: tests and the demo publish by method calls.
+``GET /v1/kv/PREFIX/manifest?index=N&wait=5000ms`` is a long poll: it
+responds once the index of the key is past ``N``, or with 304 when the wait
+is over. Each response has the header ``X-Index``. ``GET /v1/instances``
+supports the same long poll. Nothing can be written over HTTP: tests and the
+demo publish by method calls.
 """
 
 from __future__ import annotations
@@ -23,73 +24,74 @@
     from wagtaildale.configuration.compiled import Compiled
     from wagtaildale.membership.records import InstanceRecord
 
-MANIFEST: Final = '/v1/kv/wagtaildale/manifest'
-PARTS: Final = '/v1/kv/wagtaildale/parts/'
-INSTANCES: Final = '/v1/instances'
-LARGEST_VALUE: Final = 1_000_000
+MANIFEST_PATH: Final = '/v1/kv/wagtaildale/manifest'
+PARTS_PREFIX: Final = '/v1/kv/wagtaildale/parts/'
+INSTANCES_PATH: Final = '/v1/instances'
+LARGEST_VALUE_BYTES: Final = 1_000_000
 MILLISECONDS: Final = 1000
 OK: Final = 200
-SAME: Final = 304
-MISSING: Final = 404
-TOO_MANY: Final = 429
-DOWN: Final = 503
-POLL_SECONDS: Final = 0.02
+NOT_MODIFIED: Final = 304
+NOT_FOUND: Final = 404
+TOO_MANY_REQUESTS: Final = 429
+UNAVAILABLE: Final = 503
+SHUTDOWN_POLL_SECONDS: Final = 0.02
 
 
-class Entry(Struct, frozen=True, kw_only=True):
+class StoredValue(Struct, frozen=True, kw_only=True):
     """A published value.
 
     Attributes:
-        index: when it was published, on the stand-in's own count.
-        body: the bytes.
+        index: index of the store when the value was published.
+        body: content.
     """
 
     index: int
     body: bytes
 
 
-class Faults(Struct, kw_only=True):
-    """What is wrong with the platform; tests set these.
+class PlatformFaults(Struct, kw_only=True):
+    """Simulated faults of the platform; set by tests.
 
     Attributes:
-        down: every read is answered with 503.
-        delay: seconds before each answer.
-        frozen: reads give what was published before the freeze.
-        half: answers are cut in the middle.
-        reads_per_second: more than these are refused with 429; 0 for any.
-        list_lag: seconds until a change of the instance list is seen.
-        missing_parts: parts are answered with 404.
+        down: whether every read gets 503.
+        delay_seconds: delay of each response.
+        frozen: whether waiting reads miss values published meanwhile.
+        half: whether responses are truncated in the middle.
+        reads_per_second: rate limit; reads above it get 429; 0 for no limit.
+        list_lag_seconds: delay until a change of the instance list is
+            visible.
+        missing_parts: whether reads of parts get 404.
     """
 
     down: bool = False
-    delay: float = 0
+    delay_seconds: float = 0
     frozen: bool = False
     half: bool = False
     reads_per_second: int = 0
-    list_lag: float = 0
+    list_lag_seconds: float = 0
     missing_parts: bool = False
 
 
-class Counts(Struct, kw_only=True):
-    """What was asked of the platform.
+class PlatformCounts(Struct, kw_only=True):
+    """Counts of the reads of the platform.
 
     Attributes:
-        reads: all calls, a waiting watch counting as one.
-        refused: of these, refused over the rate.
-        waiting: watches that wait now.
-        answered_bytes: bodies sent.
-        by_second: reads by second of the monotonic clock.
+        reads: all reads; a long poll counts once.
+        refused: reads refused because of the rate limit.
+        waiting_watches: reads that are waiting now.
+        answered_bytes: total size of the response bodies.
+        by_second: number of reads by second of the monotonic clock.
     """
 
     reads: int = 0
     refused: int = 0
-    waiting: int = 0
+    waiting_watches: int = 0
     answered_bytes: int = 0
     by_second: dict[int, int] = field(default_factory=dict)
 
 
 class PlatformStandIn:
-    """The platform as the system meets it.
+    """HTTP server that serves published values to nodes.
 
     Example:
         >>> platform = PlatformStandIn('127.0.0.1', 0)
@@ -98,121 +100,125 @@
     """
 
     def __init__(self, host: str, port: int) -> None:
-        """Listen and serve from threads of this process.
+        """Listen and serve on threads of this process.
 
         Args:
-            host: IP number.
-            port: 0 for any that is free.
+            host: IP address.
+            port: port to listen on; 0 for any free port.
         """
-        self.faults = Faults()
-        self.counts = Counts()
-        self._entries: dict[str, Entry] = {}
+        self.faults = PlatformFaults()
+        self.counts = PlatformCounts()
+        self._stored_values: dict[str, StoredValue] = {}
         self._index = 1
         self._changed = threading.Condition()
-        self._server = _Server((host, port), _Reader)
+        self._server = _Server((host, port), _RequestHandler)
         self._server.standin = self
         self._thread = threading.Thread(
             target=self._server.serve_forever,
-            args=(POLL_SECONDS,),
+            args=(SHUTDOWN_POLL_SECONDS,),
             daemon=True,
         )
         self._thread.start()
 
     @property
     def url(self) -> str:
-        """The base address for the daemons' settings."""
+        """Base URL for the settings of nodes."""
         host, port = self._server.server_address[:2]
         return f'http://{host!s}:{port}'
 
     def publish(self, compiled: Compiled) -> None:
-        """Publish a version as operators do: parts first.
+        """Publish a configuration version, its parts before the manifest.
 
         Args:
-            compiled: manifest and parts.
+            compiled: manifest and parts of the version.
         """
         for blob in compiled.parts.values():
-            self.put(f'{PARTS}{hash_part(blob).hex()}', blob)
-        self.put(MANIFEST, json.encode(compiled.manifest))
+            self.put(f'{PARTS_PREFIX}{hash_part(blob).hex()}', blob)
+        self.put(MANIFEST_PATH, json.encode(compiled.manifest))
 
-    def list_instances(
+    def publish_instances(
         self,
         index: int,
         instances: tuple[InstanceRecord, ...],
     ) -> None:
-        """Set the instance list, seen after the lag that is set.
+        """Publish the instance list, after ``list_lag_seconds`` if set.
 
         Args:
-            index: the list's own, increasing.
-            instances: live and leaving.
+            index: increasing index of the list.
+            instances: live and leaving instances.
         """
         listing = InstanceList(index=index, instances=instances)
         body = json.encode(listing)
-        if not self.faults.list_lag:
-            self.put(INSTANCES, body)
+        if not self.faults.list_lag_seconds:
+            self.put(INSTANCES_PATH, body)
             return
         timer = threading.Timer(
-            self.faults.list_lag,
+            self.faults.list_lag_seconds,
             self.put,
-            (INSTANCES, body),
+            (INSTANCES_PATH, body),
         )
         timer.daemon = True
         timer.start()
 
     def put(self, key: str, body: bytes) -> None:
-        """Set a value.
+        """Store a value and wake waiting reads.
 
         Args:
-            key: the path it is read by.
-            body: at most a megabyte.
+            key: path of the value.
+            body: content, at most ``LARGEST_VALUE_BYTES`` long.
 
         Raises:
-            ValueError: for a larger one.
+            ValueError: if the content is too long.
         """
-        if len(body) > LARGEST_VALUE:
-            raise ValueError(f'got {len(body)} bytes, {LARGEST_VALUE} at most')
+        if len(body) > LARGEST_VALUE_BYTES:
+            raise ValueError(
+                f'got {len(body)} bytes, {LARGEST_VALUE_BYTES} at most'
+            )
         with self._changed:
             self._index += 1
-            self._entries[key] = Entry(index=self._index, body=body)
+            self._stored_values[key] = StoredValue(index=self._index, body=body)
             self._changed.notify_all()
 
-    def restart_index(self) -> None:
-        """Begin to count anew, as after a restart of the platform."""
+    def reset_index(self) -> None:
+        """Reset all indexes to 1, as a restart of the platform does."""
         with self._changed:
             self._index = 1
-            self._entries = {
-                key: Entry(index=1, body=entry.body)
-                for key, entry in self._entries.items()
+            self._stored_values = {
+                key: StoredValue(index=1, body=stored.body)
+                for key, stored in self._stored_values.items()
             }
 
-    def find(self, key: str, index: int, wait: float) -> Entry | None:
-        """Find a value, waiting until it is past an index.
+    def wait_for_value(
+        self, key: str, index: int, timeout: float
+    ) -> StoredValue | None:
+        """Return a value once its index is past a known one.
 
         Args:
-            key: the path.
-            index: already known to the reader.
-            wait: seconds at most.
+            key: path of the value.
+            index: index known to the reader; 0 to return at once.
+            timeout: longest wait, seconds.
 
         Returns:
-            The value as it stands after the wait.
+            The value after the wait, or None if the key is missing.
         """
-        deadline = time.monotonic() + wait
+        deadline = time.monotonic() + timeout
         with self._changed:
-            self.counts.waiting += 1
-            entry = self._entries.get(key)
-            while index and entry and entry.index <= index:
-                rest = deadline - time.monotonic()
-                if rest <= 0 or not self._changed.wait(rest):
+            self.counts.waiting_watches += 1
+            stored = self._stored_values.get(key)
+            while index and stored and stored.index <= index:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0 or not self._changed.wait(remaining):
                     break
                 if not self.faults.frozen:
-                    entry = self._entries.get(key)
-            self.counts.waiting -= 1
-        return entry
+                    stored = self._stored_values.get(key)
+            self.counts.waiting_watches -= 1
+        return stored
 
     def count_read(self) -> bool:
         """Count a read.
 
         Returns:
-            Whether it is within the rate.
+            Whether it is within the rate limit.
         """
         second = int(time.monotonic())
         with self._changed:
@@ -232,35 +238,35 @@
 
 
 class _Server(ThreadingHTTPServer):
-    """Threads for the reads that wait."""
+    """HTTP server with one thread per connection, for long polls."""
 
     daemon_threads = True
     request_queue_size = 512
     standin: PlatformStandIn
 
     def handle_error(self, *_request: Any) -> None:
-        """Say nothing: readers are killed in the middle of reads."""
+        """Ignore errors: tests kill nodes in the middle of reads."""
 
 
-class _Reader(BaseHTTPRequestHandler):
-    """Answers one connection's reads."""
+class _RequestHandler(BaseHTTPRequestHandler):
+    """Serves the reads of one connection."""
 
     protocol_version = 'HTTP/1.1'
     disable_nagle_algorithm = True
     wbufsize = -1
 
     def do_GET(self) -> None:
-        """Answer a read."""
+        """Respond to a read, with the simulated faults applied."""
         standin = self._standin
         within_rate = standin.count_read()
-        if standin.faults.delay:
-            time.sleep(standin.faults.delay)
+        if standin.faults.delay_seconds:
+            time.sleep(standin.faults.delay_seconds)
         if standin.faults.down:
-            self._answer(DOWN, 0, b'')
+            self._answer(UNAVAILABLE, 0, b'')
         elif within_rate:
-            self._read()
+            self._answer_read()
         else:
-            self._answer(TOO_MANY, 0, b'')
+            self._answer(TOO_MANY_REQUESTS, 0, b'')
 
     def log_message(self, *_args: Any) -> None:
         """Log nothing."""
@@ -270,21 +276,23 @@
         assert isinstance(self.server, _Server)
         return self.server.standin
 
-    def _read(self) -> None:
+    def _answer_read(self) -> None:
         url = urlsplit(self.path)
         query = parse_qs(url.query)
         index = int(query.get('index', ['0'])[0])
-        wait = int(query.get('wait', ['0ms'])[0].removesuffix('ms'))
+        wait_ms = int(query.get('wait', ['0ms'])[0].removesuffix('ms'))
         hidden = self._standin.faults.missing_parts
-        entry = self._standin.find(url.path, index, wait / MILLISECONDS)
-        if entry is None:
-            self._answer(MISSING, 1, b'')
-        elif hidden and url.path.startswith(PARTS):
-            self._answer(MISSING, 1, b'')
-        elif index and entry.index == index:
-            self._answer(SAME, entry.index, b'')
+        stored = self._standin.wait_for_value(
+            url.path, index, wait_ms / MILLISECONDS
+        )
+        if stored is None:
+            self._answer(NOT_FOUND, 1, b'')
+        elif hidden and url.path.startswith(PARTS_PREFIX):
+            self._answer(NOT_FOUND, 1, b'')
+        elif index and stored.index == index:
+            self._answer(NOT_MODIFIED, stored.index, b'')
         else:
-            self._answer(OK, entry.index, entry.body)
+            self._answer(OK, stored.index, stored.body)
 
     def _answer(self, status: int, index: int, body: bytes) -> None:
         self.send_response(status)
--- a/standins/tests/test_fleet.py
+++ b/standins/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of starting a fleet, and of the demonstration that does it."""
+"""Tests of starting a fleet and the demo on addresses in use."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from demo.deployments import DEPLOYMENTS
 from standins.fleet import (
     ADMIN_PORT,
-    AddressTakenError,
+    AddressInUseError,
     Fleet,
     FleetOptions,
     Placement,
@@ -23,7 +23,7 @@
     from collections.abc import Iterator
 
 NETWORK: Final = 43
-TAKEN: Final = (f'127.0.{NETWORK}.2', ADMIN_PORT)
+USED_ADDRESS: Final = (f'127.0.{NETWORK}.2', ADMIN_PORT)
 DEMO_HOST: Final = '127.0.1.1'
 PLACEMENT: Final = Placement(
     region='midlands',
@@ -33,37 +33,39 @@
 
 
 @pytest.fixture
-def another_run() -> Iterator[None]:
-    """Take an address of the demonstration, if no other run has it."""
+def occupied_demo_address() -> Iterator[None]:
+    """Listen on an address of the demo, unless another run does."""
     with ExitStack() as stack:
         with suppress(OSError):
             stack.enter_context(socket.create_server((DEMO_HOST, ADMIN_PORT)))
         yield
 
 
-def test_fleet_beside_another_is_not_started() -> None:
-    """Two runs share addresses: nodes of one serve the callers of the other.
+def test_fleet_does_not_start_on_used_addresses() -> None:
+    """Two runs use the same addresses, so their nodes would mix.
 
-    The second run finds an address taken before it starts anything.
+    The second run must fail before it starts a process.
     """
-    with socket.create_server(TAKEN):
-        with pytest.raises(AddressTakenError, match=f'{TAKEN[0]}:{TAKEN[1]}'):
+    with socket.create_server(USED_ADDRESS):
+        with pytest.raises(
+            AddressInUseError, match=f'{USED_ADDRESS[0]}:{USED_ADDRESS[1]}'
+        ):
             Fleet(PLACEMENT, options=FleetOptions(network=NETWORK))
     Fleet(PLACEMENT, options=FleetOptions(network=NETWORK)).close()
 
 
 @pytest.mark.parametrize('deployment', DEPLOYMENTS)
-def test_demonstration_beside_another_run_says_so(
-    another_run: None,
+def test_demonstration_reports_used_addresses(
+    occupied_demo_address: None,
     deployment: str,
 ) -> None:
-    """A user starts the demonstration twice and reads a traceback.
+    """A second demo run prints one line with the reason, and no traceback.
 
-    Both runs use the same addresses. The nodes of the two mixed, no node
-    held the last version, and a third of the calls did not run.
+    Both runs use the same addresses. Without the check, their nodes mix: no
+    node holds the last version, and a third of the calls do not run.
     """
-    told = CliRunner().invoke(main, ['--deployment', deployment])
-    assert told.exit_code not in {0, 1}
-    assert len(told.output.splitlines()) == 1
-    assert f'{DEMO_HOST}:' in told.output
-    assert 'make demo' in told.output
+    outcome = CliRunner().invoke(main, ['--deployment', deployment])
+    assert outcome.exit_code not in {0, 1}
+    assert len(outcome.output.splitlines()) == 1
+    assert f'{DEMO_HOST}:' in outcome.output
+    assert 'make demo' in outcome.output
--- a/wagtaildale/source/tests/test_http.py
+++ b/wagtaildale/source/tests/test_http.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from standins.platform import MANIFEST, PlatformStandIn
+from standins.platform import MANIFEST_PATH, PlatformStandIn
 from wagtaildale.errors.codes import Code
 from wagtaildale.settings.model import PlatformSettings
 from wagtaildale.source.http import HttpPlatform
@@ -23,7 +23,7 @@
 def platform() -> Iterator[PlatformStandIn]:
     standin = PlatformStandIn('127.0.0.1', 0)
     standin.publish(build_compiled(1))
-    standin.list_instances(1, (build_record('a'),))
+    standin.publish_instances(1, (build_record('a'),))
     yield standin
     standin.close()
 
@@ -102,7 +102,7 @@
     reader: HttpPlatform,
     body: bytes,
 ) -> None:
-    platform.put(MANIFEST, body)
+    platform.put(MANIFEST_PATH, body)
     failure = assert_err(reader.read_manifest(index=0, wait=0))
     assert failure.code is Code.part_corrupt
 
