--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from benchmarks.figures import Figure
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.distribution.wire import (
     Envelope,
     Holding,
@@ -43,7 +43,7 @@
     DataCentre,
     Incarnation,
     InstanceId,
-    Kind,
+    DocumentKind,
     NodeState,
     Version,
 )
@@ -107,8 +107,10 @@
 
 def _measure(size: Size) -> Costs:
     tracemalloc.start()
-    configuration = _fill(Kind.configuration, _build_configuration(size, 1))
-    instances = _fill(Kind.instances, _build_list(size, 1))
+    configuration = _fill(
+        DocumentKind.configuration, _build_configuration(size, 1)
+    )
+    instances = _fill(DocumentKind.instances, _build_list(size, 1))
     state = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     parts = check_parts(configuration.held.blobs).unwrap()
@@ -140,7 +142,7 @@
     }
     blobs['s0'] = build_part('s0', within_ms=100 + version)
     return make_document(
-        Kind.configuration,
+        DocumentKind.configuration,
         version=Version(version),
         blobs=blobs,
     )
@@ -163,7 +165,7 @@
     return DataCentre(f'dc{number % DATA_CENTRES}')
 
 
-def _fill(kind: Kind, document: Document) -> StoreState:
+def _fill(kind: DocumentKind, document: Document) -> StoreState:
     store = make_store(kind, check=CHECKS[kind])
     delta = make_delta(store.held, target=document)
     decide_offer(DeltaOffered(delta=delta), store)
--- a/properties/test_distribution.py
+++ b/properties/test_distribution.py
@@ -14,7 +14,7 @@
     rule,
 )
 
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.distribution.messages import Leave
 from wagtaildale.document.eras import Era, find_revision, make_version
 from wagtaildale.document.model import make_document
@@ -28,7 +28,7 @@
     build_part,
 )
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import Kind, NodeState, Version
+from wagtaildale.types import DocumentKind, NodeState, Version
 
 if TYPE_CHECKING:
     from wagtaildale.suspects.table import SuspectTable
@@ -190,7 +190,7 @@
     @invariant()
     def every_version_in_force_is_whole(self) -> None:
         for node in self.network.nodes.values():
-            held = node.state.stores[Kind.configuration].held
+            held = node.state.stores[DocumentKind.configuration].held
             assert check_parts(held.blobs).is_ok()
 
     def teardown(self) -> None:
@@ -220,7 +220,7 @@
 
     def _find_listed(self) -> Version:
         source = self.network.source
-        return source.shown[Kind.instances].version
+        return source.shown[DocumentKind.instances].version
 
     def _list(self, revision: int, listed: int) -> None:
         version = make_version(Era(self.era), revision=revision)
@@ -229,7 +229,7 @@
 
     def _show(self, version: int, part: bytes) -> None:
         document = make_document(
-            Kind.configuration,
+            DocumentKind.configuration,
             version=Version(version),
             blobs={'casefiles': part},
         )
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -14,7 +14,7 @@
 from wagtaildale.calls.frames import LENGTH, FrameReader
 from wagtaildale.calls.parsing import MessageParser
 from wagtaildale.configuration.files import parse_mesh
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.distribution.wire import decode_envelope
 from wagtaildale.errors.codes import Code
 from wagtaildale.membership.records import check_records
--- a/wagtaildale/admin/pages.py
+++ b/wagtaildale/admin/pages.py
@@ -165,7 +165,7 @@
     """
     _check_whole(context)
     node: Node = context.node
-    node.drain_asked.set()
+    node.drain_requested.set()
     return DrainReport(in_flight=node.stop.count_in_flight())
 
 
--- a/wagtaildale/admin/reports.py
+++ b/wagtaildale/admin/reports.py
@@ -16,7 +16,7 @@
 )
 from wagtaildale.membership.state import find_topology
 from wagtaildale.timers.service import read_clock
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.configuration.model import WorkClass
@@ -49,7 +49,9 @@
         data_centre=parts.settings.data_centre,
         state=parts.states[-1].value,
         reader=state.appointed,
-        documents={kind.name: _report_document(node, kind) for kind in Kind},
+        documents={
+            kind.name: _report_document(node, kind) for kind in DocumentKind
+        },
         away=tuple(sorted(parts.view.current.away)),
         neighbours=find_topology(state.members).neighbours,
         control=_report_control(node),
@@ -194,7 +196,7 @@
     }
 
 
-def _report_document(node: Node, kind: Kind) -> DocumentState:
+def _report_document(node: Node, kind: DocumentKind) -> DocumentState:
     state = node.distribution.state
     store = state.stores[kind]
     holding = state.describe_holding(kind, read_clock())
--- a/wagtaildale/admission/messages.py
+++ b/wagtaildale/admission/messages.py
@@ -13,7 +13,7 @@
 TicketId = NewType('TicketId', int)
 
 NO_TICKET: Final = TicketId(0)
-MIDDLE_RANK: Final = 1
+DEFAULT_RANK: Final = 1
 
 
 class RequestArrived(Struct, frozen=True, kw_only=True, gc=False):
@@ -37,10 +37,10 @@
     within_ms: int
     deadline: float
     ticket: TicketId = NO_TICKET
-    rank: int = MIDDLE_RANK
+    rank: int = DEFAULT_RANK
     patient: bool = True
     work_class: str = ''
-    pass_rank: int = MIDDLE_RANK
+    pass_rank: int = DEFAULT_RANK
     stands_for: float = 1
 
 
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -190,7 +190,7 @@
             failure: why.
         """
         self._connection = None
-        self._owner.invariants.hold(
+        self._owner.invariants.check(
             Invariant.not_run_is_true,
             holds=failure.outcome is not Outcome.not_run
             or failure.code is Code.backend_unreachable,
@@ -269,7 +269,7 @@
         # second one stops here; its outcome is the first's.
         fields = self._run.fields
         owner = self._owner
-        return owner.invariants.hold(
+        return owner.invariants.check(
             Invariant.runs_once,
             holds=fields.idempotent or owner.ledger.note_run(fields.request_id),
             detail=fields.request_id,
--- a/wagtaildale/calls/descriptions.py
+++ b/wagtaildale/calls/descriptions.py
@@ -16,7 +16,7 @@
 from wagtaildale.routing.known_limits import NamedLimit
 from wagtaildale.routing.upstream import OwnerReport, UpstreamStatistics
 from wagtaildale.timers.service import read_clock
-from wagtaildale.types import ANY_INCARNATION
+from wagtaildale.types import UNKNOWN_INCARNATION
 
 if TYPE_CHECKING:
     from wagtaildale.calls.attempts import Attempts
@@ -137,7 +137,7 @@
         within_ms=int(within * MILLISECONDS),
         remaining_ms=max(0, int(rest * MILLISECONDS)),
         instance=upstream.instance,
-        incarnation=ANY_INCARNATION,
+        incarnation=UNKNOWN_INCARNATION,
         depth=routed.depth,
         retries=attempts.retries_left,
         ends=attempts.ends,
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -6,12 +6,12 @@
 
 from msgspec import Struct
 
-from wagtaildale.admission.messages import MIDDLE_RANK, TicketId
+from wagtaildale.admission.messages import DEFAULT_RANK, TicketId
 from wagtaildale.admission.shares import MIN_PARTS, PARTS_PER_WHOLE, PassShare
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.leavers import Leaver
 from wagtaildale.types import (
-    ANY_INCARNATION,
+    UNKNOWN_INCARNATION,
     Incarnation,
     InstanceId,
     Outcome,
@@ -68,16 +68,16 @@
     within_ms: int
     remaining_ms: int
     instance: InstanceId
-    incarnation: Incarnation = ANY_INCARNATION
+    incarnation: Incarnation = UNKNOWN_INCARNATION
     lease: TicketId = NO_LEASE
     depth: int = 0
     retries: int = 0
-    rank: int = MIDDLE_RANK
+    rank: int = DEFAULT_RANK
     patient: bool = True
     sent_ms: int = 0
     ends: int = 0
     rate_milli: int = NO_RATE
-    pass_rank: int = MIDDLE_RANK
+    pass_rank: int = DEFAULT_RANK
     passed_parts: int = PARTS_PER_WHOLE
 
     @property
--- a/wagtaildale/calls/owned.py
+++ b/wagtaildale/calls/owned.py
@@ -235,7 +235,7 @@
         )
         if self.state is CallState.waiting:
             self._ticket = ticket
-        owner.invariants.hold(
+        owner.invariants.check(
             Invariant.leaving_gets_none,
             holds=not was_draining or self.state is CallState.over,
             detail=fields.request_id,
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -22,7 +22,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import (
-    ANY_INCARNATION,
+    UNKNOWN_INCARNATION,
     Incarnation,
     InstanceId,
     Outcome,
@@ -146,7 +146,7 @@
             CallFailed: with outcome ``not_run``, when it is not.
         """
         known = fields.incarnation in {
-            ANY_INCARNATION,
+            UNKNOWN_INCARNATION,
             self.identity.incarnation,
         }
         if not known or not self._serves(fields.instance):
--- a/wagtaildale/configuration/compiled.py
+++ b/wagtaildale/configuration/compiled.py
@@ -28,7 +28,7 @@
 MANIFEST_NAME: Final = 'manifest.json'
 PARTS_FOLDER: Final = 'parts'
 LARGEST_PART: Final = 1_000_000
-DIGEST_SIZE: Final = 16
+DIGEST_BYTES: Final = 16
 # Parts and pieces whose decoded form is kept: two versions of 2,000 rules in
 # pieces, or of 2,000 services.
 DECODED_PARTS: Final = 4096
@@ -57,7 +57,7 @@
     Returns:
         16 bytes of BLAKE2b: enough that no two parts share it by chance.
     """
-    return Digest(blake2b(blob, digest_size=DIGEST_SIZE).digest())
+    return Digest(blake2b(blob, digest_size=DIGEST_BYTES).digest())
 
 
 @lru_cache(maxsize=DECODED_PARTS)
--- a/wagtaildale/configuration/files.py
+++ b/wagtaildale/configuration/files.py
@@ -9,7 +9,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from wagtaildale.configuration.meaning import check_meaning
+from wagtaildale.configuration.semantics import check_semantics
 from wagtaildale.configuration.model import MeshEntry
 from wagtaildale.configuration.positions import KeyPath, find_line
 from wagtaildale.configuration.shapes import Finding, check_shape
@@ -80,7 +80,7 @@
     if findings:
         return Err(place_findings(findings, text=text, name=name))
     mesh = msgspec.convert(table, MeshEntry)
-    findings = check_meaning(mesh)
+    findings = check_semantics(mesh)
     if findings:
         return Err(place_findings(findings, text=text, name=name))
     return Ok(mesh)
--- a/wagtaildale/configuration/model.py
+++ b/wagtaildale/configuration/model.py
@@ -21,7 +21,7 @@
 LONGEST_PATH: Final = 512
 LONGEST_TITLE: Final = 200
 
-MIDDLE_RANK: Final = 1
+DEFAULT_RANK: Final = 1
 # The entry of a configuration that holds limits instead of a service's
 # part: no service has such a name.
 LIMITS_ENTRY: Final = '@limits'
@@ -135,7 +135,7 @@
     within_ms: int
     percent: float
     deadline_ms: int
-    rank: int = MIDDLE_RANK
+    rank: int = DEFAULT_RANK
 
 
 class Share(Struct, frozen=True, kw_only=True):
--- a/wagtaildale/configuration/meaning.py
+++ b/wagtaildale/configuration/semantics.py
@@ -20,7 +20,7 @@
     from wagtaildale.configuration.positions import KeyPath
 
 
-def check_meaning(mesh: MeshEntry) -> list[Finding]:
+def check_semantics(mesh: MeshEntry) -> list[Finding]:
     """Check names, targets and routes of a whole file.
 
     Args:
--- a/wagtaildale/daemon.py
+++ b/wagtaildale/daemon.py
@@ -209,7 +209,7 @@
 
 def _wait(node: Node, signals: Signals) -> int:
     while not signals.wait(LOOK_SECONDS):
-        if node.drain_asked.is_set():
+        if node.drain_requested.is_set():
             break
         failure = node.find_failure()
         if failure is not None:
--- a/wagtaildale/distribution/appointments.py
+++ b/wagtaildale/distribution/appointments.py
@@ -19,7 +19,7 @@
 from wagtaildale.distribution.staleness import is_stale, relieves
 from wagtaildale.distribution.state import DistributionState
 from wagtaildale.membership.state import find_topology
-from wagtaildale.types import NO_VERSION, Kind, NodeState
+from wagtaildale.types import NO_VERSION, DocumentKind, NodeState
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.messages import Effect
@@ -46,7 +46,9 @@
         return []
     state.appointed = wanted
     state.appointed_at = now
-    return [Watch(kind=kind, appointed=wanted, rank=rank) for kind in Kind]
+    return [
+        Watch(kind=kind, appointed=wanted, rank=rank) for kind in DocumentKind
+    ]
 
 
 def find_rank(state: DistributionState) -> int:
@@ -95,7 +97,7 @@
     tuning = state.tuning
     if state.members.state is NodeState.leaving:
         return False
-    if state.stores[Kind.instances].held.version == NO_VERSION:
+    if state.stores[DocumentKind.instances].held.version == NO_VERSION:
         return False
     if is_first(state):
         return True
--- a/wagtaildale/distribution/around.py
+++ b/wagtaildale/distribution/around.py
@@ -12,7 +12,7 @@
 from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.telemetry.events import EventRecorder
 from wagtaildale.timers.inbox import Inbox
-from wagtaildale.types import Kind, NodeState
+from wagtaildale.types import DocumentKind, NodeState
 
 
 class Counts(Struct, kw_only=True):
@@ -49,7 +49,7 @@
     recorder: EventRecorder
     invariants: Invariants
     view: ViewHolder
-    watches: dict[Kind, Inbox[Watch | None]]
+    watches: dict[DocumentKind, Inbox[Watch | None]]
     fetches: Inbox[Any]
     states: list[NodeState]
     suspects: SuspectsHolder
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -33,7 +33,7 @@
     OutlineOffered,
 )
 from wagtaildale.document.model import make_delta, make_outline
-from wagtaildale.types import InstanceId, Kind, NodeState, Version
+from wagtaildale.types import InstanceId, DocumentKind, NodeState, Version
 
 BLOBS_BYTES: Final = 1_000_000
 
@@ -204,7 +204,7 @@
     )
 
 
-def _clear_push(context: Context, kind: Kind, version: Version) -> None:
+def _clear_push(context: Context, kind: DocumentKind, version: Version) -> None:
     key = (context.sender, kind)
     push = context.state.pushes.get(key)
     if push is not None and push.version <= version:
--- a/wagtaildale/distribution/checks.py
+++ b/wagtaildale/distribution/checks.py
@@ -7,9 +7,9 @@
 
 from result import Err, Ok, Result
 
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.membership.records import check_records
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.document.model import Document
@@ -44,7 +44,7 @@
 
 CHECKS: Final = MappingProxyType(
     {
-        Kind.configuration: check_configuration,
-        Kind.instances: check_instances,
+        DocumentKind.configuration: check_configuration,
+        DocumentKind.instances: check_instances,
     },
 )
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -47,7 +47,7 @@
     RequestRefused,
 )
 from wagtaildale.timers.messages import Tick, TimerName, WokeLate
-from wagtaildale.types import Kind, NodeState
+from wagtaildale.types import DocumentKind, NodeState
 
 
 @singledispatch
@@ -176,9 +176,9 @@
     shared: list[messages.Effect] = []
     if any(isinstance(each, messages.Moved) for each in effects):
         plan_share(state, now=now)
-        if kind is Kind.instances and tells_others(state):
+        if kind is DocumentKind.instances and tells_others(state):
             shared = push_across(state, kind=kind, now=now)
-    elif kind is Kind.configuration:
+    elif kind is DocumentKind.configuration:
         shared = _share_unless_planned(state, now=now)
     if state.members.state is NodeState.joining:
         # The first list tells this node whether it is a reader.
@@ -196,7 +196,7 @@
     if message.version >= state.stores[message.kind].held.version:
         note_confirmed(state, kind=message.kind, now=now)
     shared = _note_answer(state, message.kind)
-    if message.kind is Kind.configuration:
+    if message.kind is DocumentKind.configuration:
         shared.extend(_share_unless_planned(state, now=now))
     return [*shared, *review_ready(state, now=now)]
 
@@ -352,7 +352,7 @@
 
 def _note_answer(
     state: DistributionState,
-    kind: Kind,
+    kind: DocumentKind,
 ) -> list[messages.Effect]:
     if kind not in state.failing:
         return []
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -25,7 +25,7 @@
     Rejected,
 )
 from wagtaildale.membership.state import find_topology
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.document.messages import (
@@ -43,7 +43,7 @@
 def take_offer(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     offer: Offer,
     now: float,
     from_tree: bool = False,
@@ -88,7 +88,7 @@
 ) -> list[Effect]:
     document = outcome.document
     kept: list[Effect] = []
-    if document.kind is Kind.instances:
+    if document.kind is DocumentKind.instances:
         # Before the list itself: calls never see it without those kept.
         kept = take_list(state, document=document, now=now)
     moved = Moved(
@@ -144,7 +144,7 @@
 def ask_for_delta(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     peer: InstanceId,
 ) -> Send:
     """Ask a peer for what leads from the held version to its own.
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -21,7 +21,7 @@
 from wagtaildale.membership.news import AWAY
 from wagtaildale.suspects.records import TRIAL_ENDS
 from wagtaildale.timers.service import read_clock
-from wagtaildale.types import InstanceId, Kind, NodeState
+from wagtaildale.types import InstanceId, DocumentKind, NodeState
 
 PLATFORM: Final = 'platform'
 OWN: Final = 'own'
@@ -110,7 +110,7 @@
     around = sender.around
     if not _may_move(effect, around):
         return
-    if document.kind is Kind.configuration:
+    if document.kind is DocumentKind.configuration:
         around.view.take_configuration(document)
         kind = EventKind.version_applied
     else:
@@ -168,17 +168,17 @@
 def _may_move(effect: messages.Moved, around: Surroundings) -> bool:
     document = effect.document
     moves = f'{effect.before.version} to {document.version}'
-    rises = around.invariants.hold(
+    rises = around.invariants.check(
         Invariant.version_rises,
         holds=document.version > effect.before.version,
         detail=moves,
     )
-    whole = around.invariants.hold(
+    whole = around.invariants.check(
         Invariant.version_whole,
         holds=document.entries.keys() == document.blobs.keys(),
         detail=moves,
     )
-    resources = around.invariants.hold(
+    resources = around.invariants.check(
         Invariant.route_has_resource,
         holds=CHECKS[document.kind](document).is_ok(),
         detail=moves,
@@ -211,7 +211,7 @@
         kind = EventKind.node_ready
     away = sender.state.members.list_away()
     sender.around.view.take_away(away)
-    held = sender.state.stores[Kind.configuration].held
+    held = sender.state.stores[DocumentKind.configuration].held
     sender.around.recorder.record(kind, version=held.version)
 
 
--- a/wagtaildale/distribution/lapses.py
+++ b/wagtaildale/distribution/lapses.py
@@ -19,7 +19,7 @@
 from wagtaildale.document.eras import find_era, find_revision
 from wagtaildale.membership.decisions import take_records
 from wagtaildale.membership.records import InstanceRecord, decode_record
-from wagtaildale.types import InstanceId, Kind, ListedState, Version
+from wagtaildale.types import InstanceId, DocumentKind, ListedState, Version
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.messages import Effect
@@ -67,7 +67,7 @@
 def note_return(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     confirmed_at: float,
     now: float,
 ) -> None:
@@ -84,7 +84,7 @@
         now: seconds.
     """
     last = state.freshness[kind].confirmed_at
-    if kind is not Kind.instances or last == NEVER:
+    if kind is not DocumentKind.instances or last == NEVER:
         return
     silent = confirmed_at - max(last, state.joining.started_at)
     if silent > state.tuning.lapse_seconds:
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -13,7 +13,13 @@
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.suspects.snapshots import Suspects
 from wagtaildale.suspects.records import Suspicion
-from wagtaildale.types import Digest, InstanceId, Kind, NodeState, Version
+from wagtaildale.types import (
+    Digest,
+    InstanceId,
+    DocumentKind,
+    NodeState,
+    Version,
+)
 
 
 class Received(Struct, frozen=True, kw_only=True):
@@ -42,7 +48,7 @@
         version: that the platform gave last.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
 
 
@@ -55,7 +61,7 @@
         missing: what it did not have.
     """
 
-    kind: Kind
+    kind: DocumentKind
     blobs: tuple[bytes, ...]
     missing: tuple[Digest, ...] = ()
 
@@ -63,7 +69,7 @@
 class SourceFailed(Struct, frozen=True, kw_only=True):
     """The platform did not answer, or refused."""
 
-    kind: Kind
+    kind: DocumentKind
     code: Code
     detail: str
 
@@ -74,7 +80,7 @@
     Both what a reader tells and what is done about it: it is noted.
     """
 
-    kind: Kind
+    kind: DocumentKind
     code: Code
     detail: str
 
@@ -104,7 +110,7 @@
 class Watch(Struct, frozen=True, kw_only=True):
     """Watch the platform for one document, or stop watching."""
 
-    kind: Kind
+    kind: DocumentKind
     appointed: bool
     rank: int
 
@@ -112,7 +118,7 @@
 class ReadSource(Struct, frozen=True, kw_only=True):
     """Read one document from the platform once."""
 
-    kind: Kind
+    kind: DocumentKind
 
 
 class ReadBlobs(Struct, frozen=True, kw_only=True):
@@ -125,7 +131,7 @@
             reads faster than the others.
     """
 
-    kind: Kind
+    kind: DocumentKind
     digests: tuple[Digest, ...]
     foremost: bool
 
@@ -196,7 +202,7 @@
         detail: for a person.
     """
 
-    kind: Kind
+    kind: DocumentKind
     code: Code
     detail: str
 
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -21,7 +21,7 @@
 
     from wagtaildale.distribution.messages import Effect
     from wagtaildale.document.model import Delta
-    from wagtaildale.types import InstanceId, Kind
+    from wagtaildale.types import InstanceId, DocumentKind
 
 INLINE_BYTES: Final = 65_536
 PUSH_TRIES: Final = 2
@@ -30,7 +30,7 @@
 def push_on(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
     from_tree: bool,
 ) -> list[Effect]:
@@ -62,7 +62,7 @@
 def push_across(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
 ) -> list[Effect]:
     """Pass a version that was read at the platform to other data centres.
@@ -139,7 +139,7 @@
 def _push_to(
     state: DistributionState,
     peer: InstanceId,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
     tries: int = 1,
 ) -> Send:
--- a/wagtaildale/distribution/readers.py
+++ b/wagtaildale/distribution/readers.py
@@ -14,7 +14,7 @@
     UNKNOWN_AGE,
     DistributionState,
 )
-from wagtaildale.types import NO_VERSION, Kind, NodeState
+from wagtaildale.types import NO_VERSION, DocumentKind, NodeState
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.messages import Effect
@@ -31,7 +31,7 @@
 def note_confirmed(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
 ) -> None:
     """Note that the platform answered this node.
--- a/wagtaildale/distribution/state.py
+++ b/wagtaildale/distribution/state.py
@@ -14,7 +14,7 @@
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.membership.state import MembershipState
 from wagtaildale.suspects.table import SuspectTable
-from wagtaildale.types import DataCentre, InstanceId, Kind, Version
+from wagtaildale.types import DataCentre, InstanceId, DocumentKind, Version
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.tuning import Tuning
@@ -117,7 +117,7 @@
 
     started_at: float
     peers: set[InstanceId] = field(default_factory=set)
-    source: set[Kind] = field(default_factory=set)
+    source: set[DocumentKind] = field(default_factory=set)
     next_read: float = NEVER
     reads: int = 0
     next_look: float = NEVER
@@ -152,11 +152,11 @@
     tuning: Tuning
     seeds: tuple[str, ...]
     joining: Joining
-    stores: dict[Kind, StoreState]
-    freshness: dict[Kind, Freshness]
+    stores: dict[DocumentKind, StoreState]
+    freshness: dict[DocumentKind, Freshness]
     lapses: Lapses = field(default_factory=Lapses)
     delays: Delays = field(default_factory=Delays)
-    pushes: dict[tuple[InstanceId, Kind], PushOut] = field(
+    pushes: dict[tuple[InstanceId, DocumentKind], PushOut] = field(
         default_factory=dict,
     )
     awaiting: dict[InstanceId, float] = field(default_factory=dict)
@@ -164,11 +164,11 @@
     appointed_at: float = NEVER
     listed_at: float | None = None
     share_due: float | None = None
-    failing: set[Kind] = field(default_factory=set)
+    failing: set[DocumentKind] = field(default_factory=set)
     suspects: SuspectTable = field(default_factory=SuspectTable)
     turn: int = 0
 
-    def describe_holding(self, kind: Kind, now: float) -> Holding:
+    def describe_holding(self, kind: DocumentKind, now: float) -> Holding:
         """Describe the held version of a document and its freshness.
 
         Args:
@@ -248,9 +248,9 @@
         seeds=seeds,
         joining=Joining(started_at=now),
         stores=_make_stores(),
-        freshness={kind: Freshness() for kind in Kind},
+        freshness={kind: Freshness() for kind in DocumentKind},
     )
 
 
-def _make_stores() -> dict[Kind, StoreState]:
-    return {kind: make_store(kind, check=CHECKS[kind]) for kind in Kind}
+def _make_stores() -> dict[DocumentKind, StoreState]:
+    return {kind: make_store(kind, check=CHECKS[kind]) for kind in DocumentKind}
--- a/wagtaildale/distribution/tests/networks.py
+++ b/wagtaildale/distribution/tests/networks.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.testing.builders import build_configuration
 from wagtaildale.testing.network import FakeNetwork, FakeNode
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.tuning import Tuning
@@ -42,7 +42,7 @@
 
 def read_version(node: FakeNode) -> int:
     """Read which configuration a node holds."""
-    return node.state.stores[Kind.configuration].held.version
+    return node.state.stores[DocumentKind.configuration].held.version
 
 
 def offer(network: FakeNetwork, document: Document) -> None:
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -14,7 +14,7 @@
 from wagtaildale.membership.state import find_topology
 from wagtaildale.testing.builders import build_configuration, build_instances
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import InstanceId, Kind
+from wagtaildale.types import InstanceId, DocumentKind
 
 A = InstanceId('a')
 B = InstanceId('b')
@@ -166,7 +166,7 @@
     leaf, root = tree[-1], tree[0]
     target = build_configuration(2)
     holding = network.nodes[leaf].state.describe_holding(
-        Kind.configuration,
+        DocumentKind.configuration,
         network.now,
     )
     delta = make_delta(build_configuration(1), target=target)
--- a/wagtaildale/distribution/tests/test_delays.py
+++ b/wagtaildale/distribution/tests/test_delays.py
@@ -8,7 +8,7 @@
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.testing.builders import build_configuration
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import Incarnation, InstanceId, Kind
+from wagtaildale.types import Incarnation, InstanceId, DocumentKind
 
 A = InstanceId('a')
 PROCESS = (A, Incarnation(1))
@@ -41,7 +41,7 @@
     assert any(each.to == other for each in network.flying)
     network.now += HELD_SECONDS
     network.flush()
-    fresh = network.nodes[other].state.freshness[Kind.configuration]
+    fresh = network.nodes[other].state.freshness[DocumentKind.configuration]
     assert fresh.confirmed_at <= sent_at
 
 
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -18,7 +18,7 @@
 )
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.testing.builders import build_configuration
-from wagtaildale.types import InstanceId, Kind, NodeState
+from wagtaildale.types import InstanceId, DocumentKind, NodeState
 
 B = InstanceId('b')
 LOOKS_TO_JOIN = 5
@@ -137,10 +137,10 @@
     network.source.down = True
     for name in tuple(network.nodes):
         network.restart(name)
-    before = network.source.reads[Kind.configuration.name]
+    before = network.source.reads[DocumentKind.configuration.name]
     for _look in range(200):
         network.pass_round(seconds=0.05)
-    asked = network.source.reads[Kind.configuration.name] - before
+    asked = network.source.reads[DocumentKind.configuration.name] - before
     assert asked <= 35 * len(network.nodes)
     network.source.down = False
     for _look in range(20):
--- a/wagtaildale/distribution/tests/test_sources.py
+++ b/wagtaildale/distribution/tests/test_sources.py
@@ -6,7 +6,7 @@
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.errors.codes import Code
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import Digest, InstanceId, Kind, Version
+from wagtaildale.types import Digest, InstanceId, DocumentKind, Version
 
 A = InstanceId('a')
 
@@ -15,7 +15,7 @@
     """The platform is down for a night and the log is full of it."""
     network = build_network(1)
     failed = messages.SourceFailed(
-        kind=Kind.configuration,
+        kind=DocumentKind.configuration,
         code=Code.source_unreachable,
         detail='down',
     )
@@ -24,7 +24,7 @@
         network.tell(A, failed)
         said.extend(list_source_changes(network))
     answered = messages.SourceConfirmed(
-        kind=Kind.configuration,
+        kind=DocumentKind.configuration,
         version=Version(1),
     )
     network.tell(A, answered)
@@ -43,7 +43,7 @@
 def test_missing_part_is_said() -> None:
     network = build_network(1)
     read = messages.SourceBlobs(
-        kind=Kind.configuration,
+        kind=DocumentKind.configuration,
         blobs=(),
         missing=(Digest(b'gone'),),
     )
--- a/wagtaildale/distribution/tests/test_versions.py
+++ b/wagtaildale/distribution/tests/test_versions.py
@@ -15,14 +15,14 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.testing.builders import build_configuration, build_part
 from wagtaildale.testing.network import FakeNode
-from wagtaildale.types import InstanceId, Kind, Version
+from wagtaildale.types import InstanceId, DocumentKind, Version
 
 A = InstanceId('a')
 B = InstanceId('b')
 
 
 def list_refusals(node: FakeNode) -> set[Code]:
-    store = node.state.stores[Kind.configuration]
+    store = node.state.stores[DocumentKind.configuration]
     return {fault.code for fault in store.refused.values()}
 
 
@@ -54,7 +54,7 @@
     """
     network = build_network()
     bad = make_document(
-        Kind.configuration,
+        DocumentKind.configuration,
         version=Version(2),
         blobs={
             'casefiles': build_part('casefiles', within_ms=7),
@@ -75,7 +75,9 @@
     """
     network = build_network(1)
     blobs = {'casefiles': build_part('casefiles', routed_to='gone')}
-    bad = make_document(Kind.configuration, version=Version(2), blobs=blobs)
+    bad = make_document(
+        DocumentKind.configuration, version=Version(2), blobs=blobs
+    )
     offer(network, bad)
     reads = network.source.reads['blobs']
     for _again in range(5):
@@ -93,7 +95,7 @@
     offer(network, build_configuration(1, within_ms=999))
     first = build_configuration(1)
     for node in network.nodes.values():
-        held = node.state.stores[Kind.configuration].held
+        held = node.state.stores[DocumentKind.configuration].held
         assert held.digest == first.digest
     offer(network, build_configuration(2))
     assert_held(network, 2)
@@ -110,9 +112,9 @@
     later = make_delta(versions[1], target=versions[2])
     earlier = make_delta(versions[0], target=versions[1])
     state = network.nodes[A].state
-    holding = state.describe_holding(Kind.configuration, network.now)
+    holding = state.describe_holding(DocumentKind.configuration, network.now)
     network.source.show(versions[2])
-    network.nodes[B].watching.add(Kind.configuration)
+    network.nodes[B].watching.add(DocumentKind.configuration)
     network.read_source(B)
     network.flying.clear()
     for delta in (later, earlier):
@@ -120,8 +122,8 @@
         network.tell(A, network.wrap(B, to=A, body=body))
     network.settle()
     assert_held(network, 3)
-    assert network.nodes[A].seen[Kind.configuration] == sorted(
-        network.nodes[A].seen[Kind.configuration],
+    assert network.nodes[A].seen[DocumentKind.configuration] == sorted(
+        network.nodes[A].seen[DocumentKind.configuration],
     )
 
 
@@ -132,7 +134,7 @@
     delta = make_delta(build_configuration(1), target=target)
     delta.changed['casefiles'] = build_part('casefiles', within_ms=6)
     state = network.nodes[A].state
-    holding = state.describe_holding(Kind.configuration, network.now)
+    holding = state.describe_holding(DocumentKind.configuration, network.now)
     network.tell(A, network.wrap(B, to=A, body=Push(delta, holding)))
     assert_held(network, 1)
 
@@ -175,8 +177,10 @@
     network.read_source(A)
     network.source.show(third)
     network.read_source(A)
-    late = messages.SourceBlobs(kind=Kind.configuration, blobs=(hidden,))
+    late = messages.SourceBlobs(
+        kind=DocumentKind.configuration, blobs=(hidden,)
+    )
     network.tell(A, late)
-    held = network.nodes[A].state.stores[Kind.configuration].held
+    held = network.nodes[A].state.stores[DocumentKind.configuration].held
     assert held.digest == third.digest
-    assert network.nodes[A].seen[Kind.configuration] == [1, 3]
+    assert network.nodes[A].seen[DocumentKind.configuration] == [1, 3]
--- a/wagtaildale/distribution/tests/test_wire.py
+++ b/wagtaildale/distribution/tests/test_wire.py
@@ -21,13 +21,13 @@
 from wagtaildale.suspects.tests.builders import build_suspicion
 from wagtaildale.testing.assertions import assert_err, assert_ok
 from wagtaildale.testing.builders import build_part
-from wagtaildale.types import Incarnation, InstanceId, Kind, NodeState
+from wagtaildale.types import Incarnation, InstanceId, DocumentKind, NodeState
 
 SENDER = News(InstanceId('a'), Incarnation(1), 0, NodeState.ready)
 
 
 def build_envelope(*blobs: bytes) -> Envelope:
-    body = BlobsSent(Kind.configuration, blobs)
+    body = BlobsSent(DocumentKind.configuration, blobs)
     return Envelope(InstanceId('b'), (SENDER,), 7, body)
 
 
--- a/wagtaildale/distribution/tests/watched.py
+++ b/wagtaildale/distribution/tests/watched.py
@@ -16,7 +16,7 @@
 from wagtaildale.timers.messages import Tick, TimerName
 from wagtaildale.types import (
     InstanceId,
-    Kind,
+    DocumentKind,
     ListedState,
     NodeState,
     Version,
@@ -98,7 +98,9 @@
         Returns:
             The version of the list that tells so.
         """
-        version = Version(_find_shown(self.network, Kind.instances).version + 1)
+        version = Version(
+            _find_shown(self.network, DocumentKind.instances).version + 1
+        )
         self.network.records = [
             _mark_leaving(record) if record.instance == instance else record
             for record in self.network.records
@@ -168,7 +170,9 @@
         first = now + self.read_share * tuning.read_seconds
         self._gathers_until.setdefault(name, first)
         asked = self._asked.setdefault(name, now)
-        shown = [_find_shown(self.network, kind) for kind in reversed(Kind)]
+        shown = [
+            _find_shown(self.network, kind) for kind in reversed(DocumentKind)
+        ]
         versions = tuple(document.version for document in shown)
         is_ready = now >= self._gathers_until[name]
         if is_ready and self._known.get(name) != versions:
@@ -193,12 +197,12 @@
             merge_news(node.state.members, heard=heard, now=network.now)
 
 
-def _find_shown(network: FakeNetwork, kind: Kind) -> Document:
+def _find_shown(network: FakeNetwork, kind: DocumentKind) -> Document:
     return network.source.shown[kind]
 
 
 def _read_index(node: FakeNode) -> Version:
-    return node.state.stores[Kind.instances].held.version
+    return node.state.stores[DocumentKind.instances].held.version
 
 
 def _mark_leaving(record: InstanceRecord) -> InstanceRecord:
--- a/wagtaildale/distribution/wire.py
+++ b/wagtaildale/distribution/wire.py
@@ -17,7 +17,13 @@
 from wagtaildale.errors.faults import Fault
 from wagtaildale.membership.news import News
 from wagtaildale.suspects.records import Suspicion
-from wagtaildale.types import DataCentre, Digest, InstanceId, Kind, Version
+from wagtaildale.types import (
+    DataCentre,
+    Digest,
+    InstanceId,
+    DocumentKind,
+    Version,
+)
 
 LARGEST_MESSAGE: Final = 16_000_000
 WORTH_COMPRESSING: Final = 300
@@ -41,7 +47,7 @@
             tells.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     digest: Digest
     age_ms: int
@@ -83,14 +89,14 @@
 class PushSeen(Struct, frozen=True, array_like=True, tag=3):
     """A push has come; the sender holds this version or a later one."""
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
 
 
 class Pull(Struct, frozen=True, array_like=True, tag=4):
     """Asks for what leads from a held version to the receiver's."""
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     digest: Digest
 
@@ -104,14 +110,14 @@
 class BlobPull(Struct, frozen=True, array_like=True, tag=6):
     """Asks for blobs by content hash."""
 
-    kind: Kind
+    kind: DocumentKind
     digests: tuple[Digest, ...]
 
 
 class BlobsSent(Struct, frozen=True, array_like=True, tag=7):
     """Blobs that were asked for, as many as the sender has."""
 
-    kind: Kind
+    kind: DocumentKind
     blobs: tuple[bytes, ...]
 
 
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.document.model import Delta, Document, Outline
 from wagtaildale.errors.faults import Fault
-from wagtaildale.types import Digest, InstanceId, Kind, Version
+from wagtaildale.types import Digest, InstanceId, DocumentKind, Version
 
 # Who offered something: a peer, or nobody where it was the platform.
 Origin = InstanceId | None
@@ -29,7 +29,7 @@
 class BlobsOffered(Struct, frozen=True, kw_only=True):
     """Blobs that were asked for have come."""
 
-    kind: Kind
+    kind: DocumentKind
     blobs: tuple[bytes, ...]
     origin: Origin = None
 
@@ -58,7 +58,7 @@
         fresh: whether it is the first time this is said of that version.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     fault: Fault
     fresh: bool = False
@@ -67,14 +67,14 @@
 class OutlineWanted(Struct, frozen=True, kw_only=True):
     """The delta's base is not held: ask for what leads here."""
 
-    kind: Kind
+    kind: DocumentKind
     origin: Origin
 
 
 class BlobsWanted(Struct, frozen=True, kw_only=True):
     """These blobs are missing for a pending version."""
 
-    kind: Kind
+    kind: DocumentKind
     digests: tuple[Digest, ...]
     origin: Origin
 
--- a/wagtaildale/document/model.py
+++ b/wagtaildale/document/model.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct
 
-from wagtaildale.configuration.compiled import DIGEST_SIZE, hash_part
-from wagtaildale.types import NO_VERSION, Digest, Kind, Version
+from wagtaildale.configuration.compiled import DIGEST_BYTES, hash_part
+from wagtaildale.types import NO_VERSION, Digest, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -32,7 +32,7 @@
         entries: by name, the content hash.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     entries: dict[str, Digest]
 
@@ -50,7 +50,7 @@
         removed: names that are gone.
     """
 
-    kind: Kind
+    kind: DocumentKind
     base_version: Version
     base_digest: Digest
     version: Version
@@ -70,14 +70,14 @@
         blobs: by name, the bytes.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     digest: Digest
     entries: Mapping[str, Digest]
     blobs: Mapping[str, bytes]
 
 
-def make_empty(kind: Kind) -> Document:
+def make_empty(kind: DocumentKind) -> Document:
     """Make the document that a new node holds.
 
     Args:
@@ -96,7 +96,7 @@
 
 
 def make_document(
-    kind: Kind,
+    kind: DocumentKind,
     *,
     version: Version,
     blobs: Mapping[str, bytes],
@@ -152,7 +152,7 @@
     """
     if outline.version == NO_VERSION:
         return NO_DIGEST
-    state = blake2b(digest_size=DIGEST_SIZE)
+    state = blake2b(digest_size=DIGEST_BYTES)
     state.update(outline.version.to_bytes(VERSION_BYTES))
     for name in sorted(outline.entries):
         state.update(name.encode())
--- a/wagtaildale/document/state.py
+++ b/wagtaildale/document/state.py
@@ -8,7 +8,7 @@
 from msgspec import Struct, field
 
 from wagtaildale.document.model import Document, Outline, make_empty
-from wagtaildale.types import Digest, Kind, Version
+from wagtaildale.types import Digest, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -105,7 +105,7 @@
 
 
 def make_store(
-    kind: Kind,
+    kind: DocumentKind,
     *,
     check: Callable[[Document], Result[None, Fault]],
 ) -> StoreState:
--- a/wagtaildale/integration.py
+++ b/wagtaildale/integration.py
@@ -15,7 +15,7 @@
 from wagtaildale.settings.model import Settings
 from wagtaildale.source.feed import DocumentFeed, Feed
 from wagtaildale.source.http import HttpPlatform
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.source.platform import Platform
@@ -47,7 +47,7 @@
     """
     return tuple(
         DocumentFeed(kind, platform=HttpPlatform(settings.platform))
-        for kind in Kind
+        for kind in DocumentKind
     )
 
 
--- a/wagtaildale/invariants.py
+++ b/wagtaildale/invariants.py
@@ -36,7 +36,7 @@
     Example:
         >>> from wagtaildale.testing.builders import build_recorder
         >>> invariants = Invariants(build_recorder())
-        >>> invariants.hold(Invariant.runs_once, holds=True)
+        >>> invariants.check(Invariant.runs_once, holds=True)
         True
     """
 
@@ -49,7 +49,7 @@
         self.broken = 0
         self._recorder = recorder
 
-    def hold(
+    def check(
         self,
         invariant: Invariant,
         *,
--- a/wagtaildale/node.py
+++ b/wagtaildale/node.py
@@ -99,7 +99,7 @@
             announce_seconds=settings.limits.announce_seconds,
             linger_seconds=settings.limits.linger_seconds,
         )
-        self.drain_asked = threading.Event()
+        self.drain_requested = threading.Event()
         self._admin = AdminPort(self)
         self._futures: list[Future[None]] = []
 
--- a/wagtaildale/platform/store.py
+++ b/wagtaildale/platform/store.py
@@ -28,7 +28,7 @@
     StoreEntry,
     StoreReading,
 )
-from wagtaildale.types import NO_VERSION, Kind, Version
+from wagtaildale.types import NO_VERSION, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -182,7 +182,7 @@
             ),
         )
 
-    def is_part_of(self, key: str, kind: Kind) -> bool:
+    def is_part_of(self, key: str, kind: DocumentKind) -> bool:
         """Tell whether a key belongs to a document; see ``Store``.
 
         Args:
@@ -192,13 +192,13 @@
         Returns:
             Whether a change of it changes the document.
         """
-        if kind is Kind.configuration:
+        if kind is DocumentKind.configuration:
             return key == CONFIGURATION_KEY
         return key.startswith(INSTANCE_PREFIX)
 
     def make_document(
         self,
-        kind: Kind,
+        kind: DocumentKind,
         *,
         entries: Mapping[str, StoreEntry],
         version: Version,
@@ -221,11 +221,11 @@
 
     def _make(
         self,
-        kind: Kind,
+        kind: DocumentKind,
         entries: Mapping[str, StoreEntry],
         version: Version,
     ) -> StoredDocument:
-        if kind is Kind.configuration:
+        if kind is DocumentKind.configuration:
             return self._make_configuration(entries)
         return self._make_list(entries, version)
 
--- a/wagtaildale/platform/tests/feeds.py
+++ b/wagtaildale/platform/tests/feeds.py
@@ -14,7 +14,7 @@
 from wagtaildale.source.feed import FeedReading
 from wagtaildale.source.platform import ReadFailure
 from wagtaildale.source.store import StoreFeed
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 
 class OfEra(Struct, frozen=True):
@@ -66,7 +66,7 @@
     return feed.read(wait=1.0).unwrap()
 
 
-def find_blobs(reading: FeedReading, kind: Kind) -> tuple[bytes, ...]:
+def find_blobs(reading: FeedReading, kind: DocumentKind) -> tuple[bytes, ...]:
     found = [each for each in reading.changed if each.outline.kind is kind]
     return found[0].blobs if found else ()
 
@@ -74,6 +74,6 @@
 def list_instances(reading: FeedReading) -> dict[str, InstanceRecord]:
     records = (
         json.decode(blob, type=InstanceRecord)
-        for blob in find_blobs(reading, Kind.instances)
+        for blob in find_blobs(reading, DocumentKind.instances)
     )
     return {record.instance: record for record in records}
--- a/wagtaildale/platform/tests/test_eras.py
+++ b/wagtaildale/platform/tests/test_eras.py
@@ -17,7 +17,7 @@
     read_feed,
 )
 from wagtaildale.source.feed import FeedReading
-from wagtaildale.types import Kind, Version
+from wagtaildale.types import DocumentKind, Version
 
 FIRST = 'servers/i-1'
 SECOND = 'servers/i-2'
@@ -27,7 +27,7 @@
     return next(
         each.outline.version
         for each in reading.changed
-        if each.outline.kind is Kind.instances
+        if each.outline.kind is DocumentKind.instances
     )
 
 
--- a/wagtaildale/platform/tests/test_store.py
+++ b/wagtaildale/platform/tests/test_store.py
@@ -9,7 +9,7 @@
 
 from wagtaildale.configuration.compiled import hash_part
 from wagtaildale.configuration.model import Part
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.errors.codes import Code
 from wagtaildale.platform.tests.builders import (
     build_configuration,
@@ -26,7 +26,7 @@
     list_instances,
     read_feed,
 )
-from wagtaildale.types import Kind, ListedState, ServiceName
+from wagtaildale.types import DocumentKind, ListedState, ServiceName
 
 CONFIGURATION = 'op/config'
 FIRST = 'servers/i-1'
@@ -37,7 +37,7 @@
     read_one = next(
         each
         for each in reading.changed
-        if each.outline.kind is Kind.configuration
+        if each.outline.kind is DocumentKind.configuration
     )
     by_digest = {hash_part(blob): blob for blob in read_one.blobs}
     blobs = {
@@ -56,7 +56,7 @@
     )
     reading = read_feed(feed)
     # The part of its service, one piece of it, and the limits.
-    assert len(find_blobs(reading, Kind.configuration)) == 3
+    assert len(find_blobs(reading, DocumentKind.configuration)) == 3
     record = list_instances(reading)['i-1']
     assert (record.host, record.backend_port) == ('10.1.0.8', 8145)
     assert record.slots == 9
@@ -93,8 +93,8 @@
             revision=10,
         ),
     )
-    before = set(find_blobs(read_feed(feed), Kind.configuration))
-    after = set(find_blobs(read_feed(feed), Kind.configuration))
+    before = set(find_blobs(read_feed(feed), DocumentKind.configuration))
+    after = set(find_blobs(read_feed(feed), DocumentKind.configuration))
     new = after - before
     assert len(new) == 1
     assert sum(map(len, new)) * 20 < sum(map(len, after))
@@ -169,7 +169,7 @@
     )
     reading = read_feed(feed)
     assert set(list_instances(reading)) == {'i-1'}
-    assert reading.flawed[0].kind is Kind.configuration
+    assert reading.flawed[0].kind is DocumentKind.configuration
 
 
 def test_dropped_history_is_read_anew() -> None:
--- a/wagtaildale/routing/choice.py
+++ b/wagtaildale/routing/choice.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from wagtaildale.admission.messages import MIDDLE_RANK
+from wagtaildale.admission.messages import DEFAULT_RANK
 from wagtaildale.types import DataCentre
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
     work_class: str = ''
     slack_seconds: float = inf
     may_wait: bool = False
-    pass_rank: int = MIDDLE_RANK
+    pass_rank: int = DEFAULT_RANK
     is_spare: bool = False
     was_limited: bool = False
 
--- a/wagtaildale/routing/table.py
+++ b/wagtaildale/routing/table.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from wagtaildale.configuration.whole import Configuration
+    from wagtaildale.configuration.validation import Configuration
 
 
 # Attempts beyond the first where a route does not say.
--- a/wagtaildale/routing/tests/test_table.py
+++ b/wagtaildale/routing/tests/test_table.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.routing.table import RoutingTable
 from wagtaildale.testing.builders import MESH_TEXT, build_compiled
 
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -13,7 +13,7 @@
 from wagtaildale.routing.ejection import Ejection
 from wagtaildale.routing.known_limits import NamedLimit
 from wagtaildale.routing.speed import Speed, fade
-from wagtaildale.types import ANY_INCARNATION, Incarnation, InstanceId
+from wagtaildale.types import UNKNOWN_INCARNATION, Incarnation, InstanceId
 
 FIRST_LIMIT: Final = 10
 WARM_SECONDS: Final = 10.0
@@ -109,7 +109,7 @@
             now: seconds.
         """
         self.instance = instance
-        self.incarnation = ANY_INCARNATION
+        self.incarnation = UNKNOWN_INCARNATION
         self.ejection = Ejection()
         self.pending = 0
         self.in_flight = 0
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -7,7 +7,7 @@
 from msgspec import Struct, structs
 
 from wagtaildale.configuration.model import Part, PublishedLimits
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.membership.records import (
     InstanceRecord,
     check_records,
--- a/wagtaildale/source/feed.py
+++ b/wagtaildale/source/feed.py
@@ -21,7 +21,7 @@
 from wagtaildale.document.model import Outline
 from wagtaildale.membership.records import InstanceList, encode_list
 from wagtaildale.source.platform import Platform, ReadFailure, Reading
-from wagtaildale.types import NO_VERSION, Digest, Kind, Version
+from wagtaildale.types import NO_VERSION, Digest, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -54,7 +54,7 @@
         kinds: the documents that it covers.
     """
 
-    kinds: tuple[Kind, ...]
+    kinds: tuple[DocumentKind, ...]
 
     @abstractmethod
     def read(self, *, wait: float) -> Result[FeedReading, ReadFailure]:
@@ -80,7 +80,7 @@
 class DocumentFeed(Feed):
     """One document of a platform that has a key for each."""
 
-    def __init__(self, kind: Kind, *, platform: Platform) -> None:
+    def __init__(self, kind: DocumentKind, *, platform: Platform) -> None:
         """Begin with nothing read.
 
         Args:
@@ -130,7 +130,7 @@
 def read_document(
     platform: Platform,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     index: int,
     wait: float,
 ) -> Result[Reading[SourceRead], ReadFailure]:
@@ -145,7 +145,7 @@
     Returns:
         The outline that the platform names, with the blobs that came along.
     """
-    if kind is Kind.configuration:
+    if kind is DocumentKind.configuration:
         manifest = platform.read_manifest(index=index, wait=wait)
         return manifest.map(_outline_manifest)
     listing = platform.read_instances(index=index, wait=wait)
@@ -153,7 +153,7 @@
 
 
 def make_read(
-    kind: Kind,
+    kind: DocumentKind,
     *,
     version: Version,
     blobs: Mapping[str, bytes],
@@ -182,7 +182,7 @@
         for name, digest in manifest.parts.items()
     }
     outline = Outline(
-        kind=Kind.configuration,
+        kind=DocumentKind.configuration,
         version=Version(manifest.version),
         entries=entries,
     )
@@ -194,7 +194,7 @@
     if listing is None:
         return _pass_empty(reading)
     read = make_read(
-        Kind.instances,
+        DocumentKind.instances,
         version=Version(listing.index),
         blobs=encode_list(listing),
     )
--- a/wagtaildale/source/store.py
+++ b/wagtaildale/source/store.py
@@ -18,7 +18,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.source.feed import Feed, FeedReading, make_read
 from wagtaildale.source.platform import ReadFailure
-from wagtaildale.types import NO_VERSION, Kind, Version
+from wagtaildale.types import NO_VERSION, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping
@@ -104,7 +104,7 @@
         """
 
     @abstractmethod
-    def is_part_of(self, key: str, kind: Kind) -> bool:
+    def is_part_of(self, key: str, kind: DocumentKind) -> bool:
         """Tell whether a key belongs to a document.
 
         Args:
@@ -118,7 +118,7 @@
     @abstractmethod
     def make_document(
         self,
-        kind: Kind,
+        kind: DocumentKind,
         *,
         entries: Mapping[str, StoreEntry],
         version: Version,
@@ -144,13 +144,13 @@
         Args:
             store: read from; belongs to this feed.
         """
-        self.kinds = tuple(Kind)
+        self.kinds = tuple(DocumentKind)
         self._store = store
         self._entries: dict[str, StoreEntry] = {}
         self._revision: int | None = None
         self._era = FIRST_ERA
-        self._versions = dict.fromkeys(Kind, NO_VERSION)
-        self._flaws: dict[Kind, frozenset[str]] = {}
+        self._versions = dict.fromkeys(DocumentKind, NO_VERSION)
+        self._flaws: dict[DocumentKind, frozenset[str]] = {}
 
     def read(self, *, wait: float) -> Result[FeedReading, ReadFailure]:
         """Read what has changed; see ``Feed``.
@@ -181,7 +181,9 @@
         self._revision = reading.revision
         self._note(reading)
         return self._give(
-            tuple(kind for kind in Kind if self._concerns(reading, kind)),
+            tuple(
+                kind for kind in DocumentKind if self._concerns(reading, kind)
+            ),
         )
 
     def restart(self) -> None:
@@ -205,7 +207,7 @@
         self._revision = reading.revision
         self._era = reading.era
         if reading.is_snapshot:
-            return self._give(tuple(Kind))
+            return self._give(tuple(DocumentKind))
         # Failure: the entries came on several pages, and the store changed
         # between two of them: together they never stood so. The changes
         # since the first page settle it.
@@ -218,9 +220,9 @@
             return changes
         self._note(changes.ok_value)
         self._revision = changes.ok_value.revision
-        return self._give(tuple(Kind))
+        return self._give(tuple(DocumentKind))
 
-    def _concerns(self, reading: StoreReading, kind: Kind) -> bool:
+    def _concerns(self, reading: StoreReading, kind: DocumentKind) -> bool:
         return any(
             self._store.is_part_of(entry.key, kind) for entry in reading.entries
         )
@@ -234,7 +236,7 @@
 
     def _give(
         self,
-        changed: tuple[Kind, ...],
+        changed: tuple[DocumentKind, ...],
     ) -> Result[FeedReading, ReadFailure]:
         assert self._revision is not None
         reads: list[SourceRead] = []
@@ -253,10 +255,10 @@
             flawed.extend(self._tell(kind, made.ok_value.flaws))
             if made.ok_value.version != NO_VERSION:
                 reads.append(self._offer(kind, made.ok_value))
-        same = set(Kind) - set(changed)
+        same = set(DocumentKind) - set(changed)
         confirmed = tuple(
             SourceConfirmed(kind=each, version=self._confirm(each))
-            for each in reversed(Kind)
+            for each in reversed(DocumentKind)
             if each in same and self._versions[each] != NO_VERSION
         )
         return Ok(
@@ -269,7 +271,7 @@
 
     def _tell(
         self,
-        kind: Kind,
+        kind: DocumentKind,
         flaws: tuple[ReadFailure, ...],
     ) -> Iterator[EntryRefused]:
         # Each is told once, and not with every change of another entry.
@@ -283,7 +285,9 @@
                     detail=flaw.detail,
                 )
 
-    def _offer(self, kind: Kind, document: StoredDocument) -> SourceRead:
+    def _offer(
+        self, kind: DocumentKind, document: StoredDocument
+    ) -> SourceRead:
         self._versions[kind] = document.version
         return make_read(
             kind,
@@ -291,10 +295,10 @@
             blobs=document.blobs,
         )
 
-    def _confirm(self, kind: Kind) -> Version:
+    def _confirm(self, kind: DocumentKind) -> Version:
         # The instance list's version is the store's revision: with nothing
         # of it changed, it stands as it did at every revision since.
-        if kind is Kind.instances and self._revision is not None:
+        if kind is DocumentKind.instances and self._revision is not None:
             return Version(self._revision)
         return self._versions[kind]
 
--- a/wagtaildale/source/tests/test_tasks.py
+++ b/wagtaildale/source/tests/test_tasks.py
@@ -31,7 +31,7 @@
 from wagtaildale.source.tasks import FetchTask, WatchTask
 from wagtaildale.testing.builders import build_compiled
 from wagtaildale.timers.inbox import Inbox
-from wagtaildale.types import Digest, Kind, Version
+from wagtaildale.types import Digest, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -48,12 +48,18 @@
         self.outbox: Inbox[Any] = Inbox()
         settings = PlatformSettings(url=self.platform.url)
         self.watch = WatchTask(
-            DocumentFeed(Kind.configuration, platform=HttpPlatform(settings)),
+            DocumentFeed(
+                DocumentKind.configuration, platform=HttpPlatform(settings)
+            ),
             outbox=self.outbox,
             wait=WAIT,
         )
         self.fetch = FetchTask(
-            [DocumentFeed(Kind.configuration, platform=HttpPlatform(settings))],
+            [
+                DocumentFeed(
+                    DocumentKind.configuration, platform=HttpPlatform(settings)
+                )
+            ],
             platform=HttpPlatform(settings),
             outbox=self.outbox,
         )
@@ -73,7 +79,7 @@
 
     def appoint(self) -> None:
         self.watch.inbox.put(
-            Watch(kind=Kind.configuration, appointed=True, rank=0),
+            Watch(kind=DocumentKind.configuration, appointed=True, rank=0),
         )
 
     def expect(self, shape: type[Any]) -> Any:
@@ -134,7 +140,7 @@
     watching.platform.publish(compiled)
     blob = next(iter(compiled.parts.values()))
     order = ReadBlobs(
-        kind=Kind.configuration,
+        kind=DocumentKind.configuration,
         digests=(hash_part(blob), Digest(bytes(16))),
         foremost=True,
     )
@@ -166,7 +172,7 @@
         waits: seconds that each read was to wait.
     """
 
-    kinds = tuple(Kind)
+    kinds = tuple(DocumentKind)
 
     def __init__(self) -> None:
         self.waits: list[float] = []
@@ -176,7 +182,9 @@
         if len(self.waits) > 1:
             time.sleep(wait)
             return Ok(FeedReading())
-        changed = make_read(Kind.configuration, version=Version(1), blobs={})
+        changed = make_read(
+            DocumentKind.configuration, version=Version(1), blobs={}
+        )
         return Ok(FeedReading(changed=(changed,)))
 
     def restart(self) -> None:
@@ -195,7 +203,7 @@
     feed = CountedFeed()
     watch = WatchTask(feed, outbox=Inbox(), wait=WAIT, gather=WAIT / 4)
     watch.inbox.put(
-        Watch(kind=Kind.configuration, appointed=True, rank=0),
+        Watch(kind=DocumentKind.configuration, appointed=True, rank=0),
     )
     thread = threading.Thread(target=watch.run, daemon=True)
     thread.start()
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -8,7 +8,7 @@
 from wagtaildale.document.eras import find_era
 from wagtaildale.telemetry.metrics import Metrics
 from wagtaildale.timers.service import read_clock
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.node import Node
@@ -29,7 +29,7 @@
     metrics = Metrics(parts.tallies, instance=parts.identity.instance)
     state = node.distribution.state
     _add_server(metrics, node)
-    for kind in Kind:
+    for kind in DocumentKind:
         metrics.add_gauge(
             f'wagtaildale.{kind.name}.version',
             partial(_read_version, node, kind),
@@ -38,7 +38,7 @@
         )
     metrics.add_gauge(
         'wagtaildale.platform.era',
-        lambda: find_era(state.stores[Kind.instances].held.version),
+        lambda: find_era(state.stores[DocumentKind.instances].held.version),
         unit='1',
         description='How often the platform came back from an older copy.',
     )
@@ -113,6 +113,6 @@
     return NO_LIMIT if named is None else named
 
 
-def _read_version(node: Node, kind: Kind) -> float:
+def _read_version(node: Node, kind: DocumentKind) -> float:
     stores = node.distribution.state.stores
     return stores[kind].held.version
--- a/wagtaildale/testing/builders.py
+++ b/wagtaildale/testing/builders.py
@@ -25,7 +25,7 @@
     DataCentre,
     Incarnation,
     InstanceId,
-    Kind,
+    DocumentKind,
     ListedState,
     Region,
     ServiceName,
@@ -171,7 +171,7 @@
         The document.
     """
     return make_document(
-        Kind.configuration,
+        DocumentKind.configuration,
         version=Version(version),
         blobs={
             name: build_part(name, within_ms=within_ms) for name in services
@@ -245,7 +245,7 @@
     """
     listing = InstanceList(index=version, instances=records)
     return make_document(
-        Kind.instances,
+        DocumentKind.instances,
         version=Version(version),
         blobs=encode_list(listing),
     )
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -29,7 +29,7 @@
 )
 from wagtaildale.testing.closing import Closing
 from wagtaildale.testing.suspects import SharedSuspects
-from wagtaildale.types import Incarnation, Kind, NodeState, Version
+from wagtaildale.types import Incarnation, DocumentKind, NodeState, Version
 
 if TYPE_CHECKING:
     from wagtaildale.admission.gate import Gate
@@ -123,7 +123,7 @@
         """
         compiled = build_compiled(text=mesh_text)
         document = make_document(
-            Kind.configuration,
+            DocumentKind.configuration,
             version=Version(self.view.current.version + 1),
             blobs={
                 str(name): _set_health_path(blob, health_path)
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -33,7 +33,7 @@
     Digest,
     Incarnation,
     InstanceId,
-    Kind,
+    DocumentKind,
     Version,
 )
 
@@ -60,7 +60,7 @@
         reads: how many there were, by kind of read.
     """
 
-    shown: dict[Kind, Document]
+    shown: dict[DocumentKind, Document]
     blobs: dict[Digest, bytes] = field(default_factory=dict)
     down: bool = False
     reads: Counter[str] = field(default_factory=Counter)
@@ -89,10 +89,10 @@
     """
 
     state: DistributionState
-    watching: set[Kind] = field(default_factory=set)
+    watching: set[DocumentKind] = field(default_factory=set)
     running: bool = True
     paused: bool = False
-    seen: dict[Kind, list[Version]] = field(default_factory=dict)
+    seen: dict[DocumentKind, list[Version]] = field(default_factory=dict)
     effects: list[messages.Effect] = field(default_factory=list)
 
     def appoint(self, effect: messages.Watch) -> None:
@@ -138,7 +138,7 @@
         self.sent: Counter[type[Body]] = Counter()
         self.cuts: set[frozenset[InstanceId]] = set()
         self.source = FakeSource(
-            shown={kind: make_empty(kind) for kind in Kind},
+            shown={kind: make_empty(kind) for kind in DocumentKind},
         )
         self.records = [
             build_record(
@@ -330,7 +330,7 @@
             seeds=(SEED,),
             now=self.now,
         )
-        return FakeNode(state=state, seen={kind: [] for kind in Kind})
+        return FakeNode(state=state, seen={kind: [] for kind in DocumentKind})
 
     def _carry_out(self, instance: InstanceId, effect: messages.Effect) -> None:
         node = self.nodes[instance]
@@ -352,13 +352,13 @@
         elif isinstance(effect, messages.ReadBlobs):
             self._read_blobs(instance, effect)
 
-    def _read(self, instance: InstanceId, kind: Kind) -> None:
+    def _read(self, instance: InstanceId, kind: DocumentKind) -> None:
         self.source.reads[kind.name] += 1
         document = self.source.shown[kind]
         if self.source.down or not document.version:
             return
         blobs: tuple[bytes, ...] = ()
-        if kind is Kind.instances:
+        if kind is DocumentKind.instances:
             blobs = tuple(document.blobs.values())
         outline = make_outline(document)
         self.tell(instance, messages.SourceRead(outline=outline, blobs=blobs))
@@ -394,5 +394,5 @@
         self.flying.append(Flying(sender=sender, to=to, frame=frame))
 
 
-def _read_kind(kind: Kind) -> str:
+def _read_kind(kind: DocumentKind) -> str:
     return kind.value
--- a/wagtaildale/types.py
+++ b/wagtaildale/types.py
@@ -26,10 +26,10 @@
 
 NO_VERSION = Version(0)
 # Of a process that is not known.
-ANY_INCARNATION = Incarnation(0)
+UNKNOWN_INCARNATION = Incarnation(0)
 
 
-class Kind(Enum):
+class DocumentKind(Enum):
     """Which replicated document a message speaks of."""
 
     configuration = 'c'
