--- a/wagtaildale/assembly.py
+++ b/wagtaildale/assembly.py
@@ -124,8 +124,8 @@
             feed,
             outbox=parts.inbox,
             wait=parts.tuning.watch_seconds,
-            first_cap=parts.tuning.backoff_seconds,
-            gather=parts.tuning.gather_seconds,
+            first_cap_seconds=parts.tuning.backoff_seconds,
+            gather_seconds=parts.tuning.gather_seconds,
         )
         for feed in parts.integration.make_feeds(parts.settings)
     )
--- a/wagtaildale/configuration/model.py
+++ b/wagtaildale/configuration/model.py
@@ -27,7 +27,7 @@
 LIMITS_ENTRY: Final = '@limits'
 # A part may be cut into pieces, entries named by service, mark and number.
 # No service's name has the mark.
-PIECE_MARK: Final = '#'
+PIECE_SEPARATOR: Final = '#'
 
 DIGEST_PATTERN: Final = '^[0-9a-f]{32}$'
 
--- a/wagtaildale/configuration/validation.py
+++ b/wagtaildale/configuration/validation.py
@@ -11,7 +11,7 @@
 from wagtaildale.configuration.compiled import decode_part
 from wagtaildale.configuration.model import (
     LIMITS_ENTRY,
-    PIECE_MARK,
+    PIECE_SEPARATOR,
     Part,
     PublishedLimits,
 )
@@ -81,7 +81,7 @@
         part = decode_part(blob)
     except MsgspecError as error:
         return Err(_describe(Code.part_corrupt, name, str(error), 'a part'))
-    if part.service != name.partition(PIECE_MARK)[0]:
+    if part.service != name.partition(PIECE_SEPARATOR)[0]:
         why = f'the part of {name}'
         return Err(_describe(Code.part_corrupt, name, part.service, why))
     return Ok(part)
--- a/wagtaildale/platform/__init__.py
+++ b/wagtaildale/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The users' platform: its names, formats and calls, decoded once.
+"""Adapter for the operators' platform: its names, formats and calls.
 
-Nothing here decides anything, and nothing outside knows the platform's
-names. ``docs/design/platform.md`` says what becomes of each.
+The platform's names are translated here and used nowhere else; this package
+makes no decisions. ``docs/design/platform.md`` describes the translation of
+each name.
 """
--- a/wagtaildale/platform/__main__.py
+++ b/wagtaildale/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a node on the users' platform."""
+"""Runs a node on the operators' platform."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 
 def main() -> int:
-    """Run a node with the settings that the platform gives.
+    """Run a node with the settings file of the platform.
 
     Returns:
         Exit code of the process.
     """
-    given = read_settings(os.environ.get(SETTINGS_VARIABLE, ''))
-    if isinstance(given, Err):
-        for fault in given.err_value:
+    platform_file = read_settings(os.environ.get(SETTINGS_VARIABLE, ''))
+    if isinstance(platform_file, Err):
+        for fault in platform_file.err_value:
             click.echo(str(fault), err=True)
         return EXIT_SETTINGS
-    settings = translate_settings(given.ok_value)
+    settings = translate_settings(platform_file.ok_value)
     return run_daemon(
         settings,
         tuning=make_tuning(
@@ -44,12 +44,15 @@
                 settings.bounds.apply_seconds,
                 settings.bounds.drain_seconds,
             ),
-            heartbeat_seconds=given.ok_value.heartbeat_ms / MILLISECONDS,
-            line_mbps=given.ok_value.limits.link_mbps,
+            heartbeat_seconds=platform_file.ok_value.heartbeat_ms
+            / MILLISECONDS,
+            line_mbps=platform_file.ok_value.limits.link_mbps,
         ),
         integration=Integration(
             dialect=PLATFORM_DIALECT,
-            make_feeds=partial(_make_feeds, regions=given.ok_value.zones),
+            make_feeds=partial(
+                _make_feeds, regions=platform_file.ok_value.zones
+            ),
             has_parts=False,
         ),
     )
--- a/wagtaildale/platform/configuration.py
+++ b/wagtaildale/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The published configuration, decoded into the product's parts."""
+"""Decodes the published configuration into this product's parts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from wagtaildale.configuration.model import (
     LIMITS_ENTRY,
-    PIECE_MARK,
+    PIECE_SEPARATOR,
     Part,
     PublishedLimits,
     Route,
@@ -22,18 +22,20 @@
     from collections.abc import Iterator
 
 HEXADECIMAL: Final = 16
-# The platform has no teams and no percentages: all is the operators'.
+# The platform publishes no teams and no percentages, so that all services
+# belong to the operators and share one percentage.
 TEAM: Final = TeamName('operators')
 PERCENT: Final = 99
-# Of the rules of a service. Failure: one rule changes, and the whole part of
-# its service goes to every node: 60 KB for 1,100 routes, 0.14 s of a line of
-# 3.5 Mbit/s, five times a second in a storm of versions. Cut so, it is 1 KB.
-PIECES: Final = 64
+# The rules of a service are split into this many pieces, so that a change of
+# one rule sends 1 KB to every node. The whole part of a service with 1,100
+# routes is 60 KB: 0.14 s of a line of 3.5 Mbit/s, up to five times a second
+# when many versions are published.
+PIECES_PER_SERVICE: Final = 64
 IDEMPOTENT_KIND: Final = 'safe'
 
 
 class Limits(Struct, frozen=True, kw_only=True, rename='camel'):
-    """What callers may send, and how long they may take (milliseconds)."""
+    """Limits on the size and duration of callers' requests."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -41,45 +43,45 @@
     idle_timeout_ms: int
 
 
-class Weighted(Struct, frozen=True, kw_only=True):
-    """A service's share of a route."""
+class WeightedService(Struct, frozen=True, kw_only=True):
+    """A service and its weight in a split route."""
 
     service: str
     weight: int
 
 
 class Match(Struct, frozen=True, kw_only=True):
-    """Which paths a rule is for: those that begin with the prefix."""
+    """The paths that a rule matches: those that begin with the prefix."""
 
     prefix: str
 
 
 class Action(Struct, frozen=True, kw_only=True, rename='camel'):
-    """Where a rule's requests go.
+    """Destination of a rule's requests.
 
     Attributes:
-        timeout_ms: longest time that a request is kept waiting.
-        attempts: backend servers that one request may be sent to.
-        service: that gets them, unless they are split.
-        split: the services that share them.
+        timeout_ms: longest time until a request is answered, milliseconds.
+        attempts: most backend servers that one request may be sent to.
+        service: destination of all requests, unless they are split.
+        split: services among which the requests are split.
     """
 
     timeout_ms: int
     attempts: int
     service: str = ''
-    split: tuple[Weighted, ...] = ()
+    split: tuple[WeightedService, ...] = ()
 
 
 class Rule(Struct, frozen=True, kw_only=True, rename='camel'):
     """One route of a host.
 
     Attributes:
-        name: unique among the rules.
+        name: name of the rule, unique among all rules.
         kind: ``safe`` if a request may run more than once.
-        goal_ms: in which an answer is in time.
-        priority: its rank, 0 the highest.
-        match: which paths.
-        action: where to.
+        goal_ms: target for the time to an answer, milliseconds.
+        priority: rank of the rule's requests; 0 is the highest.
+        match: paths that the rule matches.
+        action: destination of the requests.
     """
 
     name: str
@@ -91,14 +93,14 @@
 
 
 class HostRules(Struct, frozen=True, kw_only=True):
-    """The rules of one host; the platform calls them a listener."""
+    """The rules of one host; the platform's term is listener."""
 
     host: str
     rules: tuple[Rule, ...]
 
 
 class HostRule(Struct, frozen=True, kw_only=True):
-    """A rule and the host whose it is."""
+    """A rule and the host that it belongs to."""
 
     host: str
     rule: Rule
@@ -108,9 +110,9 @@
     """A service.
 
     Attributes:
-        name: of the service.
-        max_conns: connections that each of its servers takes.
-        health_path: where each of its servers answers health checks.
+        name: name of the service.
+        max_conns: most connections that each backend server accepts.
+        health_path: path of the health check of each backend server.
     """
 
     name: str
@@ -118,13 +120,13 @@
     health_path: str = ''
 
 
-class Published(Struct, frozen=True, kw_only=True):
-    """The whole value.
+class PublishedConfiguration(Struct, frozen=True, kw_only=True):
+    """The published value of the configuration key.
 
     Attributes:
-        version: eight hexadecimal digits.
-        limits: on callers.
-        listeners: rules by host.
+        version: version as eight hexadecimal digits.
+        limits: limits on callers.
+        listeners: rules of each host.
         clusters: the services.
     """
 
@@ -134,23 +136,23 @@
     clusters: tuple[Cluster, ...]
 
 
-_decoder = json.Decoder(Published)
+_decoder = json.Decoder(PublishedConfiguration)
 
 
 def decode_configuration(payload: bytes) -> tuple[int, dict[str, bytes]]:
     """Decode the published value into a version and its entries.
 
     Args:
-        payload: JSON.
+        payload: published value, JSON.
 
     Returns:
-        The version, and by name the bytes of each part.
+        The version, and the encoded entries by name.
 
     Raises:
-        MsgspecError: when the value is none of these.
+        MsgspecError: if the value does not have the published format.
     """
     published = _decoder.decode(payload)
-    blobs = _encode_pieces(published)
+    blobs = _encode_rule_pieces(published)
     for cluster in published.clusters:
         part = _make_part(
             cluster.name,
@@ -162,28 +164,28 @@
     return int(published.version, HEXADECIMAL), blobs
 
 
-def _encode_pieces(published: Published) -> dict[str, bytes]:
+def _encode_rule_pieces(published: PublishedConfiguration) -> dict[str, bytes]:
     pieces: dict[str, list[HostRule]] = {}
     for host_rule in _list_rules(published):
         pieces.setdefault(_name_piece(host_rule.rule), []).append(host_rule)
     return {
-        name: json.encode(_make_piece(found)) for name, found in pieces.items()
+        name: json.encode(_make_piece(rules)) for name, rules in pieces.items()
     }
 
 
 def _name_piece(rule: Rule) -> str:
-    # By its name a rule stays in its piece whatever else is published.
-    number = crc32(rule.name.encode()) % PIECES
-    return f'{_find_service(rule.action)}{PIECE_MARK}{number}'
+    # Hashing the name keeps a rule in the same piece whatever else changes.
+    number = crc32(rule.name.encode()) % PIECES_PER_SERVICE
+    return f'{_find_service(rule.action)}{PIECE_SEPARATOR}{number}'
 
 
-def _make_piece(found: list[HostRule]) -> Part:
-    service = _find_service(found[0].rule.action)
+def _make_piece(rules: list[HostRule]) -> Part:
+    service = _find_service(rules[0].rule.action)
     return _make_part(
         service,
-        classes=tuple(_make_class(each.rule) for each in found),
+        classes=tuple(_make_class(each.rule) for each in rules),
         routes=tuple(
-            _make_route(each.host, each.rule, service) for each in found
+            _make_route(each.host, each.rule, service) for each in rules
         ),
     )
 
@@ -206,7 +208,7 @@
     )
 
 
-def _list_rules(published: Published) -> Iterator[HostRule]:
+def _list_rules(published: PublishedConfiguration) -> Iterator[HostRule]:
     for listener in published.listeners:
         for rule in listener.rules:
             yield HostRule(host=listener.host.lower(), rule=rule)
--- a/wagtaildale/platform/dialect.py
+++ b/wagtaildale/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The header fields of the platform's callers and backend servers."""
+"""The header names that the platform's callers and backend servers use."""
 
 from __future__ import annotations
 
--- a/wagtaildale/platform/instances.py
+++ b/wagtaildale/platform/instances.py
@@ -1,4 +1,4 @@
-"""The entries of backend servers, decoded into instance records."""
+"""Decodes the entries of backend servers into instance records."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 @final
-class StatedState(Enum):
-    """What a backend server says of its state."""
+class ReportedState(Enum):
+    """State that a backend server reports of itself."""
 
     ready = 'ready'
     draining = 'draining'
 
 
 class Description(Struct, frozen=True, kw_only=True):
-    """What stays the same of a backend server while it runs.
+    """Properties of a backend server that are fixed while it runs.
 
     Attributes:
-        service: that it runs.
-        version: of its software.
-        zone: the data centre it stands in.
-        slots: requests that it runs at once.
+        service: service that the server runs.
+        version: version of the server's software.
+        zone: data centre of the server.
+        slots: most requests that the server runs at once.
     """
 
     service: str
@@ -48,31 +48,32 @@
 
 
 class Status(Struct, frozen=True, kw_only=True, rename='camel'):
-    """What changes of a backend server.
+    """Properties of a backend server that change while it runs.
 
-    The last two are not used: what a cold server does to answers is
-    measured. They tell an entry of a backend server from that of another
-    writer.
+    The last two are decoded only to distinguish an entry of a backend server
+    from that of another writer: the slowness of a cold server is measured
+    from its answers.
 
     Attributes:
-        state: whether it takes new work.
-        sequence: counts its writes.
-        cold_left_ms: how much longer it is slow after its start.
+        state: whether the server accepts new work.
+        sequence: number of the server's writes to its entry.
+        cold_left_ms: time until the server is no longer slow after its
+            start, milliseconds.
     """
 
-    state: StatedState
+    state: ReportedState
     sequence: int
     cold_left_ms: float
 
 
 class Entry(Struct, frozen=True, kw_only=True):
-    """One backend server's entry.
+    """The entry of one backend server.
 
     Attributes:
-        address: where it listens; its host is also that of the node.
-        description: what stays the same; the platform calls it info.
-        status: what changes.
-        born: Unix millisecond of its start; 0 if it does not say.
+        address: address of the server; its host is also that of the node.
+        description: fixed properties; the platform's term is info.
+        status: changing properties.
+        born: start of the server, Unix milliseconds; 0 if not reported.
     """
 
     address: str
@@ -95,23 +96,23 @@
     """Decode the entry of a backend server.
 
     Args:
-        instance: its id, the last part of the entry's key.
-        payload: JSON.
-        created: the store's revision with which the entry was written.
-        settings: of this daemon: ports are alike on all machines.
-        regions: by data centre.
+        instance: id of the instance, the last part of the entry's key.
+        payload: value of the entry, JSON.
+        created: revision of the store at which the entry was created.
+        settings: settings of this daemon; all machines use the same ports.
+        regions: region of each data centre.
 
     Returns:
-        Its record.
+        The instance record.
 
     Raises:
-        MsgspecError: when the value is no such entry.
-        ValueError: when it names no id, address or data centre to use.
+        MsgspecError: if the value does not have the format of an entry.
+        ValueError: if the id, address or data centre is not usable.
     """
     entry = _decoder.decode(payload)
     address = _check_address(entry.address)
     _check_names(instance, entry.description.zone, regions)
-    leaving = entry.status.state is StatedState.draining
+    leaving = entry.status.state is ReportedState.draining
     return InstanceRecord(
         instance=InstanceId(instance),
         node=InstanceId(address.host),
@@ -132,8 +133,8 @@
 
 
 def _check_address(text: str) -> Address:
-    # Failure: another writer's entry has a name for an address, and the task
-    # that carries all calls stands still while it is looked up.
+    # Host names are rejected: an entry of another writer may have one, and
+    # resolving it would block the task that carries all calls.
     address = split_address(text)
     IPv4Address(address.host)
     if not 1 <= address.port <= LARGEST_PORT:
@@ -142,8 +143,10 @@
 
 
 def _check_names(instance: str, zone: str, regions: dict[str, str]) -> None:
-    # The id goes into a header of every request to the backend server.
+    # The id is sent in a header of every request to the backend server.
     if not instance.isascii() or not instance.isprintable() or not instance:
-        raise ValueError(f'got id {instance!r}, expected printable text')
+        raise ValueError(f'got id {instance!r}, expected printable ASCII text')
     if zone not in regions:
-        raise ValueError(f'got data centre {zone!r}, expected a known one')
+        raise ValueError(
+            f'got data centre {zone!r}, expected one listed in zones'
+        )
--- a/wagtaildale/platform/settings.py
+++ b/wagtaildale/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the product's settings."""
+"""Translates the platform's settings file into this product's settings."""
 
 from __future__ import annotations
 
@@ -30,30 +30,33 @@
     from wagtaildale.errors.faults import Faults
 
 DESCRIPTORS_FOR_FILES: Final = 200
-# A caller's connection, and one to a node or the backend server for it.
+# Each caller's connection may need a second one, to a node or the backend
+# server.
 DESCRIPTORS_PER_CONNECTION: Final = 2
 MILLISECONDS: Final = 1000
-# The deploy file names where metrics are scraped, so the port is the same on
-# every day; that of OpenTelemetry's own Prometheus exporters.
+# The deployment file names the port at which metrics are scraped, so the port
+# is fixed; it is the one of OpenTelemetry's own Prometheus exporters.
 ADMIN_PORT: Final = 9464
-# Where the platform does not say: its operators' usual figure.
+# Used if the platform states no interval; its operators' usual figure.
 HEARTBEAT_MS: Final = round(HEARTBEAT_SECONDS * MILLISECONDS)
-# The bound of the planned stop is this long before the process would be
-# killed. Ending then takes up to 0.6 s: a look, the tasks' end, the log's end.
+# The planned stop reaches its bound this long before the process is killed.
+# Ending takes up to 0.6 s after the bound: the last poll of the stop, the end
+# of the tasks and the end of the log.
 STOP_MARGIN_SECONDS: Final = 0.7
-# The platform asks each second whether a node is ready and sends its callers
-# elsewhere after two misses.
+# The platform checks the readiness of a node every second and sends its
+# callers elsewhere after two failed checks.
 ANNOUNCE_SECONDS: Final = 2.4
 
 
 class ListenAddresses(Struct, frozen=True, kw_only=True):
-    """Where a process listens.
+    """Addresses on which the process listens.
 
     Attributes:
-        inbound: for other nodes' calls to the backend server here.
-        outbound: for requests of callers and of the backend server here.
-        ready: where the platform asks whether the node takes callers.
-        control: for control messages between nodes.
+        inbound: address for other nodes' calls to the local backend server.
+        outbound: address for requests of callers and of the local backend
+            server.
+        ready: address of the platform's readiness check.
+        control: address for control messages between nodes.
     """
 
     inbound: str
@@ -63,12 +66,13 @@
 
 
 class MachineLimits(Struct, frozen=True, kw_only=True, rename='camel'):
-    """What the machine gives a process.
+    """Limits of the machine for the process.
 
     Attributes:
-        max_fds: descriptors, those for files among them.
-        memory_mb: megabytes; over it the process is killed.
-        link_mbps: megabits a second of its line; 0 if not told.
+        max_fds: most file descriptors, including those of files.
+        memory_mb: megabytes of memory above which the process is killed.
+        link_mbps: bandwidth of the machine's line, megabits a second; 0 if
+            not stated.
     """
 
     max_fds: int
@@ -80,8 +84,9 @@
     """The platform's store.
 
     Attributes:
-        address: IP number and port.
-        reads_per_s: calls that it answers for all nodes together.
+        address: IP address and port.
+        reads_per_s: most calls a second that the store answers for all nodes
+            together.
     """
 
     address: str
@@ -89,21 +94,23 @@
 
 
 class PlatformFile(Struct, frozen=True, kw_only=True, rename='camel'):
-    """The fields of the settings file that are used.
+    """The fields of the platform's settings file that are used.
 
     Attributes:
-        node_name: for people.
-        ip: of the machine.
-        zone: the data centre it stands in.
-        zones: the region of each data centre.
-        listen_addrs: where the process listens.
-        seed_nodes: control addresses of some nodes, perhaps down or gone.
-        limits: what the machine gives.
-        heartbeat_ms: between two writes of an instance to its entry.
-        bounds: the platform's figures, as ``name=figure``.
-        app_addr: the backend server on this machine.
-        service: that it runs.
-        platform: the store.
+        node_name: name of the node, for people.
+        ip: IP address of the machine.
+        zone: data centre of the machine.
+        zones: region of each data centre.
+        listen_addrs: addresses on which the process listens.
+        seed_nodes: control addresses of some nodes, which may be down or
+            removed.
+        limits: limits of the machine for the process.
+        heartbeat_ms: interval between two writes of an instance to its
+            entry, milliseconds.
+        bounds: figures that the platform publishes, as ``name=figure``.
+        app_addr: address of the backend server on this machine.
+        service: service that the backend server runs.
+        platform: address of the store.
     """
 
     node_name: str
@@ -124,10 +131,10 @@
     """Read the platform's settings file.
 
     Args:
-        path: the file.
+        path: path of the file.
 
     Returns:
-        Its fields, or why it cannot be used.
+        The fields of the file, or why it cannot be used.
     """
     text = read_text(path)
     if isinstance(text, Err):
@@ -139,37 +146,39 @@
             code=Code.settings_malformed,
             where=str(path),
             got=str(error),
-            expected="the platform's settings",
+            expected="the platform's settings as a JSON object",
         )
         return Err((fault,))
 
 
-def translate_settings(given: PlatformFile) -> Settings:
-    """Say in the product's words what the platform's settings say.
+def translate_settings(platform_file: PlatformFile) -> Settings:
+    """Translate the platform's settings into those of a daemon.
 
     Args:
-        given: the file's fields.
+        platform_file: fields of the platform's settings file.
 
     Returns:
-        Settings of a daemon.
+        Settings of the daemon.
     """
-    backend = split_address(given.app_addr)
-    bounds = read_bounds(given.bounds)
-    descriptors = given.limits.max_fds - DESCRIPTORS_FOR_FILES
+    backend = split_address(platform_file.app_addr)
+    bounds = read_bounds(platform_file.bounds)
+    descriptors = platform_file.limits.max_fds - DESCRIPTORS_FOR_FILES
     return Settings(
-        instance=InstanceId(given.ip),
-        name=given.node_name,
-        service=ServiceName(given.service),
-        data_centre=DataCentre(given.zone),
-        region=Region(given.zones[given.zone]),
-        host=given.ip,
-        entry_port=split_address(given.listen_addrs.outbound).port,
-        owner_port=split_address(given.listen_addrs.inbound).port,
-        ready_port=split_address(given.listen_addrs.ready).port,
-        control_port=split_address(given.listen_addrs.control).port,
+        instance=InstanceId(platform_file.ip),
+        name=platform_file.node_name,
+        service=ServiceName(platform_file.service),
+        data_centre=DataCentre(platform_file.zone),
+        region=Region(platform_file.zones[platform_file.zone]),
+        host=platform_file.ip,
+        entry_port=split_address(platform_file.listen_addrs.outbound).port,
+        owner_port=split_address(platform_file.listen_addrs.inbound).port,
+        ready_port=split_address(platform_file.listen_addrs.ready).port,
+        control_port=split_address(platform_file.listen_addrs.control).port,
         admin_port=ADMIN_PORT,
         backend=BackendSettings(host=backend.host, port=backend.port),
-        platform=PlatformSettings(url=f'http://{given.platform.address}'),
+        platform=PlatformSettings(
+            url=f'http://{platform_file.platform.address}'
+        ),
         limits=LimitSettings(
             connections=descriptors // DESCRIPTORS_PER_CONNECTION,
             drain_seconds=bounds.stop_seconds - STOP_MARGIN_SECONDS,
@@ -180,57 +189,58 @@
         distribution=DistributionSettings(
             seeds=tuple(
                 f'tcp://{seed}'
-                for seed in given.seed_nodes
-                if seed != given.listen_addrs.control
+                for seed in platform_file.seed_nodes
+                if seed != platform_file.listen_addrs.control
             ),
         ),
         calls=CallSettings(choice=ChoiceName.expected_time),
     )
 
 
-def read_bounds(texts: tuple[str, ...]) -> BoundSettings:
-    """Read the platform's figures; those it does not name keep defaults.
+def read_bounds(entries: tuple[str, ...]) -> BoundSettings:
+    """Read the published figures; missing ones keep their defaults.
 
     Args:
-        texts: ``name=figure`` each.
+        entries: figures, each as ``name=figure``; entries whose figure is
+            not a number are skipped.
 
     Returns:
-        The figures that are used.
+        The figures to use.
     """
     figures: dict[str, float] = {}
-    for text in texts:
-        name, _sign, figure = text.partition('=')
+    for text in entries:
+        name, _separator, figure = text.partition('=')
         if figure.replace('.', '', 1).isdigit():
             figures[name] = float(figure)
-    usual = BoundSettings()
+    default = BoundSettings()
     return BoundSettings(
-        apply_seconds=_find_seconds(figures, 'applyMs', usual.apply_seconds),
-        drain_seconds=_find_seconds(figures, 'drainMs', usual.drain_seconds),
-        stop_seconds=figures.get('graceS', usual.stop_seconds),
-        retry_share=figures.get('budgetRatio', usual.retry_share),
+        apply_seconds=_find_seconds(figures, 'applyMs', default.apply_seconds),
+        drain_seconds=_find_seconds(figures, 'drainMs', default.drain_seconds),
+        stop_seconds=figures.get('graceS', default.stop_seconds),
+        retry_share=figures.get('budgetRatio', default.retry_share),
         retry_window_seconds=figures.get(
             'budgetWindowS',
-            usual.retry_window_seconds,
+            default.retry_window_seconds,
         ),
-        retry_slack=figures.get('budgetSlack', usual.retry_slack),
+        retry_slack=figures.get('budgetSlack', default.retry_slack),
     )
 
 
 def _find_seconds(
     figures: dict[str, float],
     name: str,
-    usual: float,
+    default: float,
 ) -> float:
     if name not in figures:
-        return usual
+        return default
     return figures[name] / MILLISECONDS
 
 
 def split_address(text: str) -> Address:
-    """Split an address at its colon.
+    """Split an address into host and port.
 
     Args:
-        text: IP number and port.
+        text: host and port, separated by a colon.
 
     Returns:
         The address.
--- a/wagtaildale/platform/store.py
+++ b/wagtaildale/platform/store.py
@@ -1,4 +1,4 @@
-"""The calls of the platform's store."""
+"""Reads the platform's key-value store over HTTP."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.platform.configuration import decode_configuration
 from wagtaildale.platform.instances import decode_instance
-from wagtaildale.source.curl import Answer, CurlReader
+from wagtaildale.source.curl import Answer, CurlClient
 from wagtaildale.source.http import describe_status
 from wagtaildale.source.platform import ReadFailure
 from wagtaildale.source.store import (
@@ -38,25 +38,25 @@
 
 CONFIGURATION_KEY: Final = 'op/config'
 INSTANCE_PREFIX: Final = 'servers/'
-OK_STATUS: Final = 200
-GONE_STATUS: Final = 410
+STATUS_OK: Final = 200
+STATUS_GONE: Final = 410
 MILLISECONDS: Final = 1000
-# In every answer; rises when the store comes back from an older copy.
+# Sent in every response; rises when the store is restored from an older copy.
 ERA_HEADER: Final = 'store-era:'
 ERA_DIGITS: Final = 6
 
-Shape = TypeVar('Shape')
+Decoded = TypeVar('Decoded')
 
 
 class StoredEntry(Struct, frozen=True, kw_only=True):
-    """An item, or a change of one.
+    """An item of the store, or a change of an item.
 
     Attributes:
-        key: its key.
-        revision: of its last change.
-        created: revision of its creation.
-        encoded: its bytes in base64; missing where the item was removed.
-        tombstone: whether it was removed.
+        key: key of the item.
+        revision: revision of the last change.
+        created: revision at which the item was created.
+        encoded: value of the item in base64; missing if it was removed.
+        tombstone: whether the item was removed.
     """
 
     key: str
@@ -67,12 +67,12 @@
 
 
 class Page(Struct, frozen=True, kw_only=True, rename='camel'):
-    """An answer to a read of a range.
+    """One page of the response to a range read.
 
     Attributes:
-        entries: on this page; the platform calls them items.
-        has_more: whether more pages follow.
-        store_revision: of the store as the page was read.
+        entries: items on this page; the platform's term is items.
+        has_more: whether further pages follow.
+        store_revision: revision of the store when the page was read.
     """
 
     entries: tuple[StoredEntry, ...] = field(name='items')
@@ -81,76 +81,81 @@
 
 
 class Changes(Struct, frozen=True, kw_only=True, rename='camel'):
-    """An answer to a watch.
+    """Response to a watch.
 
     Attributes:
         events: changes, oldest first.
-        store_revision: from which the next watch goes on.
+        store_revision: revision from which the next watch continues.
     """
 
     events: tuple[StoredEntry, ...]
     store_revision: int
 
 
-class Reader(Protocol):
-    """Sends one call and waits for its answer."""
+class HttpClient(Protocol):
+    """Sends GET requests to the store."""
 
-    def ask(self, url: str, *, seconds: float) -> Result[Answer, ReadFailure]:
-        """Send a GET.
+    def get(
+        self,
+        url: str,
+        *,
+        timeout_seconds: float,
+    ) -> Result[Answer, ReadFailure]:
+        """Send a GET request and wait for its response.
 
         Args:
-            url: of the call.
-            seconds: that it may take.
+            url: URL to get.
+            timeout_seconds: longest time for the whole response, seconds.
 
         Returns:
-            The answer, or why there is none.
+            The response, or why there is none.
         """
 
 
 class PlatformStore(Store):
-    """Reads the store by one kept-alive connection; belongs to one task."""
+    """Reads the store over one keep-alive connection; used by one task only."""
 
     def __init__(
         self,
         settings: Settings,
         *,
         regions: dict[str, str],
-        reader: Reader | None = None,
+        client: HttpClient | None = None,
     ) -> None:
         """Prepare a connection; nothing is sent yet.
 
         Args:
-            settings: of this daemon.
-            regions: by data centre.
-            reader: sends the calls; one by libcurl if there is none.
+            settings: settings of this daemon.
+            regions: region of each data centre.
+            client: HTTP client; one that uses libcurl if left out.
         """
-        answer_seconds = settings.bounds.read_seconds
+        answer_timeout_seconds = settings.bounds.read_seconds
         self._url = settings.platform.url
         self._settings = settings
         self._regions = regions
-        self._answer_seconds = answer_seconds
-        self._reader: Reader = reader or CurlReader(
-            connect_ms=round(answer_seconds * MILLISECONDS),
+        self._answer_timeout_seconds = answer_timeout_seconds
+        self._client: HttpClient = client or CurlClient(
+            connect_timeout_ms=round(answer_timeout_seconds * MILLISECONDS),
         )
 
     def read_all(self) -> Result[StoreReading, ReadFailure]:
-        """Read every item, page by page; see ``Store``.
+        """Read all items, page by page; see ``Store``.
 
         Returns:
-            The items, or why not.
+            The items, or why they were not read.
         """
         entries: list[StoredEntry] = []
         versions: list[Version] = []
-        more = True
-        while more:
+        has_more_pages = True
+        while has_more_pages:
             after = quote(entries[-1].key, safe='') if entries else ''
-            asked = self._ask(f'/kv-range?prefix=&after={after}', 0, Page)
-            if isinstance(asked, Err):
-                return asked
-            page, era = asked.ok_value
+            response = self._call(f'/kv-range?prefix=&after={after}', 0, Page)
+            if isinstance(response, Err):
+                return response
+            page, era = response.ok_value
             entries.extend(page.entries)
             versions.append(make_version(era, revision=page.store_revision))
-            more = page.has_more and bool(page.entries)
+            has_more_pages = page.has_more and bool(page.entries)
         return _join_pages(entries, versions)
 
     def watch(
@@ -162,18 +167,18 @@
         """Wait for changes; see ``Store``.
 
         Args:
-            revision: after which changes are wanted.
-            wait: seconds that the store may hold the call.
+            revision: revision after which changes are returned.
+            wait: longest time that the store holds the call open, seconds.
 
         Returns:
-            What has changed, or why not.
+            Items that have changed, or why the watch failed.
         """
         wait_ms = max(1, round(wait * MILLISECONDS))
         path = f'/kv-watch?prefix=&after={revision}&waitMs={wait_ms}'
-        asked = self._ask(path, wait, Changes)
-        if isinstance(asked, Err):
-            return asked
-        changes, era = asked.ok_value
+        response = self._call(path, wait, Changes)
+        if isinstance(response, Err):
+            return response
+        changes, era = response.ok_value
         return Ok(
             StoreReading(
                 entries=tuple(_decode_entry(entry) for entry in changes.events),
@@ -186,11 +191,11 @@
         """Tell whether a key belongs to a document; see ``Store``.
 
         Args:
-            key: of an item.
+            key: key of an item.
             kind: the document.
 
         Returns:
-            Whether a change of it changes the document.
+            Whether a change of the item changes the document.
         """
         if kind is DocumentKind.configuration:
             return key == CONFIGURATION_KEY
@@ -203,33 +208,33 @@
         entries: Mapping[str, StoreEntry],
         version: Version,
     ) -> Result[StoredDocument, ReadFailure]:
-        """Make a document from the store's items; see ``Store``.
+        """Build a document from the store's items; see ``Store``.
 
         Args:
-            kind: which document.
-            entries: by key, everything.
-            version: of the store.
+            kind: document to build.
+            entries: all items of the store, by key.
+            version: version made from the store's revision.
 
         Returns:
-            The document, or what of it cannot be read.
+            The document, or why it cannot be built.
         """
         try:
-            document = self._make(kind, entries, version)
+            document = self._build(kind, entries, version)
         except (MsgspecError, ValueError) as error:
             return Err(ReadFailure(code=Code.part_corrupt, detail=str(error)))
         return Ok(document)
 
-    def _make(
+    def _build(
         self,
         kind: DocumentKind,
         entries: Mapping[str, StoreEntry],
         version: Version,
     ) -> StoredDocument:
         if kind is DocumentKind.configuration:
-            return self._make_configuration(entries)
-        return self._make_list(entries, version)
+            return self._build_configuration(entries)
+        return self._build_instance_list(entries, version)
 
-    def _make_configuration(
+    def _build_configuration(
         self,
         entries: Mapping[str, StoreEntry],
     ) -> StoredDocument:
@@ -239,23 +244,23 @@
         version, blobs = decode_configuration(entry.payload)
         return StoredDocument(version=Version(version), blobs=blobs)
 
-    def _make_list(
+    def _build_instance_list(
         self,
         entries: Mapping[str, StoreEntry],
         version: Version,
     ) -> StoredDocument:
         blobs: dict[str, bytes] = {}
-        flaws: list[ReadFailure] = []
+        failures: list[ReadFailure] = []
         for key, entry in entries.items():
             if not key.startswith(INSTANCE_PREFIX):
                 continue
             try:
                 record = self._decode_record(entry)
             except (MsgspecError, ValueError) as error:
-                # Failure: one entry cannot be read, and no node learns of
-                # any instance any more. The others are taken without it.
+                # Skip an unreadable entry: it must not keep the whole
+                # instance list from every node.
                 detail = f'{key} at {entry.revision}: {error}'
-                flaws.append(
+                failures.append(
                     ReadFailure(code=Code.part_corrupt, detail=detail),
                 )
             else:
@@ -263,7 +268,7 @@
         return StoredDocument(
             version=version,
             blobs=blobs,
-            flaws=tuple(flaws),
+            failures=tuple(failures),
         )
 
     def _decode_record(self, entry: StoreEntry) -> InstanceRecord:
@@ -275,19 +280,19 @@
             regions=self._regions,
         )
 
-    def _ask(
+    def _call(
         self,
         path: str,
         wait: float,
-        shape: type[Shape],
-    ) -> Result[tuple[Shape, Era], ReadFailure]:
-        asked = self._reader.ask(
+        answer_type: type[Decoded],
+    ) -> Result[tuple[Decoded, Era], ReadFailure]:
+        response = self._client.get(
             f'{self._url}{path}',
-            seconds=wait + self._answer_seconds,
+            timeout_seconds=wait + self._answer_timeout_seconds,
         )
-        if isinstance(asked, Err):
-            return asked
-        return _decode_answer(asked.ok_value, shape)
+        if isinstance(response, Err):
+            return response
+        return _decode_answer(response.ok_value, answer_type)
 
 
 def _decode_entry(entry: StoredEntry) -> StoreEntry:
@@ -304,7 +309,8 @@
     try:
         return b64decode(encoded, validate=True)
     except ValueError:
-        # Whoever makes a document of it says that it cannot be read.
+        # Passed on as it is: decoding the document reports that it cannot
+        # be read.
         return encoded.encode()
 
 
@@ -315,7 +321,7 @@
     first, last = versions[0], versions[-1]
     era = find_era(first)
     if find_era(last) != era:
-        detail = 'the store came back from an older copy between two pages'
+        detail = 'the store was restored from an older copy between two pages'
         return Err(ReadFailure(code=Code.history_gone, detail=detail))
     return Ok(
         StoreReading(
@@ -329,26 +335,26 @@
 
 def _decode_answer(
     answer: Answer,
-    shape: type[Shape],
-) -> Result[tuple[Shape, Era], ReadFailure]:
-    if answer.status == GONE_STATUS:
-        detail = 'the store has dropped that history'
+    answer_type: type[Decoded],
+) -> Result[tuple[Decoded, Era], ReadFailure]:
+    if answer.status == STATUS_GONE:
+        detail = 'the store has dropped the changes after this revision'
         return Err(ReadFailure(code=Code.history_gone, detail=detail))
-    if answer.status != OK_STATUS:
+    if answer.status != STATUS_OK:
         return Err(describe_status(answer.status))
     try:
-        decoded = json.decode(answer.body, type=shape)
+        decoded = json.decode(answer.body, type=answer_type)
     except MsgspecError as error:
         return Err(ReadFailure(code=Code.part_corrupt, detail=str(error)))
     return _find_era(answer).map(lambda era: (decoded, era))
 
 
 def _find_era(answer: Answer) -> Result[Era, ReadFailure]:
-    named = [line for line in answer.headers if line.startswith(ERA_HEADER)]
-    if not named:
+    era_lines = [line for line in answer.headers if line.startswith(ERA_HEADER)]
+    if not era_lines:
         return Ok(FIRST_ERA)
-    digits = named[-1].removeprefix(ERA_HEADER).strip()
+    digits = era_lines[-1].removeprefix(ERA_HEADER).strip()
     if digits.isdecimal() and len(digits) <= ERA_DIGITS:
         return Ok(Era(int(digits)))
-    detail = f'got era {digits!r}, expected a count of its returns'
+    detail = f'got era {digits!r}, expected a short decimal number'
     return Err(ReadFailure(code=Code.part_corrupt, detail=detail))
--- a/wagtaildale/platform/tests/__init__.py
+++ b/wagtaildale/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the slice."""
+"""Tests of the adapter for the operators' platform."""
--- a/wagtaildale/platform/tests/builders.py
+++ b/wagtaildale/platform/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the users' platform gives."""
+"""Builders of the settings, entries and documents of the platform."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
     """Build the fields of a settings file.
 
     Args:
-        changes: fields that are other than usual.
+        changes: fields that differ from the default file.
 
     Returns:
-        The file, decoded.
+        The decoded file.
     """
     encoded = json.encode({**SETTINGS, **changes})
     return json.decode(encoded, type=PlatformFile)
 
 
 def build_settings() -> Settings:
-    """Build a daemon's settings as the platform gives them.
+    """Build a daemon's settings from the platform's settings file.
 
     Returns:
         The settings.
@@ -72,15 +72,15 @@
     """Build the entry of a backend server.
 
     Args:
-        address: where it listens.
-        service: that it runs.
+        address: address of the server.
+        service: service that the server runs.
         state: ``ready`` or ``draining``.
-        zone: the data centre it stands in.
-        slots: requests that it runs at once.
-        others: further fields, in place of the usual ones.
+        zone: data centre of the server.
+        slots: most requests that the server runs at once.
+        others: further fields, which replace the default ones.
 
     Returns:
-        The entry's value, not yet encoded.
+        The value of the entry, not yet encoded.
     """
     return {
         'address': address,
@@ -100,12 +100,12 @@
     """Build a published rule.
 
     Args:
-        name: its name.
-        prefix: of the paths that it is for.
-        action: fields of its action that are other than usual.
+        name: name of the rule.
+        prefix: prefix of the paths that the rule matches.
+        action: fields of the rule's action that differ from the default.
 
     Returns:
-        The rule's value, not yet encoded.
+        The rule, not yet encoded.
     """
     return {
         'name': name,
@@ -129,13 +129,14 @@
     """Build a published configuration, with one rule if none are given.
 
     Args:
-        rules: of its one host.
-        action: fields of the one rule's action that are other than usual.
+        rules: rules of the only host.
+        action: fields of the default rule's action that differ from the
+            default.
 
     Returns:
-        The configuration's value, not yet encoded.
+        The configuration, not yet encoded.
     """
-    usual = [build_rule('r-1', prefix='/bookings/', **action)]
+    default_rules = [build_rule('r-1', prefix='/bookings/', **action)]
     return {
         'version': '0000001f',
         'limits': {
@@ -147,7 +148,7 @@
         'listeners': [
             {
                 'host': 'Mesh.Example',
-                'rules': usual if rules is None else rules,
+                'rules': default_rules if rules is None else rules,
             },
         ],
         'clusters': [
@@ -160,12 +161,12 @@
     """Build an item of the store.
 
     Args:
-        key: its key.
-        entry: its value, not yet encoded.
-        revision: of its last change and its creation.
+        key: key of the item.
+        entry: value of the item, not yet encoded.
+        revision: revision of the item's creation and last change.
 
     Returns:
-        The item as the store writes it.
+        The item in the format of the store.
     """
     return {
         'key': key,
--- a/wagtaildale/platform/tests/feeds.py
+++ b/wagtaildale/platform/tests/feeds.py
@@ -1,4 +1,4 @@
-"""Feeds of the store, over answers that a test has laid out."""
+"""Store feeds over a fake HTTP client with prepared answers."""
 
 from __future__ import annotations
 
@@ -17,25 +17,34 @@
 from wagtaildale.types import DocumentKind
 
 
-class OfEra(Struct, frozen=True):
-    """An answer with the era that the store names with it."""
+class EraAnswer(Struct, frozen=True):
+    """A prepared answer with the era that the store sends with it."""
 
     era: int | str
     answer: Any
 
 
-class FakeReader:
-    """Gives answers that a test has laid out, in turn."""
+class FakeClient:
+    """HTTP client that returns prepared answers in order.
+
+    Attributes:
+        urls: requested URLs, the latest last.
+    """
 
     def __init__(self, *answers: Any) -> None:
-        self.asked: list[str] = []
+        self.urls: list[str] = []
         self._answers = list(answers)
 
-    def ask(self, url: str, *, seconds: float) -> Result[Answer, ReadFailure]:
-        self.asked.append(url)
+    def get(
+        self,
+        url: str,
+        *,
+        timeout_seconds: float,
+    ) -> Result[Answer, ReadFailure]:
+        self.urls.append(url)
         answer = self._answers.pop(0)
         headers: tuple[str, ...] = ()
-        if isinstance(answer, OfEra):
+        if isinstance(answer, EraAnswer):
             headers = (f'store-era: {answer.era}\r\n',)
             answer = answer.answer
         if isinstance(answer, int):
@@ -44,14 +53,14 @@
         return Ok(Answer(status=200, headers=headers, body=body))
 
 
-def build_feed(*answers: Any) -> tuple[StoreFeed, FakeReader]:
-    reader = FakeReader(*answers)
+def build_feed(*answers: Any) -> tuple[StoreFeed, FakeClient]:
+    client = FakeClient(*answers)
     store = PlatformStore(
         build_settings(),
         regions={'derby': 'midlands'},
-        reader=reader,
+        client=client,
     )
-    return StoreFeed(store), reader
+    return StoreFeed(store), client
 
 
 def build_page(*entries: dict[str, Any], revision: int = 9) -> dict[str, Any]:
--- a/wagtaildale/platform/tests/stores.py
+++ b/wagtaildale/platform/tests/stores.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store, that may come back from a copy."""
+"""Stand-in for the platform's store that can be restored from a copy."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 from wagtaildale.testing.closing import Closing
 
-OK: Final = 200
-GONE: Final = 410
-LOOK_SECONDS: Final = 0.01
+STATUS_OK: Final = 200
+STATUS_GONE: Final = 410
+POLL_SECONDS: Final = 0.01
 MILLISECONDS: Final = 1000
 
 
@@ -28,117 +28,117 @@
     payload: bytes | None
 
 
-class Copy(Struct, frozen=True, kw_only=True):
-    """All that the store held at one moment."""
+class StoreCopy(Struct, frozen=True, kw_only=True):
+    """Contents of the store at one moment."""
 
     changes: tuple[Change, ...]
 
 
 class StandInStore(Closing):
-    """Answers reads and watches; a test writes and takes it back.
+    """Store over HTTP; a test writes items and restores older copies.
 
     Attributes:
-        era: how often it came back from a copy.
-        asked: paths of the calls, the latest last.
+        era: era of the store; rises with each restore.
+        paths: paths of the received requests, the latest last.
     """
 
     def __init__(self) -> None:
         self.era = 1
-        self.asked: list[str] = []
+        self.paths: list[str] = []
         self._changes: tuple[Change, ...] = ()
-        self._server = ThreadingHTTPServer(('127.0.0.1', 0), _Answerer)
+        self._server = ThreadingHTTPServer(('127.0.0.1', 0), _RequestHandler)
         self._server.daemon_threads = True
         self._server.store = self  # type: ignore[attr-defined]
         self._thread = threading.Thread(
             target=self._server.serve_forever,
-            args=(LOOK_SECONDS,),
+            args=(POLL_SECONDS,),
             daemon=True,
         )
         self._thread.start()
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """Address on which the store listens, as ``host:port``."""
         host, port = self._server.server_address[:2]
         return f'{host!s}:{port}'
 
     @property
     def revision(self) -> int:
-        """Of its last change."""
+        """Revision of the last change; 0 if there is none."""
         return self._changes[-1].revision if self._changes else 0
 
     def write(self, key: str, entry: Any) -> None:
-        """Write an item; nothing removes it."""
+        """Write an item, or remove it if its value is None."""
         revision = self.revision + 1
-        known = self.list_items().get(key)
+        existing = self.list_items().get(key)
         change = Change(
             key=key,
             revision=revision,
-            created=known.created if known else revision,
+            created=existing.created if existing else revision,
             payload=None if entry is None else json.encode(entry),
         )
         self._changes = (*self._changes, change)
 
-    def copy(self) -> Copy:
-        """Copy what it holds."""
-        return Copy(changes=self._changes)
+    def make_copy(self) -> StoreCopy:
+        """Copy the contents of the store."""
+        return StoreCopy(changes=self._changes)
 
-    def come_back(self, copy: Copy, *writes: tuple[str, Any]) -> None:
-        """Come back from a copy, with what is written in that moment."""
-        held = self._changes
+    def restore(self, copy: StoreCopy, *writes: tuple[str, Any]) -> None:
+        """Restore a copy and write items in the same step."""
+        previous = self._changes
         self._changes = copy.changes
         for key, entry in writes:
             self.write(key, entry)
-        assert self._changes != held
+        assert self._changes != previous
         self.era += 1
 
     def list_items(self) -> dict[str, Change]:
-        """List what stands in it."""
-        held: dict[str, Change] = {}
+        """List the present items by key."""
+        present: dict[str, Change] = {}
         for change in self._changes:
-            held[change.key] = change
+            present[change.key] = change
             if change.payload is None:
-                held.pop(change.key)
-        return held
+                present.pop(change.key)
+        return present
 
     def answer_range(self, query: dict[str, list[str]]) -> tuple[int, Any]:
         answer = {
-            'items': list(map(_describe, self.list_items().values())),
+            'items': list(map(_encode_change, self.list_items().values())),
             'hasMore': False,
             'storeRevision': self.revision,
         }
-        return OK, answer
+        return STATUS_OK, answer
 
     def answer_watch(self, query: dict[str, list[str]]) -> tuple[int, Any]:
         after = int(query['after'][0])
-        until = time.monotonic() + int(query['waitMs'][0]) / MILLISECONDS
-        while self.revision <= after and time.monotonic() < until:
+        deadline = time.monotonic() + int(query['waitMs'][0]) / MILLISECONDS
+        while self.revision <= after and time.monotonic() < deadline:
             if self.revision < after:
-                return GONE, {}
-            time.sleep(LOOK_SECONDS)
+                return STATUS_GONE, {}
+            time.sleep(POLL_SECONDS)
         events = [
-            _describe(change)
+            _encode_change(change)
             for change in self._changes
             if change.revision > after
         ]
-        return OK, {'events': events, 'storeRevision': self.revision}
+        return STATUS_OK, {'events': events, 'storeRevision': self.revision}
 
     def close(self) -> None:
         self._server.shutdown()
         self._server.server_close()
 
 
-class _Answerer(BaseHTTPRequestHandler):
+class _RequestHandler(BaseHTTPRequestHandler):
     protocol_version = 'HTTP/1.1'
 
     def do_GET(self) -> None:
         store: StandInStore = self.server.store  # type: ignore[attr-defined]
-        store.asked.append(self.path)
-        asked = urlsplit(self.path)
+        store.paths.append(self.path)
+        url = urlsplit(self.path)
         answer_call = store.answer_watch
-        if asked.path == '/kv-range':
+        if url.path == '/kv-range':
             answer_call = store.answer_range
-        status, answer = answer_call(parse_qs(asked.query))
+        status, answer = answer_call(parse_qs(url.query))
         body = json.encode(answer)
         self.send_response(status)
         self.send_header('Store-Era', str(store.era))
@@ -150,7 +150,7 @@
         """Write nothing."""
 
 
-def _describe(change: Change) -> dict[str, Any]:
+def _encode_change(change: Change) -> dict[str, Any]:
     if change.payload is None:
         return {
             'key': change.key,
--- a/wagtaildale/platform/tests/test_eras.py
+++ b/wagtaildale/platform/tests/test_eras.py
@@ -1,4 +1,4 @@
-"""Tests of a store that comes back from an older copy."""
+"""Tests of a store that is restored from an older copy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from wagtaildale.platform.tests.builders import build_entry, build_item
 from wagtaildale.platform.tests.feeds import (
-    OfEra,
+    EraAnswer,
     build_changes,
     build_feed,
     build_page,
@@ -23,7 +23,7 @@
 SECOND = 'servers/i-2'
 
 
-def find_version(reading: FeedReading) -> Version:
+def find_list_version(reading: FeedReading) -> Version:
     return next(
         each.outline.version
         for each in reading.changed
@@ -32,62 +32,64 @@
 
 
 @pytest.mark.parametrize('revision', [5, 9, 12])
-def test_list_of_a_store_that_came_back_is_newer(revision: int) -> None:
-    """Nodes keep an old list until the store has counted up to it again."""
-    feed, _reader = build_feed(
-        OfEra(1, build_page(build_item(FIRST, build_entry()), revision=9)),
+def test_list_of_a_restored_store_has_a_newer_version(revision: int) -> None:
+    """Nodes keep an old list until the store reaches its revision again."""
+    feed, _client = build_feed(
+        EraAnswer(1, build_page(build_item(FIRST, build_entry()), revision=9)),
         410,
-        OfEra(
+        EraAnswer(
             2,
             build_page(build_item(SECOND, build_entry()), revision=revision),
         ),
     )
     before = read_feed(feed)
     after = read_feed(feed)
-    assert find_version(after) > find_version(before)
+    assert find_list_version(after) > find_list_version(before)
     assert set(list_instances(after)) == {'i-2'}
 
 
-def test_return_that_no_call_has_met_is_noticed() -> None:
-    """A watch goes on as if nothing was, and what the copy lacks stays."""
-    feed, reader = build_feed(
-        OfEra(1, build_page(build_item(FIRST, build_entry()), revision=9)),
-        OfEra(
+def test_restore_between_two_watches_is_detected() -> None:
+    """A watch misses the restore, and entries that the copy lacks stay."""
+    feed, client = build_feed(
+        EraAnswer(1, build_page(build_item(FIRST, build_entry()), revision=9)),
+        EraAnswer(
             2,
             build_changes(build_item(SECOND, build_entry()), revision=10),
         ),
-        OfEra(2, build_page(build_item(SECOND, build_entry()), revision=10)),
+        EraAnswer(
+            2, build_page(build_item(SECOND, build_entry()), revision=10)
+        ),
     )
     read_feed(feed)
     assert set(list_instances(read_feed(feed))) == {'i-2'}
-    assert '/kv-range' in reader.asked[-1]
+    assert '/kv-range' in client.urls[-1]
 
 
-def test_return_between_two_pages_is_noticed() -> None:
-    """Half of a list is from before the store's return."""
+def test_restore_between_two_pages_is_detected() -> None:
+    """Half of a list comes from before the restore of the store."""
     page = build_page(build_item(FIRST, build_entry()), revision=9)
     rest = build_page(build_item(SECOND, build_entry()), revision=9)
-    feed, _reader = build_feed(
-        OfEra(1, {**page, 'hasMore': True}),
-        OfEra(2, rest),
-        OfEra(2, rest),
+    feed, _client = build_feed(
+        EraAnswer(1, {**page, 'hasMore': True}),
+        EraAnswer(2, rest),
+        EraAnswer(2, rest),
     )
     assert isinstance(feed.read(wait=0), Err)
     assert set(list_instances(read_feed(feed))) == {'i-2'}
 
 
 @pytest.mark.parametrize('era', ['x', '-1', '', str(1 << 60)])
-def test_era_that_cannot_be_read_is_a_fault(era: Any) -> None:
-    feed, _reader = build_feed(OfEra(era, build_page(revision=9)))
+def test_unreadable_era_is_a_failure(era: Any) -> None:
+    feed, _client = build_feed(EraAnswer(era, build_page(revision=9)))
     assert isinstance(feed.read(wait=0), Err)
 
 
-def test_answer_of_an_earlier_era_is_no_news() -> None:
-    """A late answer takes a list back to before the store's return."""
+def test_late_answer_of_an_earlier_era_is_rejected() -> None:
+    """A late answer replaces a list by one from before the restore."""
     page = build_page(build_item(FIRST, build_entry()), revision=9)
-    feed, _reader = build_feed(
-        OfEra(2, page),
-        OfEra(1, build_changes(revision=12)),
+    feed, _client = build_feed(
+        EraAnswer(2, page),
+        EraAnswer(1, build_changes(revision=12)),
     )
     read_feed(feed)
     assert isinstance(feed.read(wait=0), Err)
--- a/wagtaildale/platform/tests/test_settings.py
+++ b/wagtaildale/platform/tests/test_settings.py
@@ -16,7 +16,7 @@
 from wagtaildale.telemetry import log
 
 
-def test_names_become_the_products() -> None:
+def test_platform_names_are_translated() -> None:
     settings = translate_settings(build_file())
     assert settings.instance == '10.4.0.13'
     assert settings.region == 'midlands'
@@ -25,12 +25,12 @@
     assert settings.platform.url == 'http://10.200.1.7:8142'
 
 
-def test_own_address_is_no_seed() -> None:
+def test_own_address_is_not_a_seed() -> None:
     settings = translate_settings(build_file())
     assert settings.distribution.seeds == ('tcp://10.1.0.36:8529',)
 
 
-def test_bounds_in_seconds_and_usual_where_not_named() -> None:
+def test_bounds_are_in_seconds_and_keep_defaults() -> None:
     bounds = translate_settings(build_file()).bounds
     assert bounds.apply_seconds == 2.0
     assert bounds.stop_seconds == 6.0
@@ -48,7 +48,7 @@
         json.encode({**SETTINGS, 'heartbeatMs': 0}),
     ],
 )
-def test_bad_file_is_a_numbered_fault(tmp_path: Path, text: bytes) -> None:
+def test_malformed_file_is_a_fault(tmp_path: Path, text: bytes) -> None:
     path = tmp_path / 'settings.json'
     path.write_bytes(text)
     read = read_settings(path)
@@ -56,19 +56,19 @@
     assert read.err_value[0].code is Code.settings_malformed
 
 
-def test_missing_file_is_a_numbered_fault(tmp_path: Path) -> None:
+def test_missing_file_is_a_fault(tmp_path: Path) -> None:
     read = read_settings(tmp_path / 'nowhere.json')
     assert isinstance(read, Err)
     assert read.err_value[0].code is Code.file_unreadable
 
 
-def test_end_of_a_stop_fits_between_bound_and_kill() -> None:
-    """A stop that passed its bound ends by itself, and is not killed.
+def test_stop_that_passes_its_bound_ends_before_the_kill() -> None:
+    """A process is killed although its stop has passed its bound.
 
-    After the bound come the last look, the end of the tasks and the log's
-    last lines; each waits for a bounded time.
+    After the bound follow the last poll of the stop, the end of the tasks and
+    the end of the log, each within a bounded time.
     """
-    most = stop.LOOK_SECONDS + node.CLOSE_SECONDS + log.CLOSE_SECONDS
+    longest = stop.LOOK_SECONDS + node.CLOSE_SECONDS + log.CLOSE_SECONDS
     settings = translate_settings(build_file())
-    left = settings.bounds.stop_seconds - settings.limits.drain_seconds
-    assert most < left
+    margin = settings.bounds.stop_seconds - settings.limits.drain_seconds
+    assert longest < margin
--- a/wagtaildale/platform/tests/test_store.py
+++ b/wagtaildale/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of the store's calls, against answers as the platform writes them."""
+"""Tests of reading the store, with responses in the platform's format."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
 
 
 def find_part(reading: FeedReading, service: str) -> Part:
-    read_one = next(
+    configuration_read = next(
         each
         for each in reading.changed
         if each.outline.kind is DocumentKind.configuration
     )
-    by_digest = {hash_part(blob): blob for blob in read_one.blobs}
+    by_digest = {hash_part(blob): blob for blob in configuration_read.blobs}
     blobs = {
         name: by_digest[digest]
-        for name, digest in read_one.outline.entries.items()
+        for name, digest in configuration_read.outline.entries.items()
     }
     return check_parts(blobs).unwrap().parts[ServiceName(service)]
 
 
-def test_one_read_gives_both_documents() -> None:
-    feed, _reader = build_feed(
+def test_one_read_returns_both_documents() -> None:
+    feed, _client = build_feed(
         build_page(
             build_item(CONFIGURATION, build_configuration()),
             build_item(FIRST, build_entry()),
@@ -63,7 +63,7 @@
 
 
 def test_rule_becomes_class_and_route() -> None:
-    feed, _reader = build_feed(
+    feed, _client = build_feed(
         build_page(build_item(CONFIGURATION, build_configuration())),
     )
     part = find_part(read_feed(feed), 'gopu72b')
@@ -76,17 +76,17 @@
 
 
 def test_change_of_one_rule_changes_one_small_piece() -> None:
-    """A storm of versions holds up calls on slow lines.
+    """Many versions in a short time delay calls on slow lines.
 
-    Each version changed one rule of a thousand, and the whole part of its
-    service went to every node, several times a second.
+    Each version changes one rule of a thousand, and the whole part of its
+    service is sent to every node, several times a second.
     """
     rules = [
         build_rule(f'r-{number}', prefix=f'/path{number}/')
         for number in range(1000)
     ]
     changed = [*rules[:7], build_rule('r-7', prefix='/other/'), *rules[8:]]
-    feed, _reader = build_feed(
+    feed, _client = build_feed(
         build_page(build_item(CONFIGURATION, build_configuration(rules))),
         build_changes(
             build_item(CONFIGURATION, build_configuration(changed)),
@@ -100,8 +100,8 @@
     assert sum(map(len, new)) * 20 < sum(map(len, after))
 
 
-def test_leaving_and_gone() -> None:
-    feed, reader = build_feed(
+def test_leaving_and_removed_servers() -> None:
+    feed, client = build_feed(
         build_page(
             build_item(FIRST, build_entry()),
             build_item(SECOND, build_entry(address='10.1.0.9:8145')),
@@ -116,11 +116,11 @@
     listed = list_instances(read_feed(feed))
     assert listed['i-1'].state is ListedState.leaving
     assert 'i-2' not in listed
-    assert 'after=9' in reader.asked[1]
+    assert 'after=9' in client.urls[1]
 
 
 @pytest.mark.parametrize(
-    'flawed',
+    'unreadable',
     [
         {'key': SECOND, 'value': '%%%', 'revision': 5, 'created': 5},
         build_item(SECOND, {'address': 'nowhere'}),
@@ -139,15 +139,17 @@
         build_item('servers/i-2\r\nhost: x', build_entry()),
     ],
 )
-def test_entry_that_cannot_be_read(flawed: dict[str, Any]) -> None:
-    """An entry of another writer stands among those of the servers.
-
-    Taken as it is, it costs every node the whole list, sends requests to
-    nowhere, or stops the task that carries calls while it looks up a name.
-    The others are taken without it, and it is told once.
+def test_unreadable_entry_is_skipped_and_reported_once(
+    unreadable: dict[str, Any],
+) -> None:
+    """An entry of another writer is stored among those of the servers.
+
+    Used as it is, it makes the whole list unreadable for every node, sends
+    requests to a wrong address, or blocks the task that carries calls while
+    a host name is resolved.
     """
-    feed, _reader = build_feed(
-        build_page(build_item(FIRST, build_entry()), flawed),
+    feed, _client = build_feed(
+        build_page(build_item(FIRST, build_entry()), unreadable),
         build_changes(
             build_item(FIRST, build_entry(state='draining'), revision=10),
             revision=10,
@@ -155,13 +157,13 @@
     )
     reading = read_feed(feed)
     assert set(list_instances(reading)) == {'i-1'}
-    assert [each.code for each in reading.flawed] == [Code.part_corrupt]
-    assert not read_feed(feed).flawed
+    assert [each.code for each in reading.refused] == [Code.part_corrupt]
+    assert not read_feed(feed).refused
 
 
-def test_configuration_that_cannot_be_read() -> None:
-    """A configuration of another shape keeps the list from every node."""
-    feed, _reader = build_feed(
+def test_unreadable_configuration_does_not_hold_up_the_list() -> None:
+    """A configuration of another format keeps the list from every node."""
+    feed, _client = build_feed(
         build_page(
             build_item(CONFIGURATION, {'version': 'x'}),
             build_item(FIRST, build_entry()),
@@ -169,51 +171,51 @@
     )
     reading = read_feed(feed)
     assert set(list_instances(reading)) == {'i-1'}
-    assert reading.flawed[0].kind is DocumentKind.configuration
+    assert reading.refused[0].kind is DocumentKind.configuration
 
 
-def test_dropped_history_is_read_anew() -> None:
-    """A watch's history is gone, and changes in the gap would be missed."""
+def test_dropped_history_causes_a_full_read() -> None:
+    """Changes are missed when the store has dropped a watch's history."""
     page = build_page(build_item(FIRST, build_entry()), revision=30)
-    feed, reader = build_feed(build_page(), 410, page)
+    feed, client = build_feed(build_page(), 410, page)
     read_feed(feed)
     assert set(list_instances(read_feed(feed))) == {'i-1'}
-    assert '/kv-range' in reader.asked[2]
+    assert '/kv-range' in client.urls[2]
 
 
 @pytest.mark.parametrize('status', [429, 500, 503])
-def test_refused_read_is_an_error(status: int) -> None:
-    feed, _reader = build_feed(status)
+def test_refused_read_is_a_failure(status: int) -> None:
+    feed, _client = build_feed(status)
     assert isinstance(feed.read(wait=0), Err)
 
 
-def test_pages_that_changed_between_are_settled() -> None:
-    """A list that never stood so: the store changed between two pages."""
+def test_change_between_two_pages_is_applied() -> None:
+    """A list mixes two revisions: the store changed between two pages."""
     first = build_page(build_item(FIRST, build_entry()), revision=9)
     second = build_page(
         build_item(SECOND, build_entry(address='10.1.0.9:8145')),
         revision=12,
     )
-    gone = {'key': FIRST, 'revision': 11, 'tombstone': True}
-    feed, reader = build_feed(
+    removed = {'key': FIRST, 'revision': 11, 'tombstone': True}
+    feed, client = build_feed(
         {**first, 'hasMore': True},
         second,
-        build_changes(gone, revision=12),
+        build_changes(removed, revision=12),
     )
     assert set(list_instances(read_feed(feed))) == {'i-2'}
-    assert 'after=9' in reader.asked[2]
+    assert 'after=9' in client.urls[2]
 
 
-def test_failed_watch_goes_on_from_its_cursor() -> None:
-    """Each failure makes a reader read everything anew.
+def test_failed_watch_continues_from_its_cursor() -> None:
+    """A reader reads everything again after each failure.
 
-    On a slow line that takes most of a second, and calls wait behind it.
+    On a slow line that takes most of a second, and calls wait meanwhile.
     """
     changes = build_changes(
         build_item(FIRST, build_entry(state='draining'), revision=10),
         revision=10,
     )
-    feed, reader = build_feed(
+    feed, client = build_feed(
         build_page(build_item(FIRST, build_entry())),
         503,
         changes,
@@ -222,16 +224,16 @@
     assert isinstance(feed.read(wait=1.0), Err)
     feed.restart()
     assert list_instances(read_feed(feed))['i-1'].state is ListedState.leaving
-    assert 'after=9' in reader.asked[2]
+    assert 'after=9' in client.urls[2]
 
 
-def test_store_that_counts_from_the_start_is_read_anew() -> None:
-    """No change reaches any node any more.
+def test_store_with_a_lower_revision_is_read_again() -> None:
+    """No change reaches any node any more after the store was set up anew.
 
-    The store was set up anew, and watches go on from the old revision.
+    Its revisions start again, and watches continue from the old revision.
     """
     page = build_page(build_item(FIRST, build_entry()), revision=2)
-    feed, _reader = build_feed(
+    feed, _client = build_feed(
         build_page(),
         build_changes(revision=1),
         page,
--- a/wagtaildale/platform/tests/test_stores.py
+++ b/wagtaildale/platform/tests/test_stores.py
@@ -1,4 +1,4 @@
-"""Tests of a store that goes back, as nodes and processes meet it."""
+"""Tests of feeds and node processes with a store that is restored."""
 
 from __future__ import annotations
 
@@ -40,31 +40,31 @@
 
 @pytest.fixture
 def store() -> Iterator[StandInStore]:
-    with StandInStore() as made:
-        made.write(CONFIGURATION, build_configuration())
-        made.write(FIRST, build_listed(0))
-        made.write(SECOND, build_listed(1))
-        yield made
+    with StandInStore() as standin:
+        standin.write(CONFIGURATION, build_configuration())
+        standin.write(FIRST, build_listed(0))
+        standin.write(SECOND, build_listed(1))
+        yield standin
 
 
 @pytest.fixture
 def logs(store: StandInStore, tmp_path: Path) -> Iterator[list[Path]]:
-    """Logs of two nodes that run."""
-    paths = [tmp_path / f'{place}.log' for place in range(len(HOSTS))]
+    """Log files of two running nodes."""
+    paths = [tmp_path / f'{index}.log' for index in range(len(HOSTS))]
     with ExitStack() as stack:
-        for place, log in enumerate(paths):
-            node = stack.enter_context(start_node(place, store, log))
+        for index, log in enumerate(paths):
+            node = stack.enter_context(start_node(index, store, log))
             stack.callback(node.kill)
         yield paths
 
 
 def start_node(
-    place: int,
+    index: int,
     store: StandInStore,
     log: Path,
 ) -> subprocess.Popen[bytes]:
     settings = log.with_suffix('.json')
-    settings.write_bytes(build_node_file(place, store))
+    settings.write_bytes(build_node_file(index, store))
     with log.open('wb') as output:
         return subprocess.Popen(
             [sys.executable, '-m', 'wagtaildale.platform'],
@@ -74,12 +74,12 @@
         )
 
 
-def build_listed(place: int, *, state: str = 'ready') -> dict[str, Any]:
-    return build_entry(address=f'{HOSTS[place]}:{BACKEND_PORT}', state=state)
+def build_listed(index: int, *, state: str = 'ready') -> dict[str, Any]:
+    return build_entry(address=f'{HOSTS[index]}:{BACKEND_PORT}', state=state)
 
 
-def build_node_file(place: int, store: StandInStore) -> bytes:
-    host = HOSTS[place]
+def build_node_file(index: int, store: StandInStore) -> bytes:
+    host = HOSTS[index]
     ports = {
         'inbound': 8146,
         'outbound': 8147,
@@ -96,31 +96,34 @@
     return json.encode({**SETTINGS, **fields})
 
 
-def wait_for_lines(logs: list[Path], *texts: str) -> None:
+def wait_for_log_texts(logs: list[Path], *texts: str) -> None:
     deadline = time.monotonic() + PATIENCE
-    while not all(has_lines(log, texts) for log in logs):
+    while not all(has_texts(log, texts) for log in logs):
         assert time.monotonic() < deadline, logs[0].read_text()[-2000:]
         time.sleep(0.02)
 
 
-def has_lines(log: Path, texts: tuple[str, ...]) -> bool:
+def has_texts(log: Path, texts: tuple[str, ...]) -> bool:
     written = log.read_text()
     return all(text in written for text in texts)
 
 
-def test_revision_that_is_given_out_again_is_no_change(
+def test_revisions_that_are_reused_after_a_restore_are_read_again(
     store: StandInStore,
 ) -> None:
-    """A watch goes on from a number that now stands for something else."""
+    """A watch continues from a revision that now means another change.
+
+    After its restore the store assigns the same revision numbers again.
+    """
     platform = PlatformSettings(url=f'http://{store.address}')
     settings = structs.replace(build_settings(), platform=platform)
     regions = {'derby': 'midlands', 'coventry': 'midlands'}
     feed = StoreFeed(PlatformStore(settings, regions=regions))
     read_feed(feed)
-    older = store.copy()
+    older_copy = store.make_copy()
     store.write(SECOND, build_listed(1, state='draining'))
     before = read_feed(feed)
-    store.come_back(older, (FIRST, build_listed(0, state='draining')))
+    store.restore(older_copy, (FIRST, build_listed(0, state='draining')))
     store.write(CONFIGURATION, build_configuration())
     after = read_feed(feed)
     states = {
@@ -132,15 +135,18 @@
     assert find_era(after.changed[1].outline.version) == store.era
 
 
-def test_processes_keep_a_leaving_server_from_work(
+def test_leaving_server_gets_no_work_after_a_restore(
     store: StandInStore,
     logs: list[Path],
 ) -> None:
-    """Nodes send callers to a server that left, by an older copy's word."""
-    wait_for_lines(logs, 'kind=node-ready')
-    older = store.copy()
+    """Nodes send calls to a leaving server because of a restored older copy.
+
+    In the copy the server is still listed as ready.
+    """
+    wait_for_log_texts(logs, 'kind=node-ready')
+    older_copy = store.make_copy()
     store.write(SECOND, build_listed(1, state='draining'))
     version = make_version(Era(store.era), revision=store.revision)
-    wait_for_lines(logs, f'kind=instances-applied version={version}')
-    store.come_back(older)
-    wait_for_lines(logs, 'kind=platform-returned', 'held=i-2')
+    wait_for_log_texts(logs, f'kind=instances-applied version={version}')
+    store.restore(older_copy)
+    wait_for_log_texts(logs, 'kind=platform-returned', 'held=i-2')
--- a/wagtaildale/source/__init__.py
+++ b/wagtaildale/source/__init__.py
@@ -1,1 +1,1 @@
-"""Reading and watching the platform's service."""
+"""Reads and watches the platform that publishes the documents."""
--- a/wagtaildale/source/curl.py
+++ b/wagtaildale/source/curl.py
@@ -1,4 +1,4 @@
-"""One kept-alive connection to a platform, by libcurl."""
+"""HTTP client for a platform: one keep-alive connection, by libcurl."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.source.platform import ReadFailure
 
-CONNECT_MS: Final = 1000
+CONNECT_TIMEOUT_MS: Final = 1000
 MILLISECONDS: Final = 1000
-LARGEST_ANSWER: Final = 4_000_000
+LARGEST_ANSWER_BYTES: Final = 4_000_000
 UNACKNOWLEDGED_MS: Final = 3000
 
 
 class Answer(Struct, frozen=True, kw_only=True):
-    """One HTTP answer of a platform.
+    """One HTTP response of a platform.
 
     Attributes:
         status: HTTP status.
-        headers: lines as they came, in lower case.
-        body: all of it.
+        headers: header lines as received, in lower case.
+        body: complete body.
     """
 
     status: int
@@ -32,43 +32,45 @@
     body: bytes
 
 
-class CurlReader:
-    """Asks for one address after the other; belongs to one task."""
+class CurlClient:
+    """Sends one GET after the other; used by one task only."""
 
-    def __init__(self, *, connect_ms: int = CONNECT_MS) -> None:
+    def __init__(self, *, connect_timeout_ms: int = CONNECT_TIMEOUT_MS) -> None:
         """Prepare a connection; nothing is sent yet.
 
         Args:
-            connect_ms: how long connecting may take, milliseconds.
+            connect_timeout_ms: longest time to connect, milliseconds.
         """
         self._curl = pycurl.Curl()
         self._curl.setopt(pycurl.NOSIGNAL, 1)
-        self._curl.setopt(pycurl.CONNECTTIMEOUT_MS, connect_ms)
-        self._curl.setopt(pycurl.MAXFILESIZE, LARGEST_ANSWER)
+        self._curl.setopt(pycurl.CONNECTTIMEOUT_MS, connect_timeout_ms)
+        self._curl.setopt(pycurl.MAXFILESIZE, LARGEST_ANSWER_BYTES)
         self._curl.setopt(pycurl.PROXY, '')
 
-    def ask(self, url: str, *, seconds: float) -> Result[Answer, ReadFailure]:
-        """Ask for an address.
+    def get(
+        self, url: str, *, timeout_seconds: float
+    ) -> Result[Answer, ReadFailure]:
+        """Send a GET request and wait for its response.
 
         Args:
-            url: what to get.
-            seconds: that the answer may take.
+            url: URL to get.
+            timeout_seconds: longest time for the whole response, seconds.
 
         Returns:
-            The answer whatever its status, or why there is none.
+            The response, whatever its status, or why there is none.
         """
         body = BytesIO()
         headers: list[str] = []
         curl = self._curl
         curl.setopt(pycurl.URL, url)
-        curl.setopt(pycurl.TIMEOUT_MS, round(seconds * MILLISECONDS))
+        curl.setopt(pycurl.TIMEOUT_MS, round(timeout_seconds * MILLISECONDS))
         curl.setopt(pycurl.WRITEDATA, body)
         curl.setopt(pycurl.HEADERFUNCTION, _HeaderCollector(headers))
         try:
             curl.perform()
         except pycurl.error as error:
-            # Failure: a connection went silent without a reset, and every
-            # further read on it would wait in vain too.
+            # If the connection was dropped without a reset, every later
+            # read on it would time out too, so the next read opens a new one.
             curl.setopt(pycurl.FRESH_CONNECT, 1)
             detail = str(error.args[-1])
             return Err(
@@ -85,7 +87,7 @@
 
 
 class _HeaderCollector:
-    """Collects header lines as libcurl hands them over."""
+    """Callback that collects header lines from libcurl."""
 
     def __init__(self, headers: list[str]) -> None:
         self._headers = headers
--- a/wagtaildale/source/feed.py
+++ b/wagtaildale/source/feed.py
@@ -1,7 +1,8 @@
-"""What one watch on a platform tells of: the plug point of the watch tasks.
+"""Feeds: the interface through which watch tasks read documents.
 
-Where a platform has a key for each document, a feed covers one of them;
-where one watch sees both, one feed covers both and costs one waiting call.
+Where a platform has a key for each document, a feed covers one document.
+Where one watch covers both documents, one feed covers both and needs only
+one long poll.
 """
 
 from __future__ import annotations
@@ -32,60 +33,61 @@
 
 
 class FeedReading(Struct, frozen=True, kw_only=True):
-    """What a read of a feed gave.
+    """Result of one read of a feed.
 
     Attributes:
-        changed: documents that have changed since the read before.
+        changed: documents that have changed since the previous read.
         confirmed: documents that are known not to have changed, the
-            configuration last: with it the reader tells the others, and
-            what it tells them of the list should not be a read older.
-        flawed: what could not be read, and was not told before.
+            configuration last: its confirmation makes the reader inform the
+            other nodes, and the state of the instance list that it sends
+            them should not come from an older read.
+        refused: entries that cannot be read and were not reported before.
     """
 
     changed: tuple[SourceRead, ...] = ()
     confirmed: tuple[SourceConfirmed, ...] = ()
-    flawed: tuple[EntryRefused, ...] = ()
+    refused: tuple[EntryRefused, ...] = ()
 
 
 class Feed(ABC):
-    """Reads what one watch on a platform covers; belongs to one task.
+    """Reads the documents of one watch on a platform; used by one task only.
 
     Attributes:
-        kinds: the documents that it covers.
+        kinds: documents that the feed covers.
     """
 
     kinds: tuple[DocumentKind, ...]
 
     @abstractmethod
     def read(self, *, wait: float) -> Result[FeedReading, ReadFailure]:
-        """Read what has changed since the last read, waiting for it.
+        """Wait for changes since the last read and read them.
 
         Args:
-            wait: seconds that the platform may hold the read; the first
-                read of all does not wait.
+            wait: longest time that the platform holds the read open,
+                seconds; the first read returns at once.
 
         Returns:
-            What has changed and what has not, or why nothing was read.
+            Changed and unchanged documents, or why nothing was read.
         """
 
     @abstractmethod
     def restart(self) -> None:
-        """Doubt what was read: the platform may have changed unseen.
+        """Start over: the platform may have changed without notice.
 
-        The next read gives everything, unless the platform can tell what has
-        changed since the last one.
+        The next read returns all documents, unless the platform can still
+        report what has changed since the last read.
         """
 
 
 class DocumentFeed(Feed):
-    """One document of a platform that has a key for each."""
+    """Feed of one document, for platforms with a key for each document."""
 
     def __init__(self, kind: DocumentKind, *, platform: Platform) -> None:
-        """Begin with nothing read.
+        """Create a feed that has read nothing yet.
 
         Args:
-            kind: the document.
-            platform: read from; belongs to this feed.
+            kind: document to read.
+            platform: platform to read from; used by this feed only.
         """
         self.kinds = (kind,)
         self._kind = kind
@@ -97,10 +99,11 @@
         """Read the document; see ``Feed``.
 
         Args:
-            wait: seconds that the platform may hold the read.
+            wait: longest time that the platform holds the read open,
+                seconds.
 
         Returns:
-            The document if it has changed, or why not.
+            The document if it has changed, or why it was not read.
         """
         read = read_document(
             self._platform,
@@ -111,8 +114,8 @@
         if isinstance(read, Err):
             return read
         reading = read.ok_value
-        # Failure: the platform restarts with a lower index, and a watch
-        # from the old one would wait for ever.
+        # The index is lower after a restart of the platform; a watch from
+        # the old index would never return.
         self._index = reading.index if reading.index >= self._index else 0
         if reading.payload is not None:
             self._version = reading.payload.outline.version
@@ -123,7 +126,7 @@
         return Ok(FeedReading(confirmed=(confirmed,)))
 
     def restart(self) -> None:
-        """Forget the cursor; see ``Feed``."""
+        """Reset the cursor of the watch; see ``Feed``."""
         self._index = FIRST_INDEX
 
 
@@ -137,13 +140,13 @@
     """Read one document from the platform.
 
     Args:
-        platform: read from.
-        kind: which document.
-        index: cursor of the watch, 0 to read now.
-        wait: seconds that the platform may hold the read.
+        platform: platform to read from.
+        kind: document to read.
+        index: cursor of the watch; 0 to read at once.
+        wait: longest time that the platform holds the read open, seconds.
 
     Returns:
-        The outline that the platform names, with the blobs that came along.
+        The published outline, with the blobs that the read returned.
     """
     if kind is DocumentKind.configuration:
         manifest = platform.read_manifest(index=index, wait=wait)
@@ -158,12 +161,12 @@
     version: Version,
     blobs: Mapping[str, bytes],
 ) -> SourceRead:
-    """Make what a platform gave into an offer of a whole version.
+    """Build the message for a version whose blobs were all read.
 
     Args:
-        kind: which document.
-        version: its version.
-        blobs: by name, the bytes.
+        kind: document that was read.
+        version: version of the document.
+        blobs: contents of the entries, by entry name.
 
     Returns:
         The outline with all its blobs.
@@ -176,7 +179,7 @@
 def _outline_manifest(reading: Reading[Manifest]) -> Reading[SourceRead]:
     manifest = reading.payload
     if manifest is None:
-        return _pass_empty(reading)
+        return _make_empty_reading(reading)
     entries = {
         name: Digest(bytes.fromhex(digest))
         for name, digest in manifest.parts.items()
@@ -192,7 +195,7 @@
 def _outline_list(reading: Reading[InstanceList]) -> Reading[SourceRead]:
     listing = reading.payload
     if listing is None:
-        return _pass_empty(reading)
+        return _make_empty_reading(reading)
     read = make_read(
         DocumentKind.instances,
         version=Version(listing.index),
@@ -201,7 +204,7 @@
     return Reading(index=reading.index, payload=read)
 
 
-def _pass_empty(reading: Reading[Any]) -> Reading[SourceRead]:
+def _make_empty_reading(reading: Reading[Any]) -> Reading[SourceRead]:
     return Reading(
         index=reading.index,
         payload=None,
--- a/wagtaildale/source/http.py
+++ b/wagtaildale/source/http.py
@@ -1,4 +1,4 @@
-"""The platform by HTTP with long polls, in the manner of key-value APIs."""
+"""Reads a platform with an HTTP key-value API and long polls."""
 
 from __future__ import annotations
 
@@ -10,36 +10,38 @@
 from wagtaildale.configuration.model import Manifest
 from wagtaildale.errors.codes import Code
 from wagtaildale.membership.records import InstanceList
-from wagtaildale.source.curl import Answer, CurlReader
+from wagtaildale.source.curl import Answer, CurlClient
 from wagtaildale.source.platform import Platform, ReadFailure, Reading
 
 if TYPE_CHECKING:
     from wagtaildale.settings.model import PlatformSettings
 
-ANSWER_SECONDS: Final = 3.0
+ANSWER_TIMEOUT_SECONDS: Final = 3.0
 MILLISECONDS: Final = 1000
 INDEX_HEADER: Final = 'x-index:'
 STATUS_OK: Final = 200
-STATUS_MISSING: Final = 404
-STATUS_SAME: Final = 304
-ANSWERS: Final = frozenset((STATUS_OK, STATUS_SAME, STATUS_MISSING))
-REFUSING: Final = frozenset((429, 503))
+STATUS_NOT_FOUND: Final = 404
+STATUS_NOT_MODIFIED: Final = 304
+READABLE_STATUSES: Final = frozenset(
+    (STATUS_OK, STATUS_NOT_MODIFIED, STATUS_NOT_FOUND)
+)
+REFUSING_STATUSES: Final = frozenset((429, 503))
 
 Payload = TypeVar('Payload')
 
 
 class HttpPlatform(Platform):
-    """Reads by one kept-alive connection; belongs to one task."""
+    """Reads over one keep-alive connection; used by one task only."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         """Prepare a connection; nothing is sent yet.
 
         Args:
-            settings: where the platform is.
+            settings: address and key prefix of the platform.
         """
         self._keys = f'{settings.url}/v1/kv/{settings.prefix}'
         self._instances = f'{settings.url}/v1/instances'
-        self._reader = CurlReader()
+        self._client = CurlClient()
 
     def read_manifest(
         self,
@@ -50,11 +52,11 @@
         """Read the manifest; see ``Platform``.
 
         Args:
-            index: cursor.
-            wait: seconds.
+            index: cursor of the watch.
+            wait: longest time that the read is held open, seconds.
 
         Returns:
-            The manifest, or why not.
+            The manifest, or why it was not read.
         """
         return self._read(f'{self._keys}/manifest', index, wait, Manifest)
 
@@ -62,15 +64,16 @@
         """Read one part; see ``Platform``.
 
         Args:
-            name: its content hash, hexadecimal.
+            name: content hash of the part, hexadecimal.
 
         Returns:
-            Its bytes, nothing if it is not there, or why not.
+            The part's bytes, None if there is no such part, or why it was
+            not read.
         """
-        answer = self._ask(f'{self._keys}/parts/{name}', ANSWER_SECONDS)
+        answer = self._get(f'{self._keys}/parts/{name}', ANSWER_TIMEOUT_SECONDS)
         if isinstance(answer, Err):
             return answer
-        if answer.ok_value.status == STATUS_MISSING:
+        if answer.ok_value.status == STATUS_NOT_FOUND:
             return Ok(None)
         return Ok(answer.ok_value.body)
 
@@ -83,11 +86,11 @@
         """Read the instance list; see ``Platform``.
 
         Args:
-            index: cursor.
-            wait: seconds.
+            index: cursor of the watch.
+            wait: longest time that the read is held open, seconds.
 
         Returns:
-            The list, or why not.
+            The list, or why it was not read.
         """
         return self._read(self._instances, index, wait, InstanceList)
 
@@ -96,31 +99,34 @@
         url: str,
         index: int,
         wait: float,
-        shape: type[Payload],
+        payload_type: type[Payload],
     ) -> Result[Reading[Payload], ReadFailure]:
         wait_ms = round(wait * MILLISECONDS)
         query = f'{url}?index={index}&wait={wait_ms}ms'
-        asked = self._ask(query, wait + ANSWER_SECONDS)
-        if isinstance(asked, Err):
-            return asked
-        answer = asked.ok_value
+        fetched = self._get(query, wait + ANSWER_TIMEOUT_SECONDS)
+        if isinstance(fetched, Err):
+            return fetched
+        answer = fetched.ok_value
         if answer.status != STATUS_OK:
-            return Ok(_read_empty(answer))
+            return Ok(_make_empty_reading(answer))
         try:
-            decoded = json.decode(answer.body, type=shape)
+            decoded = json.decode(answer.body, type=payload_type)
         except MsgspecError as error:
             return Err(ReadFailure(code=Code.part_corrupt, detail=str(error)))
         return Ok(Reading(index=_find_index(answer), payload=decoded))
 
-    def _ask(self, url: str, seconds: float) -> Result[Answer, ReadFailure]:
-        asked = self._reader.ask(url, seconds=seconds)
-        if isinstance(asked, Err) or asked.ok_value.status in ANSWERS:
-            return asked
-        return Err(describe_status(asked.ok_value.status))
+    def _get(self, url: str, seconds: float) -> Result[Answer, ReadFailure]:
+        fetched = self._client.get(url, timeout_seconds=seconds)
+        if (
+            isinstance(fetched, Err)
+            or fetched.ok_value.status in READABLE_STATUSES
+        ):
+            return fetched
+        return Err(describe_status(fetched.ok_value.status))
 
 
-def _read_empty(answer: Answer) -> Reading[Any]:
-    changed = answer.status != STATUS_SAME
+def _make_empty_reading(answer: Answer) -> Reading[Any]:
+    changed = answer.status != STATUS_NOT_MODIFIED
     return Reading(index=_find_index(answer), payload=None, changed=changed)
 
 
@@ -133,14 +139,15 @@
 
 
 def describe_status(status: int) -> ReadFailure:
-    """Describe an answer of a platform that gives nothing.
+    """Describe a response that holds no document.
 
     Args:
-        status: HTTP status.
+        status: HTTP status of the response.
 
     Returns:
-        Whether the platform refuses or fails.
+        A failure with code ``source_refused`` for statuses 429 and 503, and
+        ``source_unreachable`` for all others.
     """
-    refusing = status in REFUSING
+    refusing = status in REFUSING_STATUSES
     code = Code.source_refused if refusing else Code.source_unreachable
     return ReadFailure(code=code, detail=f'status {status}')
--- a/wagtaildale/source/pacing.py
+++ b/wagtaildale/source/pacing.py
@@ -1,8 +1,8 @@
-"""How fast a node may read the platform.
+"""Rate limits and backoff for reads of the platform.
 
 The platform answers about 2,000 reads a second for all readers together,
-and that grows more slowly than the fleet. Each task that reads has a token
-bucket; docs/CAPACITY.md adds them up over 2,500 nodes.
+and this rate grows more slowly than the fleet. Each task that reads has a
+token bucket; docs/CAPACITY.md adds them up over 2,500 nodes.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import random
 from typing import Final
 
-FIRST_CAP: Final = 0.5
-LAST_CAP: Final = 30.0
+FIRST_CAP_SECONDS: Final = 0.5
+LAST_CAP_SECONDS: Final = 30.0
 
 
 class TokenBucket:
-    """Permits a rate, with a burst above it.
+    """Token bucket: a steady rate with bursts above it.
 
     Example:
         >>> bucket = TokenBucket(rate=1, burst=1, now=0)
@@ -24,12 +24,12 @@
     """
 
     def __init__(self, *, rate: float, burst: float, now: float) -> None:
-        """Begin with a full bucket.
+        """Create a full bucket.
 
         Args:
-            rate: tokens a second.
-            burst: tokens that a full bucket holds.
-            now: seconds.
+            rate: tokens added per second.
+            burst: capacity of the bucket, tokens.
+            now: time on the monotonic clock, seconds.
         """
         self._rate = rate
         self._burst = burst
@@ -37,10 +37,10 @@
         self._filled_at = now
 
     def take(self, *, now: float) -> float:
-        """Take a token, in advance if there is none.
+        """Take a token; an empty bucket goes into debt.
 
         Args:
-            now: seconds.
+            now: time on the monotonic clock, seconds.
 
         Returns:
             Seconds to wait before the read may be sent.
@@ -54,37 +54,37 @@
 class Backoff:
     """Exponential backoff with full jitter.
 
-    Failure guarded here: a herd that lost the platform at one moment asks
-    again at one moment, over and over. The guard holds since each delay is
-    drawn evenly from nothing up to a cap that doubles.
+    Nodes that lose the platform at the same moment would otherwise all retry
+    at the same moment, again and again. Each delay is drawn uniformly between
+    zero and a cap that doubles with each failure, so the retries spread out.
     """
 
     def __init__(
         self,
         *,
-        first_cap: float = FIRST_CAP,
-        last_cap: float = LAST_CAP,
+        first_cap_seconds: float = FIRST_CAP_SECONDS,
+        last_cap_seconds: float = LAST_CAP_SECONDS,
     ) -> None:
-        """Begin with the smallest cap.
+        """Create a backoff with the smallest cap.
 
         Args:
-            first_cap: longest delay after one failure, seconds.
-            last_cap: longest delay, seconds.
+            first_cap_seconds: longest delay after the first failure, seconds.
+            last_cap_seconds: longest delay after any failure, seconds.
         """
-        self._first_cap = first_cap
-        self._cap = first_cap
-        self._last_cap = last_cap
+        self._first_cap_seconds = first_cap_seconds
+        self._cap_seconds = first_cap_seconds
+        self._last_cap_seconds = last_cap_seconds
 
     def draw(self) -> float:
-        """Draw the delay after one more failure.
+        """Draw the delay after a further failure.
 
         Returns:
-            Seconds.
+            Delay before the next try, seconds.
         """
-        delay = random.uniform(0, self._cap)
-        self._cap = min(self._last_cap, self._cap * 2)
+        delay = random.uniform(0, self._cap_seconds)
+        self._cap_seconds = min(self._last_cap_seconds, self._cap_seconds * 2)
         return delay
 
     def reset(self) -> None:
-        """Begin anew after a success."""
-        self._cap = self._first_cap
+        """Return to the smallest cap after a success."""
+        self._cap_seconds = self._first_cap_seconds
--- a/wagtaildale/source/platform.py
+++ b/wagtaildale/source/platform.py
@@ -1,4 +1,4 @@
-"""The one small interface behind which each platform's protocol stands."""
+"""The interface that each platform's protocol implements."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Reading(Struct, Generic[Payload], frozen=True, kw_only=True):
-    """What the platform answered.
+    """Result of one read of the platform.
 
     Attributes:
-        index: cursor for the next watch. It may jump back when the platform
-            restarts, and means nothing to a node's version.
-        payload: what stood there; nothing if there is no such key or if
-            it has not changed since the cursor.
-        changed: whether it has changed since the cursor.
+        index: cursor for the next watch. It may be lower after a restart of
+            the platform, and is unrelated to document versions.
+        payload: value of the key; None if there is no such key or if the
+            value has not changed since the cursor.
+        changed: whether the value has changed since the cursor.
     """
 
     index: int
@@ -32,11 +32,12 @@
 
 
 class ReadFailure(Struct, frozen=True, kw_only=True):
-    """Why a read gave nothing.
+    """Why a read returned nothing.
 
     Attributes:
-        code: unreachable, refused, or unreadable.
-        detail: for a person.
+        code: result code, for instance of an unreachable platform, a refused
+            read or an unreadable payload.
+        detail: explanation for people.
     """
 
     code: Code
@@ -44,7 +45,7 @@
 
 
 class Platform(ABC):
-    """Reads and watches; there is nothing here that writes."""
+    """Read-only access to a platform."""
 
     @abstractmethod
     def read_manifest(
@@ -56,11 +57,13 @@
         """Read the manifest.
 
         Args:
-            index: answer once the platform's index is past this; 0 for now.
-            wait: seconds that the platform holds the read open at most.
+            index: cursor of the watch; 0 to read at once, otherwise the read
+                returns when the platform's index is past it.
+            wait: longest time that the platform holds the read open,
+                seconds.
 
         Returns:
-            The manifest, or why not.
+            The manifest, or why it was not read.
         """
 
     @abstractmethod
@@ -68,10 +71,11 @@
         """Read one part.
 
         Args:
-            name: its content hash, hexadecimal.
+            name: content hash of the part, hexadecimal.
 
         Returns:
-            Its bytes, nothing if it is not there, or why not.
+            The part's bytes, None if there is no such part, or why it was
+            not read.
         """
 
     @abstractmethod
@@ -84,9 +88,9 @@
         """Read the instance list.
 
         Args:
-            index: as for the manifest.
-            wait: as for the manifest.
+            index: cursor of the watch, as for the manifest.
+            wait: longest time that the read is held open, seconds.
 
         Returns:
-            The list, or why not.
+            The list, or why it was not read.
         """
--- a/wagtaildale/source/store.py
+++ b/wagtaildale/source/store.py
@@ -1,7 +1,7 @@
-"""A platform that is a store of keys with one revision counter.
+"""Feed of a platform that is a key-value store with one revision counter.
 
-The store's protocol stands behind ``Store``; what to read, and when to read
-all of it again, is decided here.
+``Store`` hides the store's protocol. ``StoreFeed`` decides what to read, and
+when to read everything again.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 
 class StoreEntry(Struct, frozen=True, kw_only=True):
-    """What stands under one key.
+    """The entry of one key.
 
     Attributes:
-        key: its key.
-        payload: its bytes; nothing where the key was removed.
-        revision: of its last change.
-        created: revision with which the key was first written.
+        key: key of the entry.
+        payload: value of the entry; None if the key was removed.
+        revision: revision of the last change.
+        created: revision at which the key was created.
     """
 
     key: str
@@ -43,13 +43,13 @@
 
 
 class StoreReading(Struct, frozen=True, kw_only=True):
-    """What a call to a store gave.
+    """Result of one call to a store.
 
     Attributes:
-        entries: everything, or what has changed.
-        revision: of the store; the next watch goes on from it.
-        is_snapshot: whether the entries all stood so at that revision.
-        era: in which the store gave it.
+        entries: all entries, or those that have changed.
+        revision: revision of the store, from which the next watch continues.
+        is_snapshot: whether all entries are in their state at that revision.
+        era: era of the store when it answered.
     """
 
     entries: tuple[StoreEntry, ...]
@@ -59,29 +59,29 @@
 
 
 class StoredDocument(Struct, frozen=True, kw_only=True):
-    """A document as a store's entries give it.
+    """A document built from a store's entries.
 
     Attributes:
-        version: its version.
-        blobs: by name, the bytes of its entries.
-        flaws: why some entries could not be read; the rest stands without
-            them.
+        version: version of the document.
+        blobs: contents of the document's entries, by entry name.
+        failures: why some entries could not be read; the document is built
+            from the others.
     """
 
     version: Version
     blobs: dict[str, bytes]
-    flaws: tuple[ReadFailure, ...] = ()
+    failures: tuple[ReadFailure, ...] = ()
 
 
 class Store(ABC):
-    """The calls of a store, and what its entries mean."""
+    """Protocol of a store, and the meaning of its entries."""
 
     @abstractmethod
     def read_all(self) -> Result[StoreReading, ReadFailure]:
-        """Read every entry.
+        """Read all entries.
 
         Returns:
-            The entries, or why not.
+            The entries, or why they were not read.
         """
 
     @abstractmethod
@@ -94,13 +94,13 @@
         """Wait for changes.
 
         Args:
-            revision: after which changes are wanted.
-            wait: seconds that the store may hold the call.
+            revision: revision after which changes are returned.
+            wait: longest time that the store holds the call open, seconds.
 
         Returns:
-            What has changed, nothing if the time was up, or why not; code
-            ``history_gone`` if the store has dropped what came after the
-            revision.
+            Entries that have changed, none after the longest time, or why
+            the watch failed; code ``history_gone`` if the store has dropped
+            changes after the revision.
         """
 
     @abstractmethod
@@ -108,11 +108,11 @@
         """Tell whether a key belongs to a document.
 
         Args:
-            key: of an entry.
+            key: key of an entry.
             kind: the document.
 
         Returns:
-            Whether a change of it changes the document.
+            Whether a change of the entry changes the document.
         """
 
     @abstractmethod
@@ -123,26 +123,28 @@
         entries: Mapping[str, StoreEntry],
         version: Version,
     ) -> Result[StoredDocument, ReadFailure]:
-        """Make a document from the entries that stand in the store.
+        """Build a document from the entries of the store.
 
         Args:
-            kind: which document.
-            entries: by key, everything.
-            version: of the store, for a document that has none of its own.
+            kind: document to build.
+            entries: all entries of the store, by key.
+            version: version made from the store's revision, for a document
+                that has no version of its own.
 
         Returns:
-            The document; version 0 if there is none yet.
+            The document, with version 0 if there is none yet, or why it
+            cannot be built.
         """
 
 
 class StoreFeed(Feed):
-    """Both documents from one watch over all keys of a store."""
+    """Feed of both documents, from one watch over all keys of a store."""
 
     def __init__(self, store: Store) -> None:
-        """Begin with nothing read.
+        """Create a feed that has read nothing yet.
 
         Args:
-            store: read from; belongs to this feed.
+            store: store to read from; used by this feed only.
         """
         self.kinds = tuple(DocumentKind)
         self._store = store
@@ -150,20 +152,20 @@
         self._revision: int | None = None
         self._era = FIRST_ERA
         self._versions = dict.fromkeys(DocumentKind, NO_VERSION)
-        self._flaws: dict[DocumentKind, frozenset[str]] = {}
+        self._known_failures: dict[DocumentKind, frozenset[str]] = {}
 
     def read(self, *, wait: float) -> Result[FeedReading, ReadFailure]:
         """Read what has changed; see ``Feed``.
 
-        Failure guarded here: the store drops its history, and a watch from
-        an older revision would miss changes. It says so, and everything is
-        read anew at once.
+        If the store has dropped the history after the last revision, a watch
+        from that revision would miss changes; the store reports this, and
+        everything is read again at once.
 
         Args:
-            wait: seconds that the store may hold the read.
+            wait: longest time that the store holds the read open, seconds.
 
         Returns:
-            The documents that have changed, or why not.
+            The documents that have changed, or why nothing was read.
         """
         if self._revision is None:
             return self._read_all()
@@ -174,26 +176,27 @@
             return self._read_all() if is_gone else changes
         reading = changes.ok_value
         if reading.era > self._era or reading.revision < self._revision:
-            # Failure: the store came back from an older copy, or was set up
-            # anew. What it has lost stays in use, and revisions that it has
-            # given out again are taken for those of before.
+            # The store was restored from an older copy, or was set up anew.
+            # Without a full read, entries that it has lost would stay in
+            # use, and revisions that it assigns a second time would be taken
+            # for the earlier ones.
             return self._read_all()
         self._revision = reading.revision
-        self._note(reading)
-        return self._give(
+        self._apply(reading)
+        return self._make_reading(
             tuple(
-                kind for kind in DocumentKind if self._concerns(reading, kind)
+                kind for kind in DocumentKind if self._is_changed(reading, kind)
             ),
         )
 
     def restart(self) -> None:
         """Keep the cursor; see ``Feed``.
 
-        Failure guarded here: a node that takes turns at reading, or whose
-        line to the store fails, reads everything anew each time, and on a
-        slow line that holds up calls: half a megabyte for 1,600 routes is
-        0.7 s at 5 Mbit/s. A store with revisions tells what has changed
-        since, and says so if it no longer can.
+        A reset would make a node read everything again whenever it becomes
+        a reader or its connection to the store fails, and on a slow line
+        that delays calls: half a megabyte for 1,600 routes takes 0.7 s at
+        5 Mbit/s. A store with revisions reports what has changed since the
+        cursor, or that it no longer can.
         """
 
     def _read_all(self) -> Result[FeedReading, ReadFailure]:
@@ -203,14 +206,14 @@
             return read
         reading = read.ok_value
         self._entries = {}
-        self._note(reading)
+        self._apply(reading)
         self._revision = reading.revision
         self._era = reading.era
         if reading.is_snapshot:
-            return self._give(tuple(DocumentKind))
-        # Failure: the entries came on several pages, and the store changed
-        # between two of them: together they never stood so. The changes
-        # since the first page settle it.
+            return self._make_reading(tuple(DocumentKind))
+        # The store changed between two pages, so that the entries were never
+        # in this state together. Applying the changes since the first page
+        # makes them consistent.
         watched = self._store.watch(revision=reading.revision, wait=0)
         changes = watched.and_then(
             partial(_check_era, held=self._era, may_rise=False),
@@ -218,29 +221,29 @@
         if isinstance(changes, Err):
             self._revision = None
             return changes
-        self._note(changes.ok_value)
+        self._apply(changes.ok_value)
         self._revision = changes.ok_value.revision
-        return self._give(tuple(DocumentKind))
+        return self._make_reading(tuple(DocumentKind))
 
-    def _concerns(self, reading: StoreReading, kind: DocumentKind) -> bool:
+    def _is_changed(self, reading: StoreReading, kind: DocumentKind) -> bool:
         return any(
             self._store.is_part_of(entry.key, kind) for entry in reading.entries
         )
 
-    def _note(self, reading: StoreReading) -> None:
+    def _apply(self, reading: StoreReading) -> None:
         for entry in reading.entries:
             if entry.payload is None:
                 self._entries.pop(entry.key, None)
             else:
                 self._entries[entry.key] = entry
 
-    def _give(
+    def _make_reading(
         self,
         changed: tuple[DocumentKind, ...],
     ) -> Result[FeedReading, ReadFailure]:
         assert self._revision is not None
         reads: list[SourceRead] = []
-        flawed: list[EntryRefused] = []
+        refused: list[EntryRefused] = []
         for kind in changed:
             made = self._store.make_document(
                 kind,
@@ -248,16 +251,21 @@
                 version=make_version(self._era, revision=self._revision),
             )
             if isinstance(made, Err):
-                # Failure: a configuration that cannot be read keeps the
-                # instance list from every node, or the other way round.
-                flawed.extend(self._tell(kind, (made.err_value,)))
+                # Go on with the other document: an unreadable configuration
+                # must not keep the instance list from every node, nor the
+                # other way round.
+                refused.extend(self._list_new_failures(kind, (made.err_value,)))
                 continue
-            flawed.extend(self._tell(kind, made.ok_value.flaws))
+            refused.extend(
+                self._list_new_failures(kind, made.ok_value.failures)
+            )
             if made.ok_value.version != NO_VERSION:
-                reads.append(self._offer(kind, made.ok_value))
+                reads.append(self._make_read(kind, made.ok_value))
         same = set(DocumentKind) - set(changed)
         confirmed = tuple(
-            SourceConfirmed(kind=each, version=self._confirm(each))
+            SourceConfirmed(
+                kind=each, version=self._find_confirmed_version(each)
+            )
             for each in reversed(DocumentKind)
             if each in same and self._versions[each] != NO_VERSION
         )
@@ -265,27 +273,30 @@
             FeedReading(
                 changed=tuple(reads),
                 confirmed=confirmed,
-                flawed=tuple(flawed),
+                refused=tuple(refused),
             ),
         )
 
-    def _tell(
+    def _list_new_failures(
         self,
         kind: DocumentKind,
-        flaws: tuple[ReadFailure, ...],
+        failures: tuple[ReadFailure, ...],
     ) -> Iterator[EntryRefused]:
-        # Each is told once, and not with every change of another entry.
-        told = self._flaws.get(kind, frozenset())
-        self._flaws[kind] = frozenset(flaw.detail for flaw in flaws)
-        for flaw in flaws:
-            if flaw.detail not in told:
+        # Each failure is reported once, not again with every change of
+        # another entry.
+        known = self._known_failures.get(kind, frozenset())
+        self._known_failures[kind] = frozenset(
+            failure.detail for failure in failures
+        )
+        for failure in failures:
+            if failure.detail not in known:
                 yield EntryRefused(
                     kind=kind,
-                    code=flaw.code,
-                    detail=flaw.detail,
+                    code=failure.code,
+                    detail=failure.detail,
                 )
 
-    def _offer(
+    def _make_read(
         self, kind: DocumentKind, document: StoredDocument
     ) -> SourceRead:
         self._versions[kind] = document.version
@@ -295,9 +306,9 @@
             blobs=document.blobs,
         )
 
-    def _confirm(self, kind: DocumentKind) -> Version:
-        # The instance list's version is the store's revision: with nothing
-        # of it changed, it stands as it did at every revision since.
+    def _find_confirmed_version(self, kind: DocumentKind) -> Version:
+        # The version of the instance list is the store's revision. An
+        # unchanged list is valid for every revision since the last change.
         if kind is DocumentKind.instances and self._revision is not None:
             return Version(self._revision)
         return self._versions[kind]
@@ -309,8 +320,9 @@
     held: Era,
     may_rise: bool = True,
 ) -> Result[StoreReading, ReadFailure]:
-    # Failure: an answer from before the store's return comes late; or pages
-    # are from before it, and what has changed since them is from after it.
+    # Rejects an answer of an earlier era that arrives late. Also rejects
+    # changes from after a restore of the store that follow pages from before
+    # it.
     if reading.era == held or (may_rise and reading.era > held):
         return Ok(reading)
     detail = f'got an answer of era {reading.era}, expected era {held}'
--- a/wagtaildale/source/tasks.py
+++ b/wagtaildale/source/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks that read the platform: some watch, one fetches when asked."""
+"""The tasks that read the platform: watches, and fetches on request."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     Watch,
 )
 from wagtaildale.errors.codes import Code
-from wagtaildale.source.pacing import FIRST_CAP, Backoff, TokenBucket
+from wagtaildale.source.pacing import FIRST_CAP_SECONDS, Backoff, TokenBucket
 from wagtaildale.source.platform import Platform, ReadFailure
 from wagtaildale.timers.inbox import Inbox
 from wagtaildale.timers.service import read_clock
@@ -26,22 +26,22 @@
 
     from wagtaildale.source.feed import Feed, FeedReading
 
-# How long a task without orders sleeps; ``stop`` ends it sooner.
+# Longest wait of a task without orders; ``stop`` ends it sooner.
 IDLE_SECONDS: Final = 30.0
-WATCH_RATE: Final = 2.0
+WATCHES_PER_SECOND: Final = 2.0
 WATCH_BURST: Final = 4.0
-FOREMOST_RATE: Final = 90.0
-FOREMOST_BURST: Final = 90.0
-FETCH_RATE: Final = 8.0
+FIRST_READER_FETCHES_PER_SECOND: Final = 90.0
+FIRST_READER_BURST: Final = 90.0
+FETCHES_PER_SECOND: Final = 8.0
 FETCH_BURST: Final = 8.0
 
 
 class WatchTask:
-    """Watches a feed while this node is appointed a reader.
+    """Watches a feed while this node is an appointed reader.
 
-    Failure guarded here: a planned stop is over and the process stays for
-    half a minute, since a task sleeps in its backoff from a platform that
-    is down. Every wait of these tasks ends with ``stop``.
+    ``stop`` ends every wait of the reading tasks. Otherwise a task in its
+    backoff from a platform that is down would keep the process alive for
+    half a minute after a planned stop.
     """
 
     def __init__(
@@ -50,49 +50,51 @@
         *,
         outbox: Inbox[Any],
         wait: float,
-        first_cap: float = FIRST_CAP,
-        gather: float = 0,
+        first_cap_seconds: float = FIRST_CAP_SECONDS,
+        gather_seconds: float = 0,
     ) -> None:
-        """Begin without an appointment.
+        """Create a task that is not appointed yet.
 
         Args:
-            feed: read from; belongs to this task.
-            outbox: of the distribution task.
-            wait: seconds that the platform may hold a watch.
-            first_cap: longest delay after one failed read, seconds.
-            gather: seconds to wait for further changes after one.
+            feed: feed to watch; used by this task only.
+            outbox: inbox of the distribution task.
+            wait: longest time that the platform holds a watch open, seconds.
+            first_cap_seconds: longest delay after the first failed read,
+                seconds.
+            gather_seconds: time to wait for further changes after a change,
+                seconds.
         """
         self.inbox: Inbox[Watch | None] = Inbox()
         self.feed = feed
-        self.backoff = Backoff(first_cap=first_cap)
+        self.backoff = Backoff(first_cap_seconds=first_cap_seconds)
         self.reads = 0
         self._outbox = outbox
         self._wait = wait
-        self._gather = gather
-        self._gathered = float(0)
+        self._gather_seconds = gather_seconds
+        self._gathered_seconds = float(0)
         self._appointed = False
         self._stopping = threading.Event()
 
     def run(self) -> None:
-        """Watch whenever appointed, until stopped."""
+        """Watch while appointed, until stopped."""
         bucket = TokenBucket(
-            rate=WATCH_RATE,
+            rate=WATCHES_PER_SECOND,
             burst=WATCH_BURST,
             now=read_clock(),
         )
         while not self._stopping.is_set():
-            if not self._take_orders():
+            if not self._take_order():
                 self.feed.restart()
                 continue
             self._stopping.wait(bucket.take(now=read_clock()))
             self._watch()
 
     def stop(self) -> None:
-        """End ``run`` when the watch under way returns."""
+        """End ``run`` when the current watch returns."""
         self._stopping.set()
         self.inbox.put(None)
 
-    def _take_orders(self) -> bool:
+    def _take_order(self) -> bool:
         timeout = 0 if self._appointed else IDLE_SECONDS
         order = self.inbox.take(timeout=timeout)
         if order is not None:
@@ -101,26 +103,27 @@
 
     def _watch(self) -> None:
         self.reads += 1
-        # Failure: others count from a reader's last word, and take it for
-        # lost if it waits for further changes and for a whole watch besides.
-        read = self.feed.read(wait=self._wait - self._gathered)
-        self._gathered = 0
+        # The time spent gathering further changes is taken off the watch.
+        # Otherwise other nodes, which measure the time since the reader's
+        # last message, would take the reader for lost.
+        read = self.feed.read(wait=self._wait - self._gathered_seconds)
+        self._gathered_seconds = 0
         if isinstance(read, Err):
-            # After any failure the cursor starts anew: the platform may
-            # have restarted, or have changed unseen.
+            # After any failure the cursor is reset: the platform may have
+            # restarted, or have changed without notice.
             self.feed.restart()
-            _report(self._outbox, self.feed, read.err_value)
+            _put_failure(self._outbox, self.feed, read.err_value)
             self._stopping.wait(self.backoff.draw())
             return
         self.backoff.reset()
-        _pass_on(self._outbox, read.ok_value)
+        _put_reading(self._outbox, read.ok_value)
         if read.ok_value.changed:
-            self._gathered = self._gather
-            self._stopping.wait(self._gather)
+            self._gathered_seconds = self._gather_seconds
+            self._stopping.wait(self._gather_seconds)
 
 
 class FetchTask:
-    """Reads blobs, and documents once, when asked."""
+    """Reads blobs and whole documents on request."""
 
     def __init__(
         self,
@@ -129,12 +132,13 @@
         platform: Platform | None,
         outbox: Inbox[Any],
     ) -> None:
-        """Begin idle.
+        """Create a task without orders.
 
         Args:
-            feeds: read from; belong to this task.
-            platform: has single parts; nothing where documents come whole.
-            outbox: of the distribution task.
+            feeds: feeds to read documents from; used by this task only.
+            platform: platform to read single parts from; None if documents
+                are always read whole.
+            outbox: inbox of the distribution task.
         """
         self.inbox: Inbox[ReadBlobs | ReadSource | None] = Inbox()
         self.reads = 0
@@ -145,22 +149,26 @@
         now = read_clock()
         self._buckets = {
             True: TokenBucket(
-                rate=FOREMOST_RATE,
-                burst=FOREMOST_BURST,
+                rate=FIRST_READER_FETCHES_PER_SECOND,
+                burst=FIRST_READER_BURST,
                 now=now,
             ),
-            False: TokenBucket(rate=FETCH_RATE, burst=FETCH_BURST, now=now),
+            False: TokenBucket(
+                rate=FETCHES_PER_SECOND, burst=FETCH_BURST, now=now
+            ),
         }
         self._backoff = Backoff()
 
     def run(self) -> None:
-        """Carry out orders until stopped."""
+        """Execute orders until stopped."""
         while not self._stopping.is_set():
             first = self.inbox.take(timeout=IDLE_SECONDS)
             orders = [] if first is None else [first, *self.inbox.take_all()]
-            asked = [each for each in orders if isinstance(each, ReadSource)]
-            # One read gives every document of a feed.
-            feeds = {self._feeds[each.kind] for each in asked}
+            source_orders = [
+                each for each in orders if isinstance(each, ReadSource)
+            ]
+            # One read returns all documents of a feed.
+            feeds = {self._feeds[each.kind] for each in source_orders}
             for feed in feeds:
                 self._read(feed)
             for order in orders:
@@ -168,7 +176,7 @@
                     self._fetch(order)
 
     def stop(self) -> None:
-        """End ``run`` after the order under way."""
+        """End ``run`` after the current order."""
         self._stopping.set()
         self.inbox.put(None)
 
@@ -178,9 +186,9 @@
         self.reads += 1
         read = feed.read(wait=0)
         if isinstance(read, Err):
-            _report(self._outbox, feed, read.err_value)
+            _put_failure(self._outbox, feed, read.err_value)
         else:
-            _pass_on(self._outbox, read.ok_value)
+            _put_reading(self._outbox, read.ok_value)
 
     def _fetch(self, order: ReadBlobs) -> None:
         blobs: list[bytes] = []
@@ -188,7 +196,9 @@
         for digest in order.digests:
             blob = self._fetch_one(order, digest)
             if isinstance(blob, Err):
-                _report(self._outbox, self._feeds[order.kind], blob.err_value)
+                _put_failure(
+                    self._outbox, self._feeds[order.kind], blob.err_value
+                )
                 self._stopping.wait(self._backoff.draw())
                 break
             if blob.ok_value is None:
@@ -208,7 +218,7 @@
         digest: Digest,
     ) -> Result[bytes | None, ReadFailure]:
         if self._stopping.is_set():
-            detail = 'this node stops'
+            detail = 'this node is stopping'
             return Err(ReadFailure(code=Code.draining, detail=detail))
         self._stopping.wait(
             self._buckets[order.foremost].take(now=read_clock())
@@ -222,12 +232,12 @@
         return read
 
 
-def _pass_on(outbox: Inbox[Any], reading: FeedReading) -> None:
-    for message in (*reading.flawed, *reading.changed, *reading.confirmed):
+def _put_reading(outbox: Inbox[Any], reading: FeedReading) -> None:
+    for message in (*reading.refused, *reading.changed, *reading.confirmed):
         outbox.put(message)
 
 
-def _report(outbox: Inbox[Any], feed: Feed, failure: ReadFailure) -> None:
+def _put_failure(outbox: Inbox[Any], feed: Feed, failure: ReadFailure) -> None:
     for kind in feed.kinds:
         outbox.put(
             SourceFailed(kind=kind, code=failure.code, detail=failure.detail),
--- a/wagtaildale/source/tests/test_http.py
+++ b/wagtaildale/source/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Tests of reading the platform, against its stand-in."""
+"""Tests of reading a stand-in platform over HTTP."""
 
 from __future__ import annotations
 
@@ -29,40 +29,42 @@
 
 
 @pytest.fixture
-def reader(platform: PlatformStandIn) -> HttpPlatform:
+def http_platform(platform: PlatformStandIn) -> HttpPlatform:
     return HttpPlatform(PlatformSettings(url=platform.url))
 
 
-def test_reads_manifest_and_parts(reader: HttpPlatform) -> None:
-    reading = assert_ok(reader.read_manifest(index=0, wait=0))
+def test_manifest_and_parts_are_read(http_platform: HttpPlatform) -> None:
+    reading = assert_ok(http_platform.read_manifest(index=0, wait=0))
     assert reading.payload is not None
     assert reading.payload.version == 1
     digest = reading.payload.parts['casefiles']
-    assert assert_ok(reader.read_part(digest))
-    assert assert_ok(reader.read_part('0' * 32)) is None
+    assert assert_ok(http_platform.read_part(digest))
+    assert assert_ok(http_platform.read_part('0' * 32)) is None
 
 
-def test_reads_instances(reader: HttpPlatform) -> None:
-    reading = assert_ok(reader.read_instances(index=0, wait=0))
+def test_instance_list_is_read(http_platform: HttpPlatform) -> None:
+    reading = assert_ok(http_platform.read_instances(index=0, wait=0))
     assert reading.payload is not None
     assert reading.payload.instances == (build_record('a'),)
 
 
-def test_watch_ends_with_a_change(
+def test_watch_returns_a_change(
     platform: PlatformStandIn,
-    reader: HttpPlatform,
+    http_platform: HttpPlatform,
 ) -> None:
-    index = assert_ok(reader.read_manifest(index=0, wait=0)).index
+    index = assert_ok(http_platform.read_manifest(index=0, wait=0)).index
     timer = threading.Timer(0.05, platform.publish, (build_compiled(2),))
     timer.start()
-    reading = assert_ok(reader.read_manifest(index=index, wait=5))
+    reading = assert_ok(http_platform.read_manifest(index=index, wait=5))
     assert reading.payload is not None
     assert reading.payload.version == 2
 
 
-def test_watch_ends_with_nothing_new(reader: HttpPlatform) -> None:
-    index = assert_ok(reader.read_manifest(index=0, wait=0)).index
-    reading = assert_ok(reader.read_manifest(index=index, wait=0.05))
+def test_watch_returns_unchanged_after_its_wait(
+    http_platform: HttpPlatform,
+) -> None:
+    index = assert_ok(http_platform.read_manifest(index=0, wait=0)).index
+    reading = assert_ok(http_platform.read_manifest(index=index, wait=0.05))
     assert not reading.changed
     assert reading.payload is None
 
@@ -71,24 +73,24 @@
     ('fault', 'code'),
     [('down', Code.source_refused), ('half', Code.source_unreachable)],
 )
-def test_platform_fails(
+def test_platform_fault_has_its_code(
     platform: PlatformStandIn,
-    reader: HttpPlatform,
+    http_platform: HttpPlatform,
     fault: str,
     code: Code,
 ) -> None:
     setattr(platform.faults, fault, True)
-    failure = assert_err(reader.read_manifest(index=0, wait=0))
+    failure = assert_err(http_platform.read_manifest(index=0, wait=0))
     assert failure.code is code
 
 
-def test_refusal_over_the_rate(
+def test_reads_over_the_rate_are_refused(
     platform: PlatformStandIn,
-    reader: HttpPlatform,
+    http_platform: HttpPlatform,
 ) -> None:
     platform.faults.reads_per_second = 1
-    reader.read_manifest(index=0, wait=0)
-    reads = [reader.read_manifest(index=0, wait=0) for _read in range(4)]
+    http_platform.read_manifest(index=0, wait=0)
+    reads = [http_platform.read_manifest(index=0, wait=0) for _read in range(4)]
     refused = [read.unwrap_err() for read in reads if read.is_err()]
     assert {failure.code for failure in refused} == {Code.source_refused}
 
@@ -97,13 +99,13 @@
     'body',
     [b'{', b'{"version":0,"name":"x","parts":{}}', b'[]', b'\xff'],
 )
-def test_unreadable_manifest(
+def test_unreadable_manifest_is_corrupt(
     platform: PlatformStandIn,
-    reader: HttpPlatform,
+    http_platform: HttpPlatform,
     body: bytes,
 ) -> None:
     platform.put(MANIFEST, body)
-    failure = assert_err(reader.read_manifest(index=0, wait=0))
+    failure = assert_err(http_platform.read_manifest(index=0, wait=0))
     assert failure.code is Code.part_corrupt
 
 
@@ -115,15 +117,15 @@
         platform.put('/v1/kv/x', bytes(1_000_001))
 
 
-def test_bucket_spaces_reads() -> None:
+def test_token_bucket_delays_reads_over_its_burst() -> None:
     bucket = TokenBucket(rate=2, burst=3, now=0)
     delays = [bucket.take(now=0) for _read in range(5)]
     assert delays == [0, 0, 0, 0.5, 1]
     assert bucket.take(now=10) == 0
 
 
-def test_backoff_widens_and_resets() -> None:
-    backoff = Backoff(last_cap=8)
+def test_backoff_grows_to_its_cap_and_resets() -> None:
+    backoff = Backoff(last_cap_seconds=8)
     drawn = [backoff.draw() for _failure in range(200)]
     assert max(drawn[:1]) <= 0.5
     assert 4 < max(drawn) <= 8
--- a/wagtaildale/source/tests/test_tasks.py
+++ b/wagtaildale/source/tests/test_tasks.py
@@ -37,11 +37,11 @@
     from collections.abc import Iterator
 
 PATIENCE = 5.0
-WAIT = 0.2
+WATCH_SECONDS = 0.2
 
 
-class Watching:
-    """A watch task at work against a platform."""
+class ReadingTasks:
+    """A watch task and a fetch task that run against a stand-in platform."""
 
     def __init__(self) -> None:
         self.platform = PlatformStandIn('127.0.0.1', 0)
@@ -52,7 +52,7 @@
                 DocumentKind.configuration, platform=HttpPlatform(settings)
             ),
             outbox=self.outbox,
-            wait=WAIT,
+            wait=WATCH_SECONDS,
         )
         self.fetch = FetchTask(
             [
@@ -77,99 +77,100 @@
             thread.join(PATIENCE)
         self.platform.close()
 
-    def appoint(self) -> None:
+    def appoint_reader(self) -> None:
         self.watch.inbox.put(
             Watch(kind=DocumentKind.configuration, appointed=True, rank=0),
         )
 
-    def expect(self, shape: type[Any]) -> Any:
+    def wait_for_message(self, shape: type[Any]) -> Any:
         deadline = time.monotonic() + PATIENCE
         while time.monotonic() < deadline:
             message = self.outbox.take(timeout=PATIENCE)
             if isinstance(message, shape):
                 return message
-        raise AssertionError(f'no {shape}')
+        raise AssertionError(f'got no {shape} in time')
 
-    def expect_version(self, version: int) -> None:
+    def wait_for_version(self, version: int) -> None:
         deadline = time.monotonic() + PATIENCE
-        while self.expect(SourceRead).outline.version != version:
+        while self.wait_for_message(SourceRead).outline.version != version:
             assert time.monotonic() < deadline
 
 
 @pytest.fixture
-def watching() -> Iterator[Watching]:
-    made = Watching()
-    yield made
-    made.close()
+def tasks() -> Iterator[ReadingTasks]:
+    running = ReadingTasks()
+    yield running
+    running.close()
 
 
-def test_watch_tells_of_each_version(watching: Watching) -> None:
-    watching.platform.publish(build_compiled(1))
-    watching.appoint()
-    watching.expect_version(1)
-    watching.platform.publish(build_compiled(2))
-    watching.expect_version(2)
+def test_watch_reports_each_version(tasks: ReadingTasks) -> None:
+    tasks.platform.publish(build_compiled(1))
+    tasks.appoint_reader()
+    tasks.wait_for_version(1)
+    tasks.platform.publish(build_compiled(2))
+    tasks.wait_for_version(2)
 
 
-def test_index_that_jumps_back_is_followed(watching: Watching) -> None:
-    """The platform restarts and no node hears of a change again.
+def test_watch_continues_after_the_index_jumps_back(
+    tasks: ReadingTasks,
+) -> None:
+    """After a restart of the platform no node receives changes any more.
 
-    Its index begins anew below the watch's cursor; a watch from the old
-    cursor would wait for ever.
+    The platform's index starts again below the watch's cursor, and a watch
+    from the old cursor never returns.
     """
     for version in (1, 2, 3):
-        watching.platform.publish(build_compiled(version))
-    watching.appoint()
-    watching.expect_version(3)
-    watching.platform.restart_index()
-    watching.platform.publish(build_compiled(4))
-    watching.expect_version(4)
+        tasks.platform.publish(build_compiled(version))
+    tasks.appoint_reader()
+    tasks.wait_for_version(3)
+    tasks.platform.restart_index()
+    tasks.platform.publish(build_compiled(4))
+    tasks.wait_for_version(4)
 
 
-def test_failure_is_told_and_survived(watching: Watching) -> None:
-    watching.platform.publish(build_compiled(1))
-    watching.platform.faults.down = True
-    watching.appoint()
-    watching.expect(SourceFailed)
-    watching.platform.faults.down = False
-    watching.expect_version(1)
+def test_watch_reports_a_failure_and_recovers(tasks: ReadingTasks) -> None:
+    tasks.platform.publish(build_compiled(1))
+    tasks.platform.faults.down = True
+    tasks.appoint_reader()
+    tasks.wait_for_message(SourceFailed)
+    tasks.platform.faults.down = False
+    tasks.wait_for_version(1)
 
 
-def test_fetch_says_what_is_missing(watching: Watching) -> None:
+def test_fetch_reports_missing_blobs(tasks: ReadingTasks) -> None:
     compiled = build_compiled(1)
-    watching.platform.publish(compiled)
+    tasks.platform.publish(compiled)
     blob = next(iter(compiled.parts.values()))
     order = ReadBlobs(
         kind=DocumentKind.configuration,
         digests=(hash_part(blob), Digest(bytes(16))),
         foremost=True,
     )
-    watching.fetch.inbox.put(order)
-    found = watching.expect(SourceBlobs)
+    tasks.fetch.inbox.put(order)
+    found = tasks.wait_for_message(SourceBlobs)
     assert found.blobs == (blob,)
     assert found.missing == (Digest(bytes(16)),)
 
 
-def test_stop_ends_a_long_backoff(watching: Watching) -> None:
-    """A planned stop is over and its process stays for half a minute.
+def test_stop_ends_a_long_backoff(tasks: ReadingTasks) -> None:
+    """A process stays alive for half a minute after its planned stop.
 
-    The platform is down and its tasks sleep in their backoff; the stop
-    ends the sleep.
+    The platform is down, and a reading task waits in its backoff.
     """
-    watching.platform.faults.down = True
-    watching.watch.backoff = Backoff(first_cap=1e6, last_cap=1e6)
-    watching.appoint()
-    watching.expect(SourceFailed)
-    watching.watch.stop()
-    watching.threads[0].join(PATIENCE)
-    assert not watching.threads[0].is_alive()
+    tasks.platform.faults.down = True
+    tasks.watch.backoff = Backoff(first_cap_seconds=1e6, last_cap_seconds=1e6)
+    tasks.appoint_reader()
+    tasks.wait_for_message(SourceFailed)
+    tasks.watch.stop()
+    tasks.threads[0].join(PATIENCE)
+    assert not tasks.threads[0].is_alive()
 
 
-class CountedFeed(Feed):
-    """Tells of a change with its first read, and of none after it.
+class ChangingOnceFeed(Feed):
+    """Returns a change from its first read and none from later reads.
 
     Attributes:
-        waits: seconds that each read was to wait.
+        waits: longest wait given to each read, seconds.
     """
 
     kinds = tuple(DocumentKind)
@@ -188,20 +189,23 @@
         return Ok(FeedReading(changed=(changed,)))
 
     def restart(self) -> None:
-        """Nothing was kept."""
+        """Do nothing: this feed has no cursor."""
 
 
-def test_reader_that_waited_for_further_changes_holds_its_watch_shorter() -> (
-    None
-):
-    """Others take a reader for lost after each change that stays alone.
+def test_time_spent_gathering_changes_is_taken_off_the_next_watch() -> None:
+    """Other nodes take a reader for lost after each single change.
 
-    It waits a little for further changes, then for a whole watch, and says
-    nothing to the others for longer than they wait for its word: six of
-    them read the platform beside it.
+    The reader gathers further changes and then holds a whole watch. It sends
+    nothing for longer than the others wait for its confirmation, and six of
+    them read the platform besides it.
     """
-    feed = CountedFeed()
-    watch = WatchTask(feed, outbox=Inbox(), wait=WAIT, gather=WAIT / 4)
+    feed = ChangingOnceFeed()
+    watch = WatchTask(
+        feed,
+        outbox=Inbox(),
+        wait=WATCH_SECONDS,
+        gather_seconds=WATCH_SECONDS / 4,
+    )
     watch.inbox.put(
         Watch(kind=DocumentKind.configuration, appointed=True, rank=0),
     )
@@ -209,7 +213,9 @@
     thread.start()
     deadline = time.monotonic() + PATIENCE
     while len(feed.waits) < 3 and time.monotonic() < deadline:
-        time.sleep(WAIT / 10)
+        time.sleep(WATCH_SECONDS / 10)
     watch.stop()
     thread.join(PATIENCE)
-    assert feed.waits[:3] == pytest.approx([WAIT, WAIT * 3 / 4, WAIT])
+    assert feed.waits[:3] == pytest.approx(
+        [WATCH_SECONDS, WATCH_SECONDS * 3 / 4, WATCH_SECONDS]
+    )
