--- a/wagtaildale/__init__.py
+++ b/wagtaildale/__init__.py
@@ -1,8 +1,7 @@
 """Wagtaildale: configuration distribution for a service mesh.
 
-The names gathered here are for programs that check and compile operators'
-files; the daemon and the command line are ``wagtaildaled`` and
-``wagtaildale``.
+The names exported here are for programs that check and compile operators'
+files. The daemon is ``wagtaildaled``, the command line ``wagtaildale``.
 """
 
 from wagtaildale.configuration.compiled import (
--- a/wagtaildale/assembly.py
+++ b/wagtaildale/assembly.py
@@ -1,4 +1,4 @@
-"""Makes the parts that a node is put together from."""
+"""Creates the tasks of a node and the objects that they share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from wagtaildale.invariants import Invariants
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.view import ViewHolder
-from wagtaildale.settings.model import MOST_SLOTS, Settings
+from wagtaildale.settings.model import MAX_SLOTS, Settings
 from wagtaildale.source.tasks import FetchTask, WatchTask
 from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.telemetry.tallies import Tallies
@@ -33,21 +33,21 @@
 MILLISECONDS: Final = 1000
 
 
-class Parts(Struct, kw_only=True):
-    """What several parts of a node share.
+class NodeParts(Struct, kw_only=True):
+    """Objects that several tasks of a node share.
 
     Attributes:
-        settings: of this daemon.
-        identity: of this process.
-        recorder: gets events.
-        invariants: are checked everywhere.
-        view: what calls are routed by.
-        tallies: counts of calls.
-        inbox: of the distribution task.
-        states: the node's state, the latest last.
-        tuning: the figures of distribution.
-        integration: how the platform is met.
-        suspects: requests under which servers have ended.
+        settings: settings of this daemon.
+        identity: instance and incarnation of this process.
+        recorder: recorder of events.
+        invariants: checker of invariants.
+        view: holder of the routing view that calls use.
+        tallies: counters of calls.
+        inbox: inbox of the distribution task.
+        states: states of the node, the latest last.
+        tuning: parameters of the distribution.
+        integration: adapter for the platform.
+        suspects: requests that may have crashed backend servers.
     """
 
     settings: Settings
@@ -64,10 +64,10 @@
 
 
 def read_incarnation() -> Incarnation:
-    """Read the incarnation of a process that starts now.
+    """Give the incarnation of a process that starts now.
 
     Returns:
-        Milliseconds since the epoch: it rises with each start.
+        Milliseconds since the epoch, so that it rises with each start.
     """
     return Incarnation(round(time.time() * MILLISECONDS))
 
@@ -78,21 +78,21 @@
     recorder: EventRecorder,
     tuning: Tuning | None = None,
     integration: Integration = OWN_INTEGRATION,
-) -> Parts:
-    """Make what the parts of a node share.
+) -> NodeParts:
+    """Create the objects that the tasks of a node share.
 
     Args:
-        settings: checked.
-        recorder: gets events.
-        tuning: the figures of distribution; those that the settings name
+        settings: checked settings.
+        recorder: recorder of events.
+        tuning: parameters of the distribution; those named in the settings
             if left out.
-        integration: how the platform is met.
+        integration: adapter for the platform.
 
     Returns:
-        The parts.
+        The shared objects.
     """
     inbox: Inbox[Any] = Inbox()
-    return Parts(
+    return NodeParts(
         settings=settings,
         identity=Identity(
             instance=settings.instance,
@@ -110,14 +110,14 @@
     )
 
 
-def make_watches(parts: Parts) -> tuple[WatchTask, ...]:
-    """Make the tasks that watch the platform.
+def make_watches(parts: NodeParts) -> tuple[WatchTask, ...]:
+    """Create the tasks that watch the platform.
 
     Args:
-        parts: of the node.
+        parts: shared objects of the node.
 
     Returns:
-        One for each feed.
+        One task for each feed.
     """
     return tuple(
         WatchTask(
@@ -131,11 +131,11 @@
     )
 
 
-def make_fetch(parts: Parts) -> FetchTask:
-    """Make the task that reads the platform when asked.
+def make_fetch(parts: NodeParts) -> FetchTask:
+    """Create the task that reads the platform on request.
 
     Args:
-        parts: of the node.
+        parts: shared objects of the node.
 
     Returns:
         The task.
@@ -148,14 +148,14 @@
     )
 
 
-def make_calls(parts: Parts) -> CallsTask:
-    """Make the task that carries calls.
+def make_calls(parts: NodeParts) -> CallsTask:
+    """Create the task that carries calls.
 
     Args:
-        parts: of the node.
+        parts: shared objects of the node.
 
     Returns:
-        The task, its ports not yet open.
+        The task; its ports are not open yet.
     """
     settings = parts.settings
     host = settings.host
@@ -170,7 +170,7 @@
             owner=Address(host, settings.owner_port),
             ready=None if ready is None else Address(host, ready),
             backend=Address(backend.host, backend.port),
-            slots=backend.slots if settings.calls.admits else MOST_SLOTS,
+            slots=backend.slots if settings.calls.admits else MAX_SLOTS,
             limits=CallerLimits(
                 head_bytes=limits.head_bytes,
                 body_bytes=limits.body_bytes,
--- a/wagtaildale/daemon.py
+++ b/wagtaildale/daemon.py
@@ -1,4 +1,4 @@
-"""``wagtaildaled``: one node, beside one backend server."""
+"""``wagtaildaled``: runs one node beside one backend server."""
 
 from __future__ import annotations
 
@@ -33,74 +33,74 @@
     from wagtaildale.keys.pairs import KeyPair
     from wagtaildale.settings.model import Settings
 
-# A signal ends the wait at once; a task that has failed is found this late.
-LOOK_SECONDS: Final = 2.0
-# The default of 5 ms lets one busy thread hold up every call that long.
-SWITCH_SECONDS: Final = 0.0005
+# Interval of the checks for failed tasks; a signal ends the wait at once.
+POLL_SECONDS: Final = 2.0
+# With the default of 5 ms one busy thread delays every call that long.
+THREAD_SWITCH_SECONDS: Final = 0.0005
 EXIT_SETTINGS: Final = 2
 EXIT_START: Final = 3
-EXIT_CUT: Final = 4
+EXIT_WORK_CUT: Final = 4
 EXIT_DEFECT: Final = 5
 
 
 class Signals:
-    """Turns signals into what the main thread waits for.
+    """Passes signals to the main thread through an inbox.
 
-    Failure guarded here: a process that is asked to stop works on until it
-    is killed, and everything under way is cut. A handler runs in the main
-    thread, between any two of its steps; if it asks for a lock that the
-    thread holds just then, as an event has one, both wait for ever. The
-    inbox's queue may be used from a handler at any moment.
+    A signal handler runs in the main thread, between any two steps of its
+    code. If it acquires a lock that the thread holds, such as that of a
+    ``threading.Event``, the process deadlocks, ignores the stop until it is
+    killed, and all work in flight is cut. The inbox's queue is safe to use
+    from a handler at any time.
     """
 
     def __init__(
         self,
         recorder: EventRecorder,
         *,
-        hurry: Callable[[], None],
+        stop_waiting: Callable[[], None],
     ) -> None:
-        """Take over SIGTERM, SIGINT and SIGHUP.
+        """Install handlers for SIGTERM, SIGINT and SIGHUP.
 
         Args:
-            recorder: gets an event for a signal that changes nothing.
-            hurry: is called for a second signal to stop.
+            recorder: recorder of an event for each SIGHUP.
+            stop_waiting: called on a second signal to stop.
         """
         self._is_stopping = False
         self._inbox: Inbox[int] = Inbox()
         self._recorder = recorder
-        self._hurry = hurry
-        signal.signal(signal.SIGTERM, self._stop)
-        signal.signal(signal.SIGINT, self._stop)
-        signal.signal(signal.SIGHUP, self._keep)
+        self._stop_waiting = stop_waiting
+        signal.signal(signal.SIGTERM, self._on_stop_signal)
+        signal.signal(signal.SIGINT, self._on_stop_signal)
+        signal.signal(signal.SIGHUP, self._on_hangup)
 
     def wait(self, seconds: float) -> bool:
-        """Wait for the signal to stop.
+        """Wait for a signal to stop.
 
         Args:
-            seconds: at most.
+            seconds: longest wait, seconds.
 
         Returns:
-            Whether it has come.
+            Whether the signal has arrived.
         """
         if not self._is_stopping:
             number = self._inbox.take(timeout=seconds)
             if number == signal.SIGHUP:
-                self._note_kept()
+                self._record_settings_kept()
         return self._is_stopping
 
-    def _stop(self, number: int, frame: FrameType | None) -> None:
+    def _on_stop_signal(self, number: int, frame: FrameType | None) -> None:
         if self._is_stopping:
-            self._hurry()
+            self._stop_waiting()
         self._is_stopping = True
         self._inbox.put(number)
 
-    def _keep(self, number: int, frame: FrameType | None) -> None:
+    def _on_hangup(self, number: int, frame: FrameType | None) -> None:
         self._inbox.put(number)
 
-    def _note_kept(self) -> None:
+    def _record_settings_kept(self) -> None:
         self._recorder.record(
             EventKind.settings_kept,
-            detail='SIGHUP changes nothing: settings are read at the start',
+            detail='SIGHUP has no effect: settings are read only at the start',
         )
 
 
@@ -120,32 +120,32 @@
 def main(settings_file: str, *, check: bool) -> None:
     """Run one node of the mesh beside its backend server.
 
-    SIGTERM stops it in order: no new work, what is in flight is finished. A
-    second one ends the wait. SIGHUP changes nothing and is noted.
+    SIGTERM starts the planned stop: no new work is accepted and work in
+    flight is finished. A second SIGTERM ends the wait. SIGHUP has no effect
+    and is recorded.
 
     Args:
-        settings_file: path of the settings.
-        check: only check them.
+        settings_file: path of the settings file.
+        check: whether to check the settings and exit.
     """
     loaded = load_settings(settings_file)
     if isinstance(loaded, Err):
-        _complain(loaded.err_value)
+        _print_faults(loaded.err_value)
         sys.exit(EXIT_SETTINGS)
     if not check:
         end_process(run_daemon(loaded.ok_value))
 
 
 def end_process(code: int) -> None:
-    """End the process at once.
+    """End the process at once, without the interpreter's shutdown.
 
-    Failure guarded here: the planned stop is over, and the interpreter waits
-    for a thread that sits in a long poll, or takes its modules down while a
-    thread is still in a library's C code. It shows as a process that is
-    killed at the end of its time, or ends by a segmentation fault. By now
-    nothing is left that an orderly end would save.
+    After the planned stop the interpreter would wait for a thread in a long
+    poll, or unload its modules while a thread is still in a library's C code:
+    the process would be killed when its time is over, or end by a
+    segmentation fault. No state is left to save at this point.
 
     Args:
-        code: exit code.
+        code: exit code of the process.
     """
     sys.stdout.flush()
     sys.stderr.flush()
@@ -162,18 +162,20 @@
     """Run a node until a signal stops it.
 
     Args:
-        settings: checked.
-        make_sockets: makes the sockets to other nodes; the soak gives ones
-            that lose messages.
-        tuning: the figures of distribution, if not the settings' own.
-        integration: how the platform is met.
+        settings: checked settings.
+        make_sockets: factory of the sockets to other nodes; the soak test
+            passes one whose sockets lose messages.
+        tuning: parameters of the distribution; those named in the settings
+            if left out.
+        integration: adapter for the platform.
 
     Returns:
-        Exit code: 0 after a stop that cut nothing.
+        Exit code: 0 after a stop that cut no work.
     """
-    # A crash in a library's C code leaves no other trace.
+    # Prints a traceback on a crash in a library's C code, which leaves none
+    # otherwise.
     faulthandler.enable()
-    sys.setswitchinterval(SWITCH_SECONDS)
+    sys.setswitchinterval(THREAD_SWITCH_SECONDS)
     log = open_log(level=settings.log.level)
     recorder = EventRecorder(
         settings.instance,
@@ -182,7 +184,7 @@
     )
     keys = read_pairs(settings.keys.secret_files)
     if isinstance(keys, Err):
-        _complain(keys.err_value)
+        _print_faults(keys.err_value)
         return EXIT_SETTINGS
     sockets = make_sockets(keys.ok_value)
     node = Node(
@@ -192,23 +194,23 @@
         tuning=tuning,
         integration=integration,
     )
-    signals = Signals(recorder, hurry=node.stop.hurry)
+    signals = Signals(recorder, stop_waiting=node.stop.stop_waiting)
     started = node.start()
     if isinstance(started, Err):
-        _complain((started.err_value,))
+        _print_faults((started.err_value,))
         return EXIT_START
-    # Threads start only now that everything is imported.
+    # The log's thread starts only after all modules are imported.
     log.start()
-    # What was built so far lives as long as the process: leave it out of
-    # every collection, whose pauses would go into the tail of calls.
+    # All objects so far live as long as the process. Freezing them takes them
+    # out of garbage collections, whose pauses would increase tail latency.
     gc.collect()
     gc.freeze()
     with closing(log):
-        return _wait(node, signals)
+        return _run_until_stopped(node, signals)
 
 
-def _wait(node: Node, signals: Signals) -> int:
-    while not signals.wait(LOOK_SECONDS):
+def _run_until_stopped(node: Node, signals: Signals) -> int:
+    while not signals.wait(POLL_SECONDS):
         if node.drain_requested.is_set():
             break
         failure = node.find_failure()
@@ -220,10 +222,10 @@
             )
             node.shut_down()
             return EXIT_DEFECT
-    return 0 if node.shut_down() else EXIT_CUT
+    return 0 if node.shut_down() else EXIT_WORK_CUT
 
 
-def _complain(faults: Faults) -> None:
+def _print_faults(faults: Faults) -> None:
     for fault in faults:
         click.echo(str(fault), err=True)
 
--- a/wagtaildale/integration.py
+++ b/wagtaildale/integration.py
@@ -1,7 +1,7 @@
-"""What differs from one platform to another, gathered for ``assembly``.
+"""The adapter interface for platforms.
 
-The product's own platform is the default; another brings its header fields
-and its way of reading documents.
+An integration gathers what differs between platforms: the header names and
+the way documents are read. The product's own platform is the default.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 class Integration(Struct, frozen=True, kw_only=True):
-    """How a node meets its platform.
+    """Adapter of a node for its platform.
 
     Attributes:
-        dialect: how callers and backend servers are spoken to.
-        make_feeds: makes the feeds of the documents, with connections of
-            their own.
-        has_parts: whether single parts are read by content hash.
+        dialect: header names used with callers and backend servers.
+        make_feeds: factory of the feeds of the documents, which use separate
+            connections.
+        has_parts: whether the platform serves single parts by content hash.
     """
 
     dialect: Dialect
@@ -37,10 +37,10 @@
 
 
 def make_own_feeds(settings: Settings) -> tuple[Feed, ...]:
-    """Make the feeds of the product's own platform.
+    """Create the feeds of the product's own platform.
 
     Args:
-        settings: where the platform is.
+        settings: settings with the address of the platform.
 
     Returns:
         One feed for each document.
@@ -55,14 +55,14 @@
     settings: Settings,
     integration: Integration,
 ) -> Platform | None:
-    """Make the reader of single parts.
+    """Create the reader of single parts.
 
     Args:
-        settings: where the platform is.
-        integration: whether it has single parts.
+        settings: settings with the address of the platform.
+        integration: adapter for the platform.
 
     Returns:
-        The reader, or nothing where documents come whole.
+        The reader, or None if the platform serves only whole documents.
     """
     return HttpPlatform(settings.platform) if integration.has_parts else None
 
--- a/wagtaildale/invariants.py
+++ b/wagtaildale/invariants.py
@@ -1,8 +1,8 @@
-"""What must always hold, asserted inside the running program.
+"""Invariants that are checked in the running program.
 
-The checks are cheap and always on. A broken one is a defect of this
-program: it is recorded with its own event, counted, and the step that broke
-it is not taken.
+The checks are cheap and always enabled. A violation is a defect of this
+program: it is recorded as an event and counted, and the step that would
+violate the invariant is skipped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @final
 class Invariant(Enum):
-    """Which one."""
+    """The invariants; the values are written to events."""
 
     version_rises = 'no node returns to an older version'
     route_has_resource = 'no route without its resource'
@@ -31,7 +31,7 @@
 
 
 class Invariants:
-    """Checks conditions and records what does not hold.
+    """Checks invariants and records violations.
 
     Example:
         >>> from wagtaildale.testing.builders import build_recorder
@@ -41,10 +41,10 @@
     """
 
     def __init__(self, recorder: EventRecorder) -> None:
-        """Begin with none broken.
+        """Create a checker without violations.
 
         Args:
-            recorder: gets an event for each break.
+            recorder: recorder of an event for each violation.
         """
         self.broken = 0
         self._recorder = recorder
@@ -56,15 +56,15 @@
         holds: bool,
         detail: str = '',
     ) -> bool:
-        """Check one condition.
+        """Check one invariant.
 
         Args:
-            invariant: which one.
-            holds: the condition.
-            detail: what is known of the case.
+            invariant: invariant to check.
+            holds: whether it holds.
+            detail: details of the case, for the event.
 
         Returns:
-            The condition, so that the caller leaves the step undone.
+            Whether the invariant holds; if not, the caller skips the step.
         """
         if not holds:
             self.broken += 1
--- a/wagtaildale/lifecycle/__init__.py
+++ b/wagtaildale/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start, readiness and the planned stop."""
+"""The planned stop of a node."""
--- a/wagtaildale/lifecycle/stop.py
+++ b/wagtaildale/lifecycle/stop.py
@@ -1,4 +1,4 @@
-"""Start, readiness and the planned stop of a node."""
+"""The planned stop of a node."""
 
 from __future__ import annotations
 
@@ -16,40 +16,43 @@
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.timers.inbox import Inbox
 
-LOOK_SECONDS: Final = 0.05
-# How long entries may take to close their connections once nothing is under
-# way. They were told when the gate closed, and need a round trip; a lost
-# packet is sent again after 200 ms. One that is cut off, or of a build that
-# is not told, costs the stop no more than this.
-NODES_SECONDS: Final = 0.5
-# Of the time between the drain and the bound: how long the callers' port
-# stays open for runs at most. What comes at its end has the rest for its
-# answer.
-PORT_SHARE: Final = 0.5
+POLL_SECONDS: Final = 0.05
+# Longest time for entries to close their connections once no call is in
+# flight. They get the notice when admission ends and need a round trip; a lost
+# packet is sent again after 200 ms. An entry that is cut off, or of a build
+# without this notice, delays the stop by no more than this.
+ENTRY_CLOSE_SECONDS: Final = 0.5
+# Share of the time between the drain and the bound for which the callers' port
+# stays open at most while requests run here. A request that arrives at the end
+# of this share has the rest of the time for its answer.
+OPEN_PORT_SHARE: Final = 0.5
 
 
 class Stop:
-    """The planned stop: nothing in flight is cut.
-
-    First callers are served on, but told to go elsewhere: answers ask them
-    to close, and whoever asks hears that the node is not ready. After the
-    time for that, other nodes are told, the gate admits nothing more, and
-    the callers' port takes no new connection once the requests that the
-    backend server here still runs are over. Entries are told to send
-    nothing more and close their connections when their calls are over. When
-    nothing is under way and they have closed, the rest closes.
-
-    Failures guarded here: a caller sends on a connection that was idle just
-    when it is closed, and its request is lost; idle connections are given
-    time in which their next answer tells them to go
-    elsewhere. Callers that do not know of the stop keep connecting, so that
-    it never ends; a port that is closed refuses them before they send. In
-    a rolling restart the servers of stopping nodes stand idle while the
-    callers move; they take work until the callers have moved. A run
-    message is on the wire when the owner closes, and nobody knows that it
-    never ran; entries close first, and until then it is refused as not run.
-    A request that runs here makes a call of its own, finds the callers' port
-    closed and fails; the port stays open for it.
+    """The planned stop, which waits for all work in flight.
+
+    At first callers are still served, but asked to leave: responses ask them
+    to close their connections, and the readiness check fails. After
+    ``announce_seconds`` the other nodes are informed and no new calls are
+    admitted. The callers' port is closed once the local backend server has
+    finished its requests. Entries are asked to send no further calls and to
+    close their connections after their last call. The rest is closed when
+    nothing is in flight and the entries have closed.
+
+    The order prevents these failures:
+
+    - A caller sends a request on an idle connection just when it is closed,
+      and the request is lost. Idle connections stay open for
+      ``linger_seconds``, so that their next response asks them to close.
+    - Callers that do not know of the stop keep connecting, and the stop never
+      ends. A closed port refuses them before they send.
+    - In a rolling restart the servers of stopping nodes are idle while the
+      callers move. The servers accept work until the callers have moved.
+    - A run message is on the wire when the owner closes, and the entry cannot
+      know that it never ran. Entries close first; until then such a message
+      is refused as not run.
+    - A request that runs here makes a call of its own and fails because the
+      callers' port is closed. The port stays open for such requests.
     """
 
     def __init__(
@@ -61,87 +64,92 @@
         announce_seconds: float = ANNOUNCE_SECONDS,
         linger_seconds: float = LINGER_SECONDS,
     ) -> None:
-        """Prepare.
+        """Create a stop; ``begin`` starts it.
 
         Args:
-            calls: carries callers' requests and other nodes' calls.
-            inbox: of the distribution task.
-            recorder: gets events.
-            announce_seconds: how long callers are served on.
-            linger_seconds: how long idle callers are waited for.
+            calls: task that carries callers' requests and other nodes' calls.
+            inbox: inbox of the distribution task.
+            recorder: recorder of events.
+            announce_seconds: time for which callers are still served, seconds.
+            linger_seconds: time for which idle connections of callers stay
+                open, seconds.
         """
         self._announce_seconds = announce_seconds
         self._linger_seconds = linger_seconds
         self._calls = calls
         self._inbox = inbox
         self._recorder = recorder
-        self._has_left = False
-        self._quiet_since: float | None = None
-        self._hurried = False
+        self._is_draining = False
+        self._idle_since: float | None = None
+        self._is_wait_ended = False
 
-    def hurry(self) -> None:
-        """End the wait for work in flight (a second signal)."""
-        self._hurried = True
+    def stop_waiting(self) -> None:
+        """End the wait for work in flight, on a second signal."""
+        self._is_wait_ended = True
 
     def begin(self) -> None:
-        """Tell callers to go elsewhere."""
-        self._recorder.record(EventKind.node_leaving, detail='callers first')
+        """Start the stop: ask callers to use other nodes."""
+        self._recorder.record(
+            EventKind.node_leaving,
+            detail='callers are asked to use other nodes',
+        )
         self._calls.announce()
 
     def wait(self, *, seconds: float) -> bool:
         """Wait until nothing is in flight.
 
         Args:
-            seconds: at most.
+            seconds: longest wait, seconds.
 
         Returns:
-            Whether all work was done in time.
+            Whether all work was finished in time.
         """
-        is_done = self._work_off(seconds)
+        is_done = self._wait_until_done(seconds)
         left = 0 if is_done else self.count_in_flight()
         self._calls.finish_nodes()
         if left:
             self._recorder.record(
                 EventKind.node_leaving,
                 code=Code.drain_bound_passed,
-                detail=f'{left} requests cut',
+                detail=f'{left} requests were still in flight and are cut',
             )
         return not left
 
     def count_in_flight(self) -> int:
-        """Count the requests under way.
+        """Count the requests in flight.
 
         Returns:
-            Of callers, of other nodes, and at the backend server.
+            Number of requests of callers, of other nodes, and at the backend
+            server.
         """
         return self._calls.busy
 
-    def _work_off(self, seconds: float) -> bool:
+    def _wait_until_done(self, seconds: float) -> bool:
         left = max(0, seconds - self._announce_seconds)
-        port_seconds = self._announce_seconds + PORT_SHARE * left
-        began = read_clock()
-        while read_clock() < began + seconds and not self._hurried:
-            elapsed = read_clock() - began
+        port_seconds = self._announce_seconds + OPEN_PORT_SHARE * left
+        started_at = read_clock()
+        while read_clock() < started_at + seconds and not self._is_wait_ended:
+            elapsed = read_clock() - started_at
             if elapsed >= self._announce_seconds:
-                self._leave()
+                self._start_drain()
                 self._close_port(is_late=elapsed >= port_seconds)
             if elapsed > self._linger_seconds:
                 self._calls.close_idle()
             if self._is_done(elapsed):
                 return True
-            time.sleep(LOOK_SECONDS)
+            time.sleep(POLL_SECONDS)
         return False
 
-    def _leave(self) -> None:
-        if self._has_left:
+    def _start_drain(self) -> None:
+        if self._is_draining:
             return
-        self._has_left = True
+        self._is_draining = True
         self._inbox.put(Leave())
         self._calls.drain()
 
     def _close_port(self, *, is_late: bool) -> None:
-        # The gate admits no more, so that the runs come to an end, however
-        # many callers keep coming.
+        # Nothing new is admitted, so the runs end however many callers keep
+        # connecting.
         if is_late or not self._calls.has_runs:
             self._calls.close_callers_port()
 
@@ -154,12 +162,13 @@
 
     def _have_entries_closed(self) -> bool:
         now = read_clock()
-        if self._quiet_since is None:
-            self._quiet_since = now
+        if self._idle_since is None:
+            self._idle_since = now
             self._calls.close_nodes_port()
         if self._calls.nodes.is_closed:
             return True
-        if now > self._quiet_since + NODES_SECONDS:
-            # They read the end and close; the next look finds none.
+        if now > self._idle_since + ENTRY_CLOSE_SECONDS:
+            # The entries read the end of the stream and close; the next poll
+            # finds no connection.
             self._calls.finish_nodes()
         return False
--- a/wagtaildale/lifecycle/tests/test_owner_stop.py
+++ b/wagtaildale/lifecycle/tests/test_owner_stop.py
@@ -1,4 +1,4 @@
-"""Tests of a planned stop as other nodes see it."""
+"""Tests of an owner's planned stop, from the side of its entries."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 deadline_ms = 5000
 """
 READ_BYTES = 4096
-# Far more than a stop takes that waits for nothing.
-LONG = 1e9
+# Far longer than a stop takes with no work in flight.
+LONG_SECONDS = 1e9
 RELAY_HOST = '127.0.9.4'
 
 
-class LeavingOwner:
-    """A planned stop of the owner node of a pair; callers are long gone."""
+class StoppingOwner:
+    """A planned stop of the owner node of a pair, without callers."""
 
     def __init__(self) -> None:
         self.pair = Pair()
@@ -57,40 +57,41 @@
         )
 
     def end_process(self) -> None:
-        """Stop as the daemon does, and end."""
+        """Run the whole stop as the daemon does, and close the node."""
         self.stop.begin()
         self.stop.wait(seconds=2 * PATIENCE)
         self.pair.far.close()
 
 
 @pytest.fixture
-def leaving() -> Iterator[LeavingOwner]:
-    made = LeavingOwner()
-    yield made
-    made.pair.close()
+def stopping_owner() -> Iterator[StoppingOwner]:
+    prepared = StoppingOwner()
+    yield prepared
+    prepared.pair.close()
 
 
 @pytest.fixture
 def patient_stop(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a stop wait for entries longer than any pause of a busy machine."""
+    """Make a stop wait for entries longer than any pause of a busy machine."""
     monkeypatch.setattr(
-        'wagtaildale.lifecycle.stop.NODES_SECONDS',
+        'wagtaildale.lifecycle.stop.ENTRY_CLOSE_SECONDS',
         PATIENCE,
         raising=False,
     )
 
 
 @pytest.mark.usefixtures('patient_stop')
-def test_run_on_the_wire_is_not_lost_with_the_owner(
-    leaving: LeavingOwner,
+def test_run_message_on_the_wire_is_not_lost_when_the_owner_stops(
+    stopping_owner: StoppingOwner,
 ) -> None:
-    """A lookup fails, or costs a repeat, because another node is replaced.
+    """A lookup fails, or is retried, because another node is replaced.
 
-    It is on its way to an owner that has nothing under way and ends. The
-    connection closes before the lookup is read, and its entry cannot know
-    that nothing ran. The owner has to stay until its entries have closed.
+    Its run message is on the wire to an owner that has no work in flight and
+    ends. The connection closes before the message is read, and the entry
+    cannot know that nothing ran. The owner must wait until its entries have
+    closed.
     """
-    pair = leaving.pair
+    pair = stopping_owner.pair
     owner = (pair.far.record.host, pair.far.record.owner_port)
     relayed = structs.replace(pair.far.record, host=RELAY_HOST)
     relay = Relay((relayed.host, relayed.owner_port), owner=owner)
@@ -101,62 +102,63 @@
         pair.ask('GET', '/files/1')
         returned = relay.returned
         relay.hold()
-        asked = executor.submit(pair.ask, 'GET', '/files/2')
+        pending = executor.submit(pair.ask, 'GET', '/files/2')
         wait_until(lambda: relay.held > 0)
         pair.near.show(relayed, other)
-        ended = executor.submit(leaving.end_process)
-        wait_until(lambda: ended.done() or relay.returned > returned)
+        stopped = executor.submit(stopping_owner.end_process)
+        wait_until(lambda: stopped.done() or relay.returned > returned)
         relay.release()
-        response, text = asked.result(PATIENCE)
-        ended.result(2 * PATIENCE)
+        response, body = pending.result(PATIENCE)
+        stopped.result(2 * PATIENCE)
     relay.close()
     assert response.status == 200
-    assert json.decode(text)['by'] == 'c'
+    assert json.decode(body)['by'] == 'c'
     tally = pair.near.tallies.sum_up()['casefiles/lookup']
     assert tally.retried == 0
     assert pair.backend.counts.runs == 1
 
 
 def test_entries_have_closed_when_the_owner_ends(
-    leaving: LeavingOwner,
+    stopping_owner: StoppingOwner,
 ) -> None:
-    """A stop is over, and entries still send on their open connections."""
-    leaving.pair.ask('GET', '/files/1')
-    assert leaving.pair.far.calls.nodes.open == 1
-    leaving.stop.begin()
-    assert leaving.stop.wait(seconds=PATIENCE)
-    assert not leaving.pair.far.calls.nodes.open
+    """A stop is over while entries still send on open connections."""
+    stopping_owner.pair.ask('GET', '/files/1')
+    assert stopping_owner.pair.far.calls.nodes.open == 1
+    stopping_owner.stop.begin()
+    assert stopping_owner.stop.wait(seconds=PATIENCE)
+    assert not stopping_owner.pair.far.calls.nodes.open
 
 
 def test_peer_that_never_closes_does_not_hold_the_stop(
-    leaving: LeavingOwner,
+    stopping_owner: StoppingOwner,
 ) -> None:
-    """An entry is cut off, and the stop of an owner waits for it.
+    """The stop of an owner waits for an entry that is cut off.
 
-    It is given a moment to close; then the owner does, and the bytes that
-    the entry still sends bring it the end of the line and no reset.
+    The entry has a short time to close its connection, then the owner closes
+    it. Bytes that the entry still sends are answered with the end of the
+    stream and not with a reset.
     """
-    record = leaving.pair.far.record
+    record = stopping_owner.pair.far.record
     address = (record.host, record.owner_port)
     with socket.create_connection(address, PATIENCE) as sock:
         sock.sendall(PLAIN + encode_frame(Ping()))
         assert sock.recv(READ_BYTES) == encode_frame(Pong())
-        leaving.stop.begin()
-        assert leaving.stop.wait(seconds=LONG)
+        stopping_owner.stop.begin()
+        assert stopping_owner.stop.wait(seconds=LONG_SECONDS)
         sock.sendall(encode_frame(Ping()))
         assert not sock.recv(1)
 
 
-def test_run_that_still_makes_calls_finds_the_port_open(
-    leaving: LeavingOwner,
+def test_port_stays_open_for_calls_of_running_requests(
+    stopping_owner: StoppingOwner,
 ) -> None:
     """A report fails with a 500 because the node beside its server stops.
 
-    It was taken before the stop, and half-way through its server makes a
-    call of its own, on a new connection to the node: refused. The port
-    stays open while such runs are under way, and closes then.
+    The request was accepted before the stop. Its server then makes a call of
+    its own on a new connection to the node, which is refused unless the port
+    stays open while such requests run.
     """
-    pair = leaving.pair
+    pair = stopping_owner.pair
     near = pair.near.record
     backend = HostedBackend('a', host=near.host, port=BACKEND_PORT)
     pair.near.publish(CHAIN_MESH)
@@ -164,25 +166,28 @@
     pair.far.show(near)
     pair.backend.faults.service_ms = 300
     with backend, ThreadPoolExecutor(1) as executor:
-        asked = executor.submit(pair.ask, 'GET', '/chain/1')
+        pending = executor.submit(pair.ask, 'GET', '/chain/1')
         wait_until(lambda: pair.backend.counts.runs == 1)
-        leaving.stop.begin()
-        assert leaving.stop.wait(seconds=2 * PATIENCE)
-        response, text = asked.result(PATIENCE)
+        stopping_owner.stop.begin()
+        assert stopping_owner.stop.wait(seconds=2 * PATIENCE)
+        response, body = pending.result(PATIENCE)
     assert response.status == 200
     assert backend.counts.runs == 1
-    assert json.decode(text)['by'] == 'b'
+    assert json.decode(body)['by'] == 'b'
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(pair.far.entry, PATIENCE)
 
 
-def test_port_is_not_held_open_until_the_bound(leaving: LeavingOwner) -> None:
-    """A planned stop reaches its bound and cuts callers who came late.
+def test_port_is_not_held_open_until_the_bound(
+    stopping_owner: StoppingOwner,
+) -> None:
+    """A planned stop reaches its bound and cuts late callers.
 
-    One long run kept the port open, and callers kept coming until the end.
+    One long run keeps the port open, and callers keep connecting until the
+    end.
     """
-    leaving.pair.far.hold_slot()
-    leaving.stop.begin()
-    assert not leaving.stop.wait(seconds=2)
+    stopping_owner.pair.far.hold_slot()
+    stopping_owner.stop.begin()
+    assert not stopping_owner.stop.wait(seconds=2)
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(leaving.pair.far.entry, PATIENCE)
+        socket.create_connection(stopping_owner.pair.far.entry, PATIENCE)
--- a/wagtaildale/lifecycle/tests/test_signals.py
+++ b/wagtaildale/lifecycle/tests/test_signals.py
@@ -18,34 +18,37 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-TAKEN = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 @pytest.fixture(autouse=True)
 def _handlers() -> Iterator[None]:
-    """Give the test's own handlers back."""
-    before = {number: signal.getsignal(number) for number in TAKEN}
+    """Restore the signal handlers after the test."""
+    before = {number: signal.getsignal(number) for number in HANDLED_SIGNALS}
     yield
-    for number, taker in before.items():
-        signal.signal(number, taker)
+    for number, signal_handler in before.items():
+        signal.signal(number, signal_handler)
 
 
 class InterruptedWait:
-    """A wait for the signal, which comes at a given step of the wait.
+    """A wait that is interrupted by a signal at a given step.
 
-    A handler runs in the main thread, in between two steps of whatever that
-    is at. Here a tracing function calls it there, in a thread of its own:
-    one that never ends is left behind.
+    Signal handlers run in the main thread, between two steps of its code.
+    Here a tracing function calls the handler at the given step, in a separate
+    thread, so that a deadlock blocks only that thread.
+
+    Attributes:
+        is_delivered: whether the wait has reached the step.
     """
 
     def __init__(self, signals: Signals, *, step: int) -> None:
-        self.has_come = False
+        self.is_delivered = False
         self._signals = signals
         self._step = step
         self._steps = count(1)
         self._thread = threading.Thread(target=self._wait, daemon=True)
 
-    def ends(self) -> bool:
+    def finishes(self) -> bool:
         self._thread.start()
         self._thread.join(PATIENCE)
         return not self._thread.is_alive()
@@ -58,42 +61,42 @@
     def _trace(self, frame: Any, event: str, argument: Any) -> Any:
         if event == 'line' and next(self._steps) == self._step:
             sys.settrace(None)
-            self.has_come = True
-            taker = signal.getsignal(signal.SIGTERM)
-            assert callable(taker)
-            taker(signal.SIGTERM, frame)
+            self.is_delivered = True
+            signal_handler = signal.getsignal(signal.SIGTERM)
+            assert callable(signal_handler)
+            signal_handler(signal.SIGTERM, frame)
         return self._trace
 
 
-def test_signal_at_any_step_of_the_wait_begins_the_stop() -> None:
-    """A process that is asked to stop works on, and is killed.
+def test_signal_at_any_step_of_the_wait_starts_the_stop() -> None:
+    """A process ignores the signal to stop until it is killed.
 
-    The signal comes while the main thread holds the lock of what it waits
-    for, as it does for a moment before and after each wait. The handler runs
-    in the same thread, asks for the same lock, and waits for ever.
+    The signal arrives while the main thread holds the lock of the object it
+    waits for, shortly before or after each wait. The handler runs in the same
+    thread, acquires the same lock and deadlocks.
     """
     for step in count(1):
-        signals = Signals(build_recorder(), hurry=lambda: None)
+        signals = Signals(build_recorder(), stop_waiting=lambda: None)
         wait = InterruptedWait(signals, step=step)
-        assert wait.ends(), f'the signal came at step {step}'
-        if not wait.has_come:
+        assert wait.finishes(), f'the signal came at step {step}'
+        if not wait.is_delivered:
             break
         assert signals.wait(0)
     assert step > 1
 
 
 def test_signal_that_changes_nothing_is_recorded_outside_its_handler() -> None:
-    """A process stands still for ever after its settings file has changed.
+    """A process deadlocks on SIGHUP after its settings file has changed.
 
-    The signal comes while the main thread records an event and holds the
-    lock of the recorder's clock. The handler, in the same thread, records
-    one itself and waits for that lock. Now it only leaves word.
+    The signal arrives while the main thread records an event and holds the
+    lock of the recorder's clock. A handler that records an event itself would
+    wait for that lock in the same thread, so the event is recorded later.
     """
     recorder = build_recorder()
-    signals = Signals(recorder, hurry=lambda: None)
-    taker = signal.getsignal(signal.SIGHUP)
-    assert callable(taker)
-    taker(signal.SIGHUP, None)
+    signals = Signals(recorder, stop_waiting=lambda: None)
+    signal_handler = signal.getsignal(signal.SIGHUP)
+    assert callable(signal_handler)
+    signal_handler(signal.SIGHUP, None)
     assert not recorder.read_since(0)
     assert not signals.wait(0)
     kinds = [event.kind for event in recorder.read_since(0)]
--- a/wagtaildale/lifecycle/tests/test_stop.py
+++ b/wagtaildale/lifecycle/tests/test_stop.py
@@ -20,7 +20,7 @@
     from collections.abc import Iterator
 
 
-class Stopping:
+class StoppingEntry:
     """A planned stop of the entry node of a pair."""
 
     def __init__(self) -> None:
@@ -35,161 +35,167 @@
 
 
 @pytest.fixture
-def stopping() -> Iterator[Stopping]:
-    """A stop whose nodes end with the test, whatever becomes of it.
+def stopping_entry() -> Iterator[StoppingEntry]:
+    """A stop whose nodes are closed with the test, even if it fails.
 
-    Failure guarded here: a test fails half-way, its nodes' threads live on,
-    and the whole test run never ends.
+    Otherwise the threads of its nodes continue after a failed test, and the
+    whole test run never ends.
     """
-    made = Stopping()
-    yield made
-    made.pair.close()
+    prepared = StoppingEntry()
+    yield prepared
+    prepared.pair.close()
 
 
-def test_work_in_flight_is_finished(stopping: Stopping) -> None:
-    """A photo set breaks off because its node is being replaced."""
-    stopping.pair.backend.faults.service_ms = 300
+def test_work_in_flight_is_finished(stopping_entry: StoppingEntry) -> None:
+    """A response breaks off because its node is being replaced."""
+    stopping_entry.pair.backend.faults.service_ms = 300
     answers: list[int] = []
-    worker = threading.Thread(
+    call_thread = threading.Thread(
         target=lambda: answers.append(
-            stopping.pair.ask('GET', '/files/1')[0].status,
+            stopping_entry.pair.ask('GET', '/files/1')[0].status,
         ),
     )
-    worker.start()
-    wait_until(lambda: stopping.pair.backend.counts.runs == 1)
-    stopping.stop.begin()
-    assert stopping.stop.wait(seconds=PATIENCE)
-    worker.join()
+    call_thread.start()
+    wait_until(lambda: stopping_entry.pair.backend.counts.runs == 1)
+    stopping_entry.stop.begin()
+    assert stopping_entry.stop.wait(seconds=PATIENCE)
+    call_thread.join()
     assert answers == [200]
-    assert isinstance(stopping.inbox.take_all()[0], Leave)
+    assert isinstance(stopping_entry.inbox.take_all()[0], Leave)
 
 
-def test_idle_caller_is_told_to_go_before_the_port_closes(
-    stopping: Stopping,
+def test_idle_caller_gets_close_before_the_port_closes(
+    stopping_entry: StoppingEntry,
 ) -> None:
-    """A booking is lost between two nodes of a rolling restart.
+    """A request is lost in a rolling restart.
 
-    Its caller had an idle connection and sent just when the port closed.
-    While it is open the stop waits, and the next answer says close.
+    Its caller has an idle connection and sends just when the node closes it.
+    The stop keeps idle connections for a while, and the next response asks
+    the caller to close.
     """
-    connection = HTTPConnection(*stopping.pair.near.entry, timeout=PATIENCE)
+    connection = HTTPConnection(
+        *stopping_entry.pair.near.entry, timeout=PATIENCE
+    )
     connection.request('GET', '/files/1')
     connection.getresponse().read()
-    stopping.stop.begin()
+    stopping_entry.stop.begin()
     done: list[bool] = []
-    waiter = threading.Thread(
-        target=lambda: done.append(stopping.stop.wait(seconds=PATIENCE)),
+    stop_wait = threading.Thread(
+        target=lambda: done.append(stopping_entry.stop.wait(seconds=PATIENCE)),
     )
-    waiter.start()
+    stop_wait.start()
     connection.request('GET', '/files/2')
     response = connection.getresponse()
     assert response.status == 200
     assert response.headers['connection'] == 'close'
     response.read()
     connection.close()
-    waiter.join()
+    stop_wait.join()
     assert done == [True]
 
 
-def test_bound_and_hurry_end_the_wait(stopping: Stopping) -> None:
-    stopping.pair.backend.faults.hang = True
-    worker = threading.Thread(
-        target=stopping.pair.ask,
+def test_bound_and_second_signal_end_the_wait(
+    stopping_entry: StoppingEntry,
+) -> None:
+    stopping_entry.pair.backend.faults.hang = True
+    call_thread = threading.Thread(
+        target=stopping_entry.pair.ask,
         args=('GET', '/files/1'),
     )
-    worker.start()
-    wait_until(lambda: stopping.pair.backend.counts.runs == 1)
-    stopping.stop.begin()
-    assert not stopping.stop.wait(seconds=0.05)
-    stopping.stop.hurry()
-    assert not stopping.stop.wait(seconds=1e9)
-    worker.join()
+    call_thread.start()
+    wait_until(lambda: stopping_entry.pair.backend.counts.runs == 1)
+    stopping_entry.stop.begin()
+    assert not stopping_entry.stop.wait(seconds=0.05)
+    stopping_entry.stop.stop_waiting()
+    assert not stopping_entry.stop.wait(seconds=1e9)
+    call_thread.join()
 
 
 def test_callers_that_keep_coming_do_not_hold_up_the_stop(
-    stopping: Stopping,
+    stopping_entry: StoppingEntry,
 ) -> None:
-    """A planned stop goes on until its bound and then cuts work.
+    """A planned stop continues until its bound and then cuts work.
 
-    Callers that have not heard of it connect anew all the time, so there is
-    never a quiet second; the port closes and they go elsewhere unsent.
+    Callers that do not know of it keep connecting, so that some call is
+    always in flight. Once the port is closed they are refused before they
+    send.
     """
     ended = threading.Event()
-    lost: list[Exception] = []
+    failures: list[Exception] = []
 
-    def call_again_and_again() -> None:
+    def call_repeatedly() -> None:
         while not ended.is_set():
             try:
-                stopping.pair.ask('GET', '/files/1')
+                stopping_entry.pair.ask('GET', '/files/1')
             except ConnectionRefusedError:
                 time.sleep(0.01)
             except OSError as error:
-                lost.append(error)
+                failures.append(error)
 
-    callers = [
-        threading.Thread(target=call_again_and_again) for _caller in range(4)
-    ]
+    callers = [threading.Thread(target=call_repeatedly) for _caller in range(4)]
     for caller in callers:
         caller.start()
-    stopping.stop.begin()
-    assert stopping.stop.wait(seconds=3 * PATIENCE)
+    stopping_entry.stop.begin()
+    assert stopping_entry.stop.wait(seconds=3 * PATIENCE)
     ended.set()
     for caller in callers:
         caller.join()
-    assert not lost
+    assert not failures
 
 
-def test_caller_that_always_has_more_under_way_lets_the_node_stop(
-    stopping: Stopping,
+def test_pipelining_caller_does_not_hold_up_the_stop(
+    stopping_entry: StoppingEntry,
 ) -> None:
-    """A planned stop takes until its bound, and then cuts a history read.
+    """A planned stop takes until its bound and then cuts a request.
 
-    A caller sends each request before the one before it is answered, so
-    that no answer is ever the connection's last, and none says close. Once
-    the node stops, what comes behind others is left unread.
+    A caller pipelines: it sends each request before the previous one is
+    answered, so that no response is the connection's last one and none asks
+    to close. Once the node stops, further pipelined requests are not read.
     """
-    stopping.pair.backend.faults.service_ms = 100
+    stopping_entry.pair.backend.faults.service_ms = 100
     request = b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
     answers = b''
-    with socket.create_connection(stopping.pair.near.entry, PATIENCE) as sock:
+    with socket.create_connection(
+        stopping_entry.pair.near.entry, PATIENCE
+    ) as sock:
         sock.sendall(request)
-        wait_until(lambda: stopping.pair.backend.counts.runs == 1)
-        # Half-way through the first: from here on each answer finds the
-        # next request under way.
+        wait_until(lambda: stopping_entry.pair.backend.counts.runs == 1)
+        # Half-way through the first request: from here on the next request
+        # is in flight at each response.
         time.sleep(0.05)
         sock.sendall(request)
-        stopping.stop.begin()
-        waiter = ThreadPoolExecutor(1).submit(
-            stopping.stop.wait,
+        stopping_entry.stop.begin()
+        stop_wait = ThreadPoolExecutor(1).submit(
+            stopping_entry.stop.wait,
             seconds=PATIENCE,
         )
         piece = b'begun'
-        while piece and not waiter.done():
+        while piece and not stop_wait.done():
             sock.sendall(request)
             piece = sock.recv(65536)
             answers += piece
-        assert waiter.result(PATIENCE)
+        assert stop_wait.result(PATIENCE)
     assert answers.count(b'HTTP/1.1 200') == answers.count(b'"by"')
-    assert stopping.pair.backend.counts.cancelled == 0
+    assert stopping_entry.pair.backend.counts.cancelled == 0
 
 
-def test_stop_ends_though_the_task_that_carries_calls_has_ended(
-    stopping: Stopping,
+def test_stop_ends_after_the_calls_task_has_failed(
+    stopping_entry: StoppingEntry,
 ) -> None:
-    """A node answers nobody, and its process stays for ever.
+    """A node answers no requests, and its process never ends.
 
-    The task that carries calls has failed. The process finds that, stops in
-    order, and asks the task to tell callers; the answer never comes, and the
-    platform starts no other process since this one has not ended.
+    The task that carries calls has failed. The process detects this, starts
+    the planned stop and waits for the task to notify callers, which never
+    happens. The platform starts no new process while this one exists.
     """
-    near = stopping.pair.near
+    near = stopping_entry.pair.near
     near.calls.stop()
     wait_until(lambda: is_refused(near.entry))
-    stopper = threading.Thread(target=stopping.stop.begin, daemon=True)
+    stopper = threading.Thread(target=stopping_entry.stop.begin, daemon=True)
     stopper.start()
     stopper.join(PATIENCE)
     assert not stopper.is_alive()
-    assert stopping.stop.wait(seconds=PATIENCE)
+    assert stopping_entry.stop.wait(seconds=PATIENCE)
 
 
 def is_refused(address: tuple[str, int]) -> bool:
@@ -198,6 +204,6 @@
     except ConnectionRefusedError:
         return True
     except ConnectionResetError:
-        # It met the port in the moment that it closed.
+        # The port was closed during the connection attempt.
         return False
     return False
--- a/wagtaildale/node.py
+++ b/wagtaildale/node.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a node together."""
+"""A node: its tasks, ports and planned stop, put together."""
 
 from __future__ import annotations
 
@@ -38,25 +38,33 @@
 
 JITTER: Final = 0.2
 # Distribution, timers, calls, the administration API, one fetch task and at
-# most one watch for each document.
-TASKS_MOST: Final = 8
-# How long tasks may take to close what they own. Those that wait for the
+# most one watch task for each document.
+MAX_TASKS: Final = 8
+# Longest time for tasks to close their resources. Tasks that wait for the
 # platform have nothing to close and are not waited for.
 CLOSE_SECONDS: Final = 0.25
 
 
 class Task(Protocol):
-    """What runs for as long as the node does."""
+    """A task that runs as long as the node."""
 
     def run(self) -> None:
-        """Work until stopped."""
+        """Run until stopped."""
 
     def stop(self) -> None:
         """End ``run``."""
 
 
 class Node:
-    """One node: its tasks, its ports, its planned stop."""
+    """One node of the mesh.
+
+    Attributes:
+        parts: objects that several tasks share.
+        distribution: task that distributes documents.
+        calls: task that carries calls.
+        stop: the planned stop.
+        drain_requested: set when the administration API requests a stop.
+    """
 
     def __init__(
         self,
@@ -67,14 +75,15 @@
         tuning: Tuning | None = None,
         integration: Integration = OWN_INTEGRATION,
     ) -> None:
-        """Build every part; ``start`` opens the ports.
+        """Create all tasks; ``start`` opens the ports.
 
         Args:
-            settings: checked.
-            recorder: gets events.
-            sockets: to other nodes, with the fleet's keys.
-            tuning: the figures of distribution, if not the settings' own.
-            integration: how the platform is met.
+            settings: checked settings.
+            recorder: recorder of events.
+            sockets: sockets to other nodes, with the fleet's keys.
+            tuning: parameters of the distribution; those named in the
+                settings if left out.
+            integration: adapter for the platform.
         """
         self.parts = make_parts(
             settings,
@@ -83,7 +92,7 @@
             integration=integration,
         )
         self._executor = ThreadPoolExecutor(
-            max_workers=TASKS_MOST,
+            max_workers=MAX_TASKS,
             thread_name_prefix='wagtaildale',
         )
         self._sockets = sockets
@@ -104,40 +113,42 @@
         self._futures: list[Future[None]] = []
 
     def start(self) -> Result[None, Fault]:
-        """Open the ports and begin every task.
+        """Open the ports and start all tasks.
 
         Returns:
-            Nothing, or why a port cannot be opened.
+            None, or why a port cannot be opened.
         """
-        return self._open_ports().map(lambda _none: self._begin())
+        return self._open_ports().map(lambda _none: self._start_tasks())
 
     def find_failure(self) -> BaseException | None:
-        """Tell whether a task has ended that should run on.
+        """Find a task that has ended although the node still runs.
 
         Returns:
-            Its error, or nothing.
+            The task's error, or None if all tasks run.
         """
         for future in self._futures:
             if future.done():
-                return future.exception() or RuntimeError('a task ended')
+                return future.exception() or RuntimeError(
+                    'a task ended without an error'
+                )
         return None
 
     def shut_down(self) -> bool:
-        """Stop in order, cutting nothing in flight.
+        """Run the planned stop and end all tasks.
 
         Returns:
-            Whether all work was done in time.
+            Whether all work in flight was finished in time.
         """
         self.stop.begin()
         done = self.stop.wait(seconds=self.parts.settings.limits.drain_seconds)
         self.parts.recorder.record(EventKind.node_stopped)
-        for part in self._list_tasks():
-            part.stop()
+        for task in self._list_tasks():
+            task.stop()
         self._executor.shutdown(wait=False, cancel_futures=True)
         wait(self._futures, timeout=CLOSE_SECONDS)
         return done
 
-    def _begin(self) -> None:
+    def _start_tasks(self) -> None:
         self._subscribe()
         self._futures = [
             self._executor.submit(task.run) for task in self._list_tasks()
@@ -155,12 +166,16 @@
 
     def _list_tasks(self) -> tuple[Task, ...]:
         readers: tuple[Task, ...] = (self._fetch, *self._watches)
-        rest: tuple[Task, ...] = (self._timers, self.distribution, self._admin)
-        return (self.calls, *readers, *rest)
+        others: tuple[Task, ...] = (
+            self._timers,
+            self.distribution,
+            self._admin,
+        )
+        return (self.calls, *readers, *others)
 
     def _open_ports(self) -> Result[None, Fault]:
-        # The control port comes last: with it the library between nodes
-        # starts its threads, and what the others still import is imported.
+        # The control port is opened last: ZeroMQ then starts its threads, and
+        # all modules that the other ports need are already imported.
         return (
             self.calls.bind()
             .and_then(lambda _none: self._admin.bind())
--- a/wagtaildale/platform/tests/test_settings.py
+++ b/wagtaildale/platform/tests/test_settings.py
@@ -68,7 +68,7 @@
     After the bound follow the last poll of the stop, the end of the tasks and
     the end of the log, each within a bounded time.
     """
-    longest = stop.LOOK_SECONDS + node.CLOSE_SECONDS + log.CLOSE_SECONDS
+    longest = stop.POLL_SECONDS + node.CLOSE_SECONDS + log.CLOSE_SECONDS
     settings = translate_settings(build_file())
     margin = settings.bounds.stop_seconds - settings.limits.drain_seconds
     assert longest < margin
--- a/wagtaildale/settings/model.py
+++ b/wagtaildale/settings/model.py
@@ -22,18 +22,18 @@
 SEED_PATTERN: Final = r'^tcp://[0-9a-fA-F.:\[\]]+:[0-9]+$'
 URL_PATTERN: Final = '^https?://[^ ]+$'
 LEVEL_PATTERN: Final = '^(debug|info|warning|error)$'
-MOST_SLOTS: Final = 10_000
-MOST_CONNECTIONS: Final = 10_000
+MAX_SLOTS: Final = 10_000
+MAX_CONNECTIONS: Final = 10_000
 HEAD_BYTES: Final = 32_768
-LEAST_HEAD_BYTES: Final = 1024
+MIN_HEAD_BYTES: Final = 1024
 BODY_BYTES: Final = 67_108_864
 CONNECTIONS: Final = 512
 SLOTS: Final = 10
 DRAIN_SECONDS: Final = 30.0
-LONGEST_DRAIN: Final = 600
+LONGEST_DRAIN_SECONDS: Final = 600
 ANNOUNCE_SECONDS: Final = 1.0
 LINGER_SECONDS: Final = 4.0
-MOST_KEYS: Final = 3
+MAX_KEYS: Final = 3
 APPLY_SECONDS: Final = 12.0
 RETRY_SHARE: Final = 0.2
 RETRY_WINDOW_SECONDS: Final = 10.0
@@ -60,7 +60,7 @@
 
     host: Host
     port: Port
-    slots: Annotated[int, Meta(ge=1, le=MOST_SLOTS)] = SLOTS
+    slots: Annotated[int, Meta(ge=1, le=MAX_SLOTS)] = SLOTS
 
 
 class PlatformSettings(Struct, frozen=True, kw_only=True):
@@ -101,16 +101,16 @@
             next answer tells them to close.
     """
 
-    head_bytes: Annotated[int, Meta(ge=LEAST_HEAD_BYTES)] = HEAD_BYTES
+    head_bytes: Annotated[int, Meta(ge=MIN_HEAD_BYTES)] = HEAD_BYTES
     body_bytes: Annotated[int, Meta(ge=0)] = BODY_BYTES
-    connections: Annotated[int, Meta(ge=1, le=MOST_CONNECTIONS)] = CONNECTIONS
-    drain_seconds: Annotated[float, Meta(gt=0, le=LONGEST_DRAIN)] = (
+    connections: Annotated[int, Meta(ge=1, le=MAX_CONNECTIONS)] = CONNECTIONS
+    drain_seconds: Annotated[float, Meta(gt=0, le=LONGEST_DRAIN_SECONDS)] = (
         DRAIN_SECONDS
     )
-    announce_seconds: Annotated[float, Meta(ge=0, le=LONGEST_DRAIN)] = (
+    announce_seconds: Annotated[float, Meta(ge=0, le=LONGEST_DRAIN_SECONDS)] = (
         ANNOUNCE_SECONDS
     )
-    linger_seconds: Annotated[float, Meta(ge=0, le=LONGEST_DRAIN)] = (
+    linger_seconds: Annotated[float, Meta(ge=0, le=LONGEST_DRAIN_SECONDS)] = (
         LINGER_SECONDS
     )
 
@@ -167,7 +167,7 @@
             none for connections that are neither encrypted nor checked.
     """
 
-    secret_files: Annotated[tuple[str, ...], Meta(max_length=MOST_KEYS)] = ()
+    secret_files: Annotated[tuple[str, ...], Meta(max_length=MAX_KEYS)] = ()
 
 
 class BoundSettings(Struct, frozen=True, kw_only=True):
--- a/wagtaildale/types.py
+++ b/wagtaildale/types.py
@@ -1,8 +1,8 @@
-"""Identifiers and states that every slice shares.
+"""Identifiers and states that all packages share.
 
-Identifiers are ``NewType`` over plain values, so that a type checker keeps
-an instance id from standing where a service name is due, at no cost while
-running.
+Identifiers are ``NewType`` over plain values: a type checker then rejects,
+for example, an instance id in place of a service name, without a cost at run
+time.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 Version = NewType('Version', int)
 Digest = NewType('Digest', bytes)
 Seconds = NewType('Seconds', float)
-# Names a call on the connection between two nodes.
+# Identifies a call on one connection between two nodes.
 CallNumber = NewType('CallNumber', int)
 
 NO_VERSION = Version(0)
-# Of a process that is not known.
+# Incarnation of a process that is not known.
 UNKNOWN_INCARNATION = Incarnation(0)
 
 
 class DocumentKind(Enum):
-    """Which replicated document a message speaks of."""
+    """The replicated documents."""
 
     configuration = 'c'
     instances = 'i'
 
 
 class NodeState(Enum):
-    """Where a node stands between its start and its end."""
+    """Stage in the life of a node."""
 
     joining = 'joining'
     ready = 'ready'
@@ -47,7 +47,7 @@
 
 
 class ListedState(Enum):
-    """What the platform's instance list says of an instance."""
+    """State of an instance in the platform's instance list."""
 
     live = 'live'
     leaving = 'leaving'
