--- a/wagtaildale/configuration/__init__.py
+++ b/wagtaildale/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' files: reading, checking, compiling, comparing."""
+"""Reads, checks, compiles and compares operators' files."""
--- a/wagtaildale/configuration/comparison.py
+++ b/wagtaildale/configuration/comparison.py
@@ -1,4 +1,4 @@
-"""What changes between two versions, in operators' words."""
+"""Compares two versions in the terms of operators' files."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
     """List what changes from one version to another.
 
     Args:
-        old: parts in force.
-        new: parts as proposed.
+        old: parts of the version in use, by service.
+        new: parts of the proposed version, by service.
 
     Returns:
-        Changes, ordered by subject; none if nothing changes.
+        Changes, ordered by subject.
     """
     before = _flatten(old)
     after = _flatten(new)
@@ -80,8 +80,8 @@
         for work_class in part.classes:
             subject = f'{name}/{work_class.name}'
             flat[subject] = 'class'
-            for key, held in structs.asdict(work_class).items():
-                flat[f'{subject}.{key}'] = str(held)
+            for key, setting in structs.asdict(work_class).items():
+                flat[f'{subject}.{key}'] = str(setting)
         _flatten_routes(flat, part)
     return flat
 
--- a/wagtaildale/configuration/compiled.py
+++ b/wagtaildale/configuration/compiled.py
@@ -1,4 +1,4 @@
-"""Compiles operators' files to what is published, and reads it back."""
+"""Compiles operators' files to a manifest and parts, and decodes parts."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 MANIFEST_NAME: Final = 'manifest.json'
 PARTS_FOLDER: Final = 'parts'
-LARGEST_PART: Final = 1_000_000
+LARGEST_PART_BYTES: Final = 1_000_000
 DIGEST_BYTES: Final = 16
-# Parts and pieces whose decoded form is kept: two versions of 2,000 rules in
-# pieces, or of 2,000 services.
-DECODED_PARTS: Final = 4096
+# Decoded parts and pieces in the cache: enough for two versions of 2,000 rules
+# in pieces, or of 2,000 services.
+DECODE_CACHE_SIZE: Final = 4096
 
-PartDecoder = json.Decoder(Part)
+_part_decoder = json.Decoder(Part)
 
 
 class Compiled(Struct, frozen=True, kw_only=True):
     """A manifest and the parts that it names.
 
     Attributes:
-        manifest: the version.
-        parts: by service, the part's bytes.
+        manifest: manifest of the version.
+        parts: encoded part of each service.
     """
 
     manifest: Manifest
@@ -49,31 +49,32 @@
 
 
 def hash_part(blob: bytes) -> Digest:
-    """Give the content hash by which a part is named.
+    """Compute the content hash that names a part.
 
     Args:
-        blob: the part's bytes.
+        blob: encoded part.
 
     Returns:
-        16 bytes of BLAKE2b: enough that no two parts share it by chance.
+        BLAKE2b hash of 16 bytes, which makes collisions practically
+        impossible.
     """
     return Digest(blake2b(blob, digest_size=DIGEST_BYTES).digest())
 
 
-@lru_cache(maxsize=DECODED_PARTS)
+@lru_cache(maxsize=DECODE_CACHE_SIZE)
 def decode_part(blob: bytes) -> Part:
-    """Decode a part; each content is decoded once.
+    """Decode a part; decoded parts are cached by content.
 
     Args:
-        blob: the part's bytes.
+        blob: encoded part.
 
     Returns:
         The part.
 
     Raises:
-        ValidationError: of msgspec, when the bytes are no part.
+        MsgspecError: if the bytes are not a valid part.
     """
-    return PartDecoder.decode(blob)
+    return _part_decoder.decode(blob)
 
 
 def compile_mesh(
@@ -84,11 +85,11 @@
     """Compile a checked file to a manifest and its parts.
 
     Args:
-        mesh: the operators' file.
-        version: above each version published before.
+        mesh: content of the operators' file.
+        version: version to publish, greater than all published before.
 
     Returns:
-        What to publish, or faults.
+        The manifest and parts to publish, or the faults.
     """
     if version < 1:
         return Err((_describe_version(version),))
@@ -99,7 +100,7 @@
     faults = tuple(
         _describe_size(name, len(blob))
         for name, blob in parts.items()
-        if len(blob) > LARGEST_PART
+        if len(blob) > LARGEST_PART_BYTES
     )
     if faults:
         return Err(faults)
@@ -109,13 +110,13 @@
 
 
 def decode_parts(compiled: Compiled) -> dict[ServiceName, Part]:
-    """Decode what was compiled.
+    """Decode the parts of a compiled version.
 
     Args:
-        compiled: manifest and parts.
+        compiled: manifest and encoded parts.
 
     Returns:
-        The parts by service.
+        The part of each service.
     """
     return {name: decode_part(blob) for name, blob in compiled.parts.items()}
 
@@ -123,12 +124,11 @@
 def write_compiled(compiled: Compiled, *, folder: Path) -> None:
     """Write a manifest and its parts, the manifest last.
 
-    A publisher that stops half-way then leaves no manifest that names a
-    part which is not there.
+    If the publisher stops half-way, no manifest names a part that is missing.
 
     Args:
-        compiled: what to write.
-        folder: made where it is missing.
+        compiled: manifest and parts to write.
+        folder: target folder; created if missing.
     """
     parts_folder = folder / PARTS_FOLDER
     parts_folder.mkdir(parents=True, exist_ok=True)
@@ -187,7 +187,7 @@
         code=Code.version_invalid,
         where='--version',
         got=str(version),
-        expected='1 or more, above each version published before',
+        expected='at least 1, and greater than all published versions',
     )
 
 
@@ -196,5 +196,5 @@
         code=Code.too_large,
         where=f'service {name}',
         got=f'{size} bytes',
-        expected=f'at most {LARGEST_PART}: split the service',
+        expected=f'at most {LARGEST_PART_BYTES} bytes; split the service',
     )
--- a/wagtaildale/configuration/files.py
+++ b/wagtaildale/configuration/files.py
@@ -1,4 +1,4 @@
-"""Reads operators' files and the compiled folders made from them."""
+"""Reads and checks operators' files."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     """Read and check an operators' file.
 
     Args:
-        path: the TOML file.
+        path: path of the TOML file.
 
     Returns:
-        The mesh, or every fault of the file with its line.
+        The mesh, or all faults of the file with their lines.
     """
     text = read_text(path)
     if isinstance(text, Err):
@@ -39,10 +39,10 @@
     """Read a text file.
 
     Args:
-        path: the file.
+        path: path of the file.
 
     Returns:
-        Its text, or a fault that says why it cannot be read.
+        The text, or a fault that states why it cannot be read.
     """
     try:
         return Ok(Path(path).read_text(encoding='utf-8'))
@@ -60,11 +60,11 @@
     """Parse and check the text of an operators' file.
 
     Args:
-        text: TOML.
-        name: the file's name, for faults.
+        text: TOML document.
+        name: name of the file, for faults.
 
     Returns:
-        The mesh, or every fault of the text with its line.
+        The mesh, or all faults of the text with their lines.
     """
     try:
         table = tomllib.loads(text)
@@ -92,22 +92,22 @@
     text: str,
     name: str,
 ) -> Faults:
-    """Give findings the lines on which they stand.
+    """Turn findings into faults with line numbers.
 
     Args:
-        findings: faults of shape or meaning.
-        text: the TOML document.
-        name: the file's name.
+        findings: findings of the checks of shape or semantics.
+        text: TOML document that was checked.
+        name: name of the file, for faults.
 
     Returns:
-        Faults for people.
+        One fault for each finding.
     """
-    return tuple(_place(finding, text, name) for finding in findings)
+    return tuple(_add_line(finding, text, name) for finding in findings)
 
 
-def _place(finding: Finding, text: str, name: str) -> Fault:
+def _add_line(finding: Finding, text: str, name: str) -> Fault:
     line = find_line(text, path=finding.path)
-    key = _write_path(finding.path)
+    key = _format_path(finding.path)
     return Fault(
         code=finding.code,
         where=f'{name}:{line}: {key}',
@@ -116,7 +116,7 @@
     )
 
 
-def _write_path(path: KeyPath) -> str:
+def _format_path(path: KeyPath) -> str:
     steps = (
         f'[{step}]' if isinstance(step, int) else f'.{step}' for step in path
     )
--- a/wagtaildale/configuration/model.py
+++ b/wagtaildale/configuration/model.py
@@ -1,8 +1,8 @@
-"""What operators write, and the parts that are published from it.
+"""The format of operators' files, and of the parts published from them.
 
-Operators name services and classes of work. They write no weights, no
-addresses and nothing about one proxy: there is no field for those here, and
-``checks`` says so when one is tried.
+Operators declare services and classes of work. Weights, addresses and
+settings of single proxies have no fields here; ``shapes`` reports a fault
+with an explanation if a file has one of them.
 """
 
 from __future__ import annotations
@@ -17,35 +17,38 @@
 PATH_PATTERN: Final = r'^(/([A-Za-z0-9._~-]+|\{[a-z_]+\*?\}))+$|^/$'
 METHOD_PATTERN: Final = '^(GET|HEAD|POST|PUT|PATCH|DELETE|OPTIONS)$'
 LONGEST_DEADLINE_MS: Final = 600_000
-PERCENT: Final = 100
-LONGEST_PATH: Final = 512
-LONGEST_TITLE: Final = 200
+MAX_PERCENT: Final = 100
+LONGEST_PATH_CHARACTERS: Final = 512
+LONGEST_NAME_CHARACTERS: Final = 200
 
 DEFAULT_RANK: Final = 1
-# The entry of a configuration that holds limits instead of a service's
-# part: no service has such a name.
+# Name of the entry that holds the limits on callers instead of a service's
+# part; it is not a valid service name.
 LIMITS_ENTRY: Final = '@limits'
-# A part may be cut into pieces, entries named by service, mark and number.
-# No service's name has the mark.
+# A part may be split into pieces, whose entries are named by service, separator
+# and number. Service names do not contain the separator.
 PIECE_SEPARATOR: Final = '#'
 
 DIGEST_PATTERN: Final = '^[0-9a-f]{32}$'
 
 HexDigest = Annotated[str, Meta(pattern=DIGEST_PATTERN)]
 Name = Annotated[str, Meta(pattern=NAME_PATTERN)]
-Path = Annotated[str, Meta(pattern=PATH_PATTERN, max_length=LONGEST_PATH)]
+Path = Annotated[
+    str, Meta(pattern=PATH_PATTERN, max_length=LONGEST_PATH_CHARACTERS)
+]
 Method = Annotated[str, Meta(pattern=METHOD_PATTERN)]
 Methods = Annotated[tuple[Method, ...], Meta(min_length=1)]
 Milliseconds = Annotated[int, Meta(ge=1, le=LONGEST_DEADLINE_MS)]
-Percent = Annotated[float, Meta(gt=0, le=PERCENT)]
+Percent = Annotated[float, Meta(gt=0, le=MAX_PERCENT)]
 
 
 class Target(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How promptly a class is to be answered.
+    """Latency target of a class.
 
     Attributes:
-        within_ms: milliseconds in which an answer is in time.
-        percent: how many of 100 answers are to be in time.
+        within_ms: longest time of an answer that counts as in time,
+            milliseconds.
+        percent: percentage of answers that should be in time.
     """
 
     within_ms: Milliseconds
@@ -53,16 +56,17 @@
 
 
 class ClassEntry(Struct, frozen=True, kw_only=True):
-    """One class of work as operators write it.
+    """One class of work in an operators' file.
 
     Attributes:
-        name: unique within its service.
-        methods: HTTP methods that it matches.
-        path: path template; ``{name}`` stands for one segment, a last
-            ``{name*}`` for the rest.
-        idempotent: whether running it twice does no harm.
-        target: how promptly it is to be answered.
-        deadline_ms: when a caller no longer waits for an answer.
+        name: name of the class, unique within its service.
+        methods: HTTP methods that the class matches.
+        path: path template; ``{name}`` matches one segment, and ``{name*}`` at
+            the end matches all remaining ones.
+        idempotent: whether a request may safely run twice.
+        target: latency target.
+        deadline_ms: time after which callers no longer wait for an answer,
+            milliseconds.
     """
 
     name: Name
@@ -74,13 +78,13 @@
 
 
 class RouteEntry(Struct, frozen=True, kw_only=True):
-    """A further route to a class, perhaps of another service.
+    """An additional route to a class of this or another service.
 
     Attributes:
-        methods: HTTP methods that it matches.
+        methods: HTTP methods that the route matches.
         path: path template.
-        work_class: the class's name.
-        service: whose class it is; the table's own service if left out.
+        work_class: name of the class.
+        service: service of the class; the service of the table if left out.
     """
 
     methods: Methods
@@ -90,13 +94,13 @@
 
 
 class ServiceEntry(Struct, frozen=True, kw_only=True):
-    """One service as operators write it.
+    """One service in an operators' file.
 
     Attributes:
-        name: unique within the mesh.
-        team: who owns it.
-        classes: its classes of work.
-        routes: further routes to classes.
+        name: name of the service, unique within the mesh.
+        team: team that owns the service.
+        classes: classes of work of the service.
+        routes: additional routes to classes.
     """
 
     name: Name
@@ -109,25 +113,27 @@
     """A whole operators' file.
 
     Attributes:
-        name: the mesh, for people.
-        services: its services.
+        name: name of the mesh, for people.
+        services: services of the mesh.
     """
 
-    name: Annotated[str, Meta(min_length=1, max_length=LONGEST_TITLE)]
+    name: Annotated[str, Meta(min_length=1, max_length=LONGEST_NAME_CHARACTERS)]
     services: Annotated[tuple[ServiceEntry, ...], Meta(min_length=1)]
 
 
 class WorkClass(Struct, frozen=True, kw_only=True):
-    """One class of work as it is published.
+    """One class of work in a published part.
 
     Attributes:
-        name: unique within its service.
-        idempotent: whether it may be retried and hedged.
-        within_ms: milliseconds in which an answer is in time.
-        percent: how many of 100 answers are to be in time.
-        deadline_ms: milliseconds after which nobody waits for an answer.
-        rank: which classes go first where there is not room for all; 0 is
-            the first.
+        name: name of the class, unique within its service.
+        idempotent: whether its requests may be retried and hedged.
+        within_ms: longest time of an answer that counts as in time,
+            milliseconds.
+        percent: percentage of answers that should be in time.
+        deadline_ms: time after which callers no longer wait for an answer,
+            milliseconds.
+        rank: priority of the class's requests under overload; 0 is served
+            first.
     """
 
     name: ClassName
@@ -139,11 +145,12 @@
 
 
 class Share(Struct, frozen=True, kw_only=True):
-    """The part of a route's requests that goes to one service.
+    """The share of one service in a split route.
 
     Attributes:
-        service: that gets it.
-        weight: its part of the sum of all weights.
+        service: service that gets the requests.
+        weight: weight of the service; its share is the weight divided by the
+            sum of all weights.
     """
 
     service: ServiceName
@@ -151,22 +158,23 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """From a request to a class of a service.
+    """A route from requests to a class of a service.
 
-    Operators' own files give methods and a path template. A platform may
-    also publish routes by host and path prefix, and split them; nobody
-    writes those here.
+    Routes from operators' files have methods and a path template. A platform
+    may also publish routes with a host and a path prefix, and split them
+    among services; operators' files have no fields for these.
 
     Attributes:
-        methods: that it matches; none stands for all.
+        methods: HTTP methods that the route matches; empty for all.
         path: path template, or a prefix that begins and ends with a slash.
-        service: whose class it is.
-        work_class: the class's name.
-        host: that it matches, in lower case; empty for a template.
-        split: among which services requests are divided; none if all go
-            to ``service``.
-        attempts: upstreams that one request may be sent to; 0 for the
-            product's own bound.
+        service: service of the class.
+        work_class: name of the class.
+        host: host that the route matches, in lower case; empty for a
+            template.
+        split: services among which requests are split; empty if all go to
+            ``service``.
+        attempts: most upstreams that one request may be sent to; 0 for the
+            product's default.
     """
 
     methods: tuple[str, ...]
@@ -178,10 +186,10 @@
     attempts: Annotated[int, Meta(ge=0)] = 0
 
     def list_services(self) -> tuple[ServiceName, ...]:
-        """List the services that requests may go to.
+        """List the services to which requests may be sent.
 
         Returns:
-            Those of the split, or the one service.
+            The services of the split, or the single service.
         """
         if not self.split:
             return (self.service,)
@@ -189,16 +197,17 @@
 
 
 class Part(Struct, frozen=True, kw_only=True):
-    """What is published of one service; content-addressed.
+    """The published configuration of one service, addressed by content.
 
     Attributes:
-        service: its name.
-        team: who owns it.
-        classes: its classes of work.
-        routes: to classes of this or other services.
-        connections: that one of its backend servers takes; 0 if unknown.
-        health_path: where its backend servers say how they are and who;
-            empty if they do not.
+        service: name of the service.
+        team: team that owns the service.
+        classes: classes of work of the service.
+        routes: routes to classes of this or other services.
+        connections: most connections that one of its backend servers
+            accepts; 0 if unknown.
+        health_path: path at which its backend servers report their health and
+            identity; empty if they do not.
     """
 
     service: ServiceName
@@ -210,13 +219,14 @@
 
 
 class PublishedLimits(Struct, frozen=True, kw_only=True):
-    """What callers may send, where a platform publishes it.
+    """Limits on callers that a platform publishes.
 
     Attributes:
-        head_bytes: largest request head.
-        body_bytes: largest request body.
-        head_ms: milliseconds from a head's first byte to its last.
-        idle_ms: milliseconds that a connection may stay idle.
+        head_bytes: largest request head, bytes.
+        body_bytes: largest request body, bytes.
+        head_ms: longest time from the first to the last byte of a request
+            head, milliseconds.
+        idle_ms: longest time that a connection may be idle, milliseconds.
     """
 
     head_bytes: Annotated[int, Meta(ge=1)]
@@ -226,12 +236,12 @@
 
 
 class Manifest(Struct, frozen=True, kw_only=True):
-    """Names the parts of one version by their content hashes.
+    """The parts of one version, named by their content hashes.
 
     Attributes:
-        version: the publisher's, strictly increasing.
-        name: the mesh, for people.
-        parts: by service, the hexadecimal content hash.
+        version: version set by the publisher; strictly increasing.
+        name: name of the mesh, for people.
+        parts: hexadecimal content hash of each service's part.
     """
 
     version: Annotated[int, Meta(ge=1)]
--- a/wagtaildale/configuration/paths.py
+++ b/wagtaildale/configuration/paths.py
@@ -1,4 +1,4 @@
-"""Path templates: their segments, and when two of them are the same."""
+"""Path templates: their segments, and the comparison of two templates."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @final
 class SegmentKind(Enum):
-    """What one segment of a template matches."""
+    """What one segment of a path template matches."""
 
     literal = 'literal'
     one = 'one'
@@ -16,13 +16,13 @@
 
 
 def classify_segment(segment: str) -> SegmentKind:
-    """Tell what a segment of a template matches.
+    """Find what a segment of a path template matches.
 
     Args:
         segment: text between two slashes.
 
     Returns:
-        Its kind.
+        Kind of the segment.
     """
     if not segment.startswith('{'):
         return SegmentKind.literal
@@ -35,42 +35,42 @@
     """Split a template at its slashes.
 
     Args:
-        path: template that starts with a slash.
+        path: path template, which starts with a slash.
 
     Returns:
-        Its segments; one empty segment for ``/``.
+        Segments of the template; one empty segment for ``/``.
     """
     return tuple(path[1:].split('/'))
 
 
 def normalise_template(path: str) -> str:
-    """Give the form in which equal templates are the same text.
+    """Normalise a template: equivalent templates become equal texts.
 
     Args:
-        path: template.
+        path: path template.
 
     Returns:
-        The template with the names of its parameters taken out.
+        The template without the names of its parameters.
 
     Example:
         >>> normalise_template('/claims/{claim}/photos')
         '/claims/{}/photos'
     """
-    marks = {SegmentKind.one: '{}', SegmentKind.rest: '{*}'}
+    placeholders = {SegmentKind.one: '{}', SegmentKind.rest: '{*}'}
     return ''.join(
-        '/' + marks.get(classify_segment(segment), segment)
+        '/' + placeholders.get(classify_segment(segment), segment)
         for segment in split_template(path)
     )
 
 
 def is_rest_last(path: str) -> bool:
-    """Check that ``{name*}`` stands only at the end.
+    """Check that ``{name*}`` is used only as the last segment.
 
     Args:
-        path: template.
+        path: path template.
 
     Returns:
-        Whether the template can be matched.
+        Whether the template is valid in this respect.
     """
     return all(
         classify_segment(segment) is not SegmentKind.rest
--- a/wagtaildale/configuration/positions.py
+++ b/wagtaildale/configuration/positions.py
@@ -1,8 +1,8 @@
-"""Finds the line of a TOML file on which a key stands.
+"""Finds the line of a key in a TOML file.
 
-``tomllib`` gives no positions, and no library of the registry gives them
+``tomllib`` reports no positions, and no library in the registry reports them
 for a whole document without its own parser state. Table headers and keys
-start lines in TOML, so the nearest line is found by walking them.
+start lines in TOML, so the nearest line is found by scanning the lines.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 KEY: Final = re.compile(r'^\s*([\w"-]+)\s*=')
 
 
-class _Walk(Struct):
-    """Where the walk through the lines stands.
+class _LineSearch(Struct):
+    """State of the scan of the lines.
 
     Attributes:
-        table: path of the table whose keys follow.
-        counts: how many tables of each array were seen.
+        table: path of the current table.
+        counts: index of the last table seen of each array of tables.
         best_line: line of the longest match so far, from 1.
-        best_length: how many steps of the path it matches.
+        best_length: number of path steps that this line matches.
     """
 
     table: KeyPath = ()
@@ -35,10 +35,10 @@
 
 
 def find_line(text: str, *, path: KeyPath) -> int:
-    """Find the line on which a key, or the nearest table above it, stands.
+    """Find the line of a key, or of the nearest table above it.
 
     Args:
-        text: the TOML document.
+        text: TOML document.
         path: keys and array indices from the root.
 
     Returns:
@@ -48,44 +48,44 @@
         >>> find_line('x = 1', path=('x',))
         1
     """
-    walk = _Walk()
+    search = _LineSearch()
     for number, line in enumerate(text.splitlines(), start=1):
         header = HEADER.match(line)
         if header is not None:
-            _enter_table(walk, header)
-            _note_match(walk, number, path, walk.table)
+            _enter_table(search, header)
+            _update_best(search, number, path, search.table)
             continue
         key = KEY.match(line)
         if key is not None:
-            here = (*walk.table, key.group(1).strip('"'))
-            _note_match(walk, number, path, here)
-    return walk.best_line
+            key_path = (*search.table, key.group(1).strip('"'))
+            _update_best(search, number, path, key_path)
+    return search.best_line
 
 
-def _enter_table(walk: _Walk, header: re.Match[str]) -> None:
+def _enter_table(search: _LineSearch, header: re.Match[str]) -> None:
     names = [name.strip(' "') for name in header.group(2).split('.')]
     path: KeyPath = ()
     for name in names[:-1]:
-        path = _extend(walk, (*path, name))
+        path = _extend(search, (*path, name))
     path = (*path, names[-1])
     if header.group(1) == '[[':
-        walk.counts.setdefault(path, -1)
-        walk.counts[path] += 1
-    walk.table = _extend(walk, path)
+        search.counts.setdefault(path, -1)
+        search.counts[path] += 1
+    search.table = _extend(search, path)
 
 
-def _extend(walk: _Walk, path: KeyPath) -> KeyPath:
-    count = walk.counts.get(path)
+def _extend(search: _LineSearch, path: KeyPath) -> KeyPath:
+    count = search.counts.get(path)
     return path if count is None else (*path, count)
 
 
-def _note_match(
-    walk: _Walk,
+def _update_best(
+    search: _LineSearch,
     number: int,
     path: KeyPath,
-    here: KeyPath,
+    key_path: KeyPath,
 ) -> None:
-    length = len(here)
-    if path[:length] == here and length > walk.best_length:
-        walk.best_line = number
-        walk.best_length = length
+    length = len(key_path)
+    if path[:length] == key_path and length > search.best_length:
+        search.best_line = number
+        search.best_length = length
--- a/wagtaildale/configuration/semantics.py
+++ b/wagtaildale/configuration/semantics.py
@@ -1,4 +1,4 @@
-"""Checks what an operators' file means, once its shape is right."""
+"""Semantic checks of an operators' file whose shape is valid."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
     """Check names, targets and routes of a whole file.
 
     Args:
-        mesh: the file, right in shape.
+        mesh: content of the file, with a valid shape.
 
     Returns:
-        Every fault found.
+        All faults found.
     """
     return [
         *_check_names(mesh),
         *_check_targets(mesh),
-        *_check_resources(mesh),
+        *_check_route_targets(mesh),
         *_check_conflicts(mesh),
     ]
 
@@ -40,17 +40,17 @@
 def _list_classes(
     mesh: MeshEntry,
 ) -> Iterator[tuple[KeyPath, ServiceEntry, ClassEntry]]:
-    for place, service in enumerate(mesh.services):
+    for number, service in enumerate(mesh.services):
         for index, entry in enumerate(service.classes):
-            yield ('services', place, 'classes', index), service, entry
+            yield ('services', number, 'classes', index), service, entry
 
 
 def _list_routes(
     mesh: MeshEntry,
 ) -> Iterator[tuple[KeyPath, ServiceEntry, RouteEntry]]:
-    for place, service in enumerate(mesh.services):
+    for number, service in enumerate(mesh.services):
         for index, entry in enumerate(service.routes):
-            yield ('services', place, 'routes', index), service, entry
+            yield ('services', number, 'routes', index), service, entry
 
 
 def _list_matches(
@@ -62,21 +62,23 @@
 
 def _check_names(mesh: MeshEntry) -> Iterator[Finding]:
     seen: set[str] = set()
-    for place, service in enumerate(mesh.services):
-        path: KeyPath = ('services', place, 'name')
-        yield from _note_name(seen, service.name, path)
+    for number, service in enumerate(mesh.services):
+        path: KeyPath = ('services', number, 'name')
+        yield from _check_unique(seen, service.name, path)
     for path, owner, entry in _list_classes(mesh):
-        full = f'{owner.name}/{entry.name}'
-        yield from _note_name(seen, full, (*path, 'name'))
+        full_name = f'{owner.name}/{entry.name}'
+        yield from _check_unique(seen, full_name, (*path, 'name'))
 
 
-def _note_name(seen: set[str], name: str, path: KeyPath) -> Iterator[Finding]:
+def _check_unique(
+    seen: set[str], name: str, path: KeyPath
+) -> Iterator[Finding]:
     if name in seen:
         yield Finding(
             code=Code.name_twice,
             path=path,
-            got=f'{name} again',
-            expected='a name that is not yet taken',
+            got=f'{name} a second time',
+            expected='a name that is not used yet',
         )
     seen.add(name)
 
@@ -92,7 +94,7 @@
             )
 
 
-def _check_resources(mesh: MeshEntry) -> Iterator[Finding]:
+def _check_route_targets(mesh: MeshEntry) -> Iterator[Finding]:
     known = {
         service.name: {entry.name for entry in service.classes}
         for service in mesh.services
@@ -126,9 +128,9 @@
                 expected='{name*} as the last segment only',
             )
         for match in _list_match_keys(entry):
-            holder = taken.get(match)
-            if holder is not None:
-                yield _describe_conflict(path, match, holder)
+            other_service = taken.get(match)
+            if other_service is not None:
+                yield _describe_conflict(path, match, other_service)
             taken[match] = owner.name
 
 
@@ -140,11 +142,11 @@
 def _describe_conflict(
     path: KeyPath,
     match: str,
-    holder: str,
+    other_service: str,
 ) -> Finding:
     return Finding(
         code=Code.route_conflict,
         path=(*path, 'path'),
         got=match,
-        expected=f'a path that service {holder} does not match yet',
+        expected=f'a path that service {other_service} does not match',
     )
--- a/wagtaildale/configuration/shapes.py
+++ b/wagtaildale/configuration/shapes.py
@@ -1,7 +1,7 @@
-"""Checks the shape of a table against a Struct, all faults at once.
+"""Checks the shape of a table against a Struct and reports all faults.
 
-``msgspec.convert`` stops at the first fault; operators want them all. Here
-each field is converted by itself, so that msgspec still judges every leaf.
+``msgspec.convert`` stops at the first fault, but operators need all of them.
+Each leaf field is converted separately, so that msgspec still checks it.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
         'weights',
     ),
 )
-WAY_OUT: Final = MappingProxyType(
+REMEDIES: Final = MappingProxyType(
     {
         Code.hand_tuning: (
-            'no such key: the system finds upstreams, weights and limits '
-            'by itself; state a class and its target instead'
+            'no such key: upstreams, weights and limits are determined '
+            'automatically; state a class and its target instead'
         ),
         Code.key_missing: 'this key',
     },
@@ -47,7 +47,7 @@
 
 
 class Finding(Struct, frozen=True, kw_only=True):
-    """One fault of shape, before its line is known."""
+    """One fault of shape or semantics, without its line."""
 
     code: Code
     path: KeyPath
@@ -61,27 +61,27 @@
     shape: type[Struct],
     path: KeyPath = (),
 ) -> list[Finding]:
-    """Compare a table with the Struct it is to become.
+    """Check a table against the Struct that it will be converted to.
 
     Args:
-        table: what the TOML file holds there.
-        shape: the Struct.
-        path: where the table stands.
+        table: value from the TOML file.
+        shape: Struct class.
+        path: path of the table from the root of the file.
 
     Returns:
-        Every fault found; none if ``msgspec.convert`` would succeed.
+        All faults found; none if ``msgspec.convert`` would succeed.
     """
     if not isinstance(table, dict):
         return [_describe_invalid(path, table, 'a table')]
     findings = _check_keys(table, shape, path)
     hints = get_type_hints(shape, include_extras=True)
     for name in hints.keys() & table.keys():
-        spot = (*path, name)
-        findings.extend(_check_field(table[name], hints[name], spot))
-    return sorted(findings, key=_find_place)
+        field_path = (*path, name)
+        findings.extend(_check_field(table[name], hints[name], field_path))
+    return sorted(findings, key=_make_sort_key)
 
 
-def _find_place(finding: Finding) -> tuple[str, ...]:
+def _make_sort_key(finding: Finding) -> tuple[str, ...]:
     return tuple(str(step) for step in finding.path)
 
 
@@ -101,7 +101,7 @@
             code=Code.key_missing,
             path=path,
             got='no ' + name,
-            expected=f'the key {name} here',
+            expected=f'the key {name} in this table',
         )
         for name, field in known.items()
         if field.required and name not in table
@@ -109,26 +109,26 @@
     return findings
 
 
-def _check_field(held: Any, hint: Any, path: KeyPath) -> list[Finding]:
+def _check_field(given: Any, hint: Any, path: KeyPath) -> list[Finding]:
     element = _find_struct(hint)
     if element is None:
-        return _convert_leaf(held, hint, path)
+        return _convert_leaf(given, hint, path)
     if not _is_sequence(hint):
-        return check_shape(held, shape=element, path=path)
-    if not isinstance(held, list) or not held:
-        return _convert_leaf(held, hint, path)
+        return check_shape(given, shape=element, path=path)
+    if not isinstance(given, list) or not given:
+        return _convert_leaf(given, hint, path)
     return [
         finding
-        for index, entry in enumerate(held)
+        for index, entry in enumerate(given)
         for finding in check_shape(entry, shape=element, path=(*path, index))
     ]
 
 
-def _convert_leaf(held: Any, hint: Any, path: KeyPath) -> list[Finding]:
+def _convert_leaf(given: Any, hint: Any, path: KeyPath) -> list[Finding]:
     try:
-        convert(held, hint)
+        convert(given, hint)
     except ValidationError as error:
-        return [_describe_invalid(path, held, str(error))]
+        return [_describe_invalid(path, given, str(error))]
     return []
 
 
@@ -156,14 +156,14 @@
         code=code,
         path=(*path, key),
         got=f'the key {key}',
-        expected=WAY_OUT.get(code, one_of),
+        expected=REMEDIES.get(code, one_of),
     )
 
 
-def _describe_invalid(path: KeyPath, held: object, why: str) -> Finding:
+def _describe_invalid(path: KeyPath, given: object, expected: str) -> Finding:
     return Finding(
         code=Code.field_invalid,
         path=path,
-        got=repr(held),
-        expected=why,
+        got=repr(given),
+        expected=expected,
     )
--- a/wagtaildale/configuration/tests/test_files.py
+++ b/wagtaildale/configuration/tests/test_files.py
@@ -10,7 +10,7 @@
 from wagtaildale.testing.builders import MESH_TEXT
 
 
-def test_good_file() -> None:
+def test_valid_file() -> None:
     mesh = assert_ok(parse_mesh(MESH_TEXT, name='mesh.toml'))
     assert [service.name for service in mesh.services] == ['casefiles']
 
@@ -40,13 +40,13 @@
     assert (code, str(line)) in places, list(map(str, faults))
 
 
-def test_all_faults_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     text = MESH_TEXT.replace('true', '1').replace('"POST"', '"PRINT"')
     faults = assert_err(parse_mesh(text, name='mesh.toml'))
     assert_codes(faults, Code.field_invalid, Code.field_invalid)
 
 
-def test_route_to_missing_service() -> None:
+def test_route_to_missing_service_is_a_fault() -> None:
     text = f"""{MESH_TEXT}
 [[services.routes]]
 methods = ["GET"]
@@ -58,6 +58,6 @@
     assert_codes(faults, Code.service_missing)
 
 
-def test_not_toml() -> None:
+def test_malformed_toml_is_a_fault() -> None:
     faults = assert_err(parse_mesh('a = = b', name='mesh.toml'))
     assert_codes(faults, Code.file_malformed)
--- a/wagtaildale/configuration/validation.py
+++ b/wagtaildale/configuration/validation.py
@@ -1,4 +1,8 @@
-"""The check of a whole version: every route has its service and class."""
+"""Validates a whole version.
+
+Every route needs a service and a class of the same version, and no two routes
+may match the same requests.
+"""
 
 from __future__ import annotations
 
@@ -27,11 +31,11 @@
 
 
 class Configuration(Struct, frozen=True, kw_only=True):
-    """Every part of one version, checked as a whole.
+    """All parts of one version, validated together.
 
     Attributes:
-        parts: by service.
-        limits: on callers, if the version has them.
+        parts: part of each service.
+        limits: limits on callers; None if the version has none.
     """
 
     parts: dict[ServiceName, Part]
@@ -39,11 +43,11 @@
 
 
 def check_parts(blobs: Mapping[str, bytes]) -> Result[Configuration, Fault]:
-    """Check all parts of a version together.
+    """Validate all parts of a version together.
 
     Args:
-        blobs: by service name, the part's bytes; or by the names of its
-            pieces, theirs.
+        blobs: encoded parts by service name, or encoded pieces by piece
+            name.
 
     Returns:
         The configuration, or the first fault.
@@ -55,7 +59,7 @@
     if isinstance(decoded, Err):
         return decoded
     parts = decoded.ok_value
-    faults = chain(_find_dangling(parts), _find_conflicts(parts))
+    faults = chain(_find_missing_targets(parts), _find_conflicts(parts))
     first = next(faults, None)
     if first is None:
         return Ok(Configuration(parts=parts, limits=limits.ok_value))
@@ -73,21 +77,26 @@
         if isinstance(piece, Err):
             return piece
         pieces.setdefault(piece.ok_value.service, []).append(piece.ok_value)
-    return Ok({service: _join(found) for service, found in pieces.items()})
+    return Ok(
+        {
+            service: _join_pieces(service_pieces)
+            for service, service_pieces in pieces.items()
+        }
+    )
 
 
 def _decode(name: str, blob: bytes) -> Result[Part, Fault]:
     try:
         part = decode_part(blob)
     except MsgspecError as error:
-        return Err(_describe(Code.part_corrupt, name, str(error), 'a part'))
+        return Err(_make_fault(Code.part_corrupt, name, str(error), 'a part'))
     if part.service != name.partition(PIECE_SEPARATOR)[0]:
-        why = f'the part of {name}'
-        return Err(_describe(Code.part_corrupt, name, part.service, why))
+        expected = f'the part of {name}'
+        return Err(_make_fault(Code.part_corrupt, name, part.service, expected))
     return Ok(part)
 
 
-def _join(pieces: list[Part]) -> Part:
+def _join_pieces(pieces: list[Part]) -> Part:
     if len(pieces) == 1:
         return pieces[0]
     return structs.replace(
@@ -108,7 +117,7 @@
         return Ok(json.decode(blob, type=PublishedLimits))
     except MsgspecError as error:
         return Err(
-            _describe(
+            _make_fault(
                 Code.part_corrupt,
                 LIMITS_ENTRY,
                 str(error),
@@ -122,7 +131,7 @@
         yield from part.routes
 
 
-def _find_dangling(parts: Mapping[ServiceName, Part]) -> Iterator[Fault]:
+def _find_missing_targets(parts: Mapping[ServiceName, Part]) -> Iterator[Fault]:
     classes = {
         name: {work_class.name for work_class in part.classes}
         for name, part in parts.items()
@@ -131,14 +140,14 @@
         missing = [name for name in route.list_services() if name not in parts]
         known = classes.get(route.service)
         if missing or known is None:
-            yield _describe(
+            yield _make_fault(
                 Code.service_missing,
                 route.path,
                 ', '.join(missing) or route.service,
                 'a service of this version',
             )
         elif route.work_class not in known:
-            yield _describe(
+            yield _make_fault(
                 Code.class_missing,
                 route.path,
                 route.work_class,
@@ -147,17 +156,17 @@
 
 
 def _find_conflicts(parts: Mapping[ServiceName, Part]) -> Iterator[Fault]:
-    taken: set[tuple[str, str]] = set()
+    used: set[tuple[str, str]] = set()
     for route in _list_routes(parts):
         matches = _list_matches(route)
-        if taken & matches or not is_rest_last(route.path):
-            yield _describe(
+        if used & matches or not is_rest_last(route.path):
+            yield _make_fault(
                 Code.route_conflict,
                 route.path,
                 f'{route.service}/{route.work_class}',
                 'a path that no other route matches',
             )
-        taken |= matches
+        used |= matches
 
 
 def _list_matches(route: Route) -> set[tuple[str, str]]:
@@ -167,5 +176,5 @@
     return {(method, template) for method in route.methods}
 
 
-def _describe(code: Code, where: str, got: str, expected: str) -> Fault:
+def _make_fault(code: Code, where: str, got: str, expected: str) -> Fault:
     return Fault(code=code, where=where, got=got, expected=expected)
--- a/wagtaildale/errors/__init__.py
+++ b/wagtaildale/errors/__init__.py
@@ -1,1 +1,1 @@
-"""Numbered result codes and the faults that carry them."""
+"""Numbered result codes, and faults that report them."""
--- a/wagtaildale/errors/codes.py
+++ b/wagtaildale/errors/codes.py
@@ -1,4 +1,4 @@
-"""The numbered result codes, the one source of ``docs/errors.md``."""
+"""The numbered result codes, from which ``docs/errors.md`` is generated."""
 
 from __future__ import annotations
 
--- a/wagtaildale/errors/faults.py
+++ b/wagtaildale/errors/faults.py
@@ -1,4 +1,4 @@
-"""A fault: one thing that is wrong, with what was got and the way out."""
+"""Faults: errors in an input, with the value found and the one expected."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     expected: str
 
     def __str__(self) -> str:
-        """Give the fault as one line for a person.
+        """Format the fault as one line for people.
 
         Returns:
-            Code, place, what was got and what was expected.
+            Code, location, value found and value expected.
         """
         head = f'E{self.code.value} {self.where}'
         return f'{head}: got {self.got}; expected {self.expected}'
--- a/wagtaildale/keys/__init__.py
+++ b/wagtaildale/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Keys of the fleet, for CURVE between nodes."""
+"""Keys of the fleet, for ZeroMQ CURVE connections between nodes."""
--- a/wagtaildale/keys/tests/test_pairs.py
+++ b/wagtaildale/keys/tests/test_pairs.py
@@ -20,7 +20,7 @@
     assert path.stat().st_mode & 0o777 == 0o600
 
 
-def test_existing_file_is_kept(tmp_path: Path) -> None:
+def test_existing_file_is_not_overwritten(tmp_path: Path) -> None:
     path = tmp_path / 'fleet.key'
     assert_ok(write_new_pair(path))
     before = path.read_bytes()
@@ -29,13 +29,13 @@
     assert path.read_bytes() == before
 
 
-def test_every_bad_file_is_named(tmp_path: Path) -> None:
+def test_each_invalid_file_is_a_fault(tmp_path: Path) -> None:
     short = tmp_path / 'short.key'
     short.write_text('abc')
     short.chmod(0o600)
-    loose = tmp_path / 'loose.key'
-    assert_ok(write_new_pair(loose))
-    loose.chmod(0o644)
-    paths = (str(short), str(loose), str(tmp_path / 'none.key'))
+    readable = tmp_path / 'loose.key'
+    assert_ok(write_new_pair(readable))
+    readable.chmod(0o644)
+    paths = (str(short), str(readable), str(tmp_path / 'none.key'))
     faults = assert_err(read_pairs(paths))
     assert_codes(faults, *(3 * [Code.secret_unreadable]))
--- a/wagtaildale/settings/__init__.py
+++ b/wagtaildale/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's own settings."""
+"""The settings of a daemon."""
--- a/wagtaildale/settings/load.py
+++ b/wagtaildale/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads and checks a daemon's settings."""
+"""Reads and checks the settings file of a daemon."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     """Read and check a settings file.
 
     Args:
-        path: the TOML file.
+        path: path of the TOML file.
 
     Returns:
-        The settings, or every fault of the file.
+        The settings, or all faults of the file.
     """
     text = read_text(path)
     if isinstance(text, Err):
-        return Err(_recode(text.err_value, Code.settings_unreadable))
+        return Err(_replace_code(text.err_value, Code.settings_unreadable))
     return parse_settings(text.ok_value, name=str(path))
 
 
@@ -39,36 +39,36 @@
     """Parse and check the text of a settings file.
 
     Args:
-        text: TOML.
-        name: the file's name, for faults.
+        text: TOML document.
+        name: name of the file, for faults.
 
     Returns:
-        The settings, or every fault of the text.
+        The settings, or all faults of the text.
     """
     try:
         table = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        return Err((_describe(name, str(error), 'TOML 1.0'),))
+        return Err((_make_malformed_fault(name, str(error), 'TOML 1.0'),))
     findings = check_shape(table, shape=Settings)
     if findings:
         faults = place_findings(findings, text=text, name=name)
-        return Err(_recode(faults, Code.settings_malformed))
+        return Err(_replace_code(faults, Code.settings_malformed))
     settings = convert(table, Settings)
-    faults = _check_together(settings, name)
+    faults = _check_conflicts(settings, name)
     return Err(faults) if faults else Ok(settings)
 
 
 def read_token(
     settings: AdminSettings | TeamToken,
 ) -> Result[str | None, Fault]:
-    """Read the administration API's token.
+    """Read a token of the administration API.
 
     Args:
-        settings: where it is found.
+        settings: settings that name the file or variable of the token.
 
     Returns:
-        The token, nothing if none is set, or a fault. The token itself is
-        in no message.
+        The token, None if none is configured, or a fault. The fault never
+        contains the token.
     """
     if settings.token_variable is not None:
         return _read_variable(settings.token_variable)
@@ -76,26 +76,26 @@
         return Ok(None)
     text = read_text(settings.token_file)
     if isinstance(text, Err):
-        return Err(_miss_secret(settings.token_file))
+        return Err(_make_secret_fault(settings.token_file))
     token = text.ok_value.strip()
-    return Ok(token) if token else Err(_miss_secret(settings.token_file))
+    return Ok(token) if token else Err(_make_secret_fault(settings.token_file))
 
 
 def _read_variable(name: str) -> Result[str | None, Fault]:
     token = os.environ.get(name)
-    return Ok(token) if token else Err(_miss_secret(f'${name}'))
+    return Ok(token) if token else Err(_make_secret_fault(f'${name}'))
 
 
-def _miss_secret(where: str) -> Fault:
+def _make_secret_fault(where: str) -> Fault:
     return Fault(
         code=Code.secret_unreadable,
         where=where,
         got='nothing',
-        expected='the token',
+        expected='a token in this file or variable',
     )
 
 
-def _check_together(settings: Settings, name: str) -> Faults:
+def _check_conflicts(settings: Settings, name: str) -> Faults:
     ports = {
         'entry_port': settings.entry_port,
         'owner_port': settings.owner_port,
@@ -107,27 +107,29 @@
     if settings.backend.host == settings.host:
         ports['backend.port'] = settings.backend.port
     faults = [
-        _describe_impossible(name, key, f'port {port} a second time')
+        _make_conflict_fault(
+            name, key, f'port {port}, which another setting uses too'
+        )
         for key, port in ports.items()
         if list(ports.values()).count(port) > 1
     ]
     admin = settings.admin
     if admin.token_file is not None and admin.token_variable is not None:
-        got = 'token_file and token_variable'
-        faults.append(_describe_impossible(name, 'admin', got))
+        got = 'both token_file and token_variable'
+        faults.append(_make_conflict_fault(name, 'admin', got))
     return tuple(faults)
 
 
-def _describe_impossible(name: str, key: str, got: str) -> Fault:
+def _make_conflict_fault(name: str, key: str, got: str) -> Fault:
     return Fault(
         code=Code.settings_impossible,
         where=f'{name}: {key}',
         got=got,
-        expected='ports that differ, and one source for each secret',
+        expected='different ports, and only one source for each token',
     )
 
 
-def _describe(name: str, got: str, expected: str) -> Fault:
+def _make_malformed_fault(name: str, got: str, expected: str) -> Fault:
     return Fault(
         code=Code.settings_malformed,
         where=name,
@@ -136,5 +138,5 @@
     )
 
 
-def _recode(faults: Faults, code: Code) -> Faults:
+def _replace_code(faults: Faults, code: Code) -> Faults:
     return tuple(structs.replace(fault, code=code) for fault in faults)
--- a/wagtaildale/settings/model.py
+++ b/wagtaildale/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon, as its TOML file gives them."""
+"""The settings of a daemon, in the format of its TOML file."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 RETRY_SHARE: Final = 0.2
 RETRY_WINDOW_SECONDS: Final = 10.0
 RETRY_SLACK: Final = 20.0
-# Of the time to apply a version: a read that fails can then be repeated
-# twice over.
+# Share of the time to apply a version: leaves time to repeat a failed read
+# twice.
 READ_SHARE: Final = 0.2
 
 Name = Annotated[str, Meta(pattern=NAME_PATTERN)]
@@ -53,9 +53,9 @@
     """The backend server beside the node.
 
     Attributes:
-        host: its IP number.
-        port: its HTTP port.
-        slots: requests that it runs at once.
+        host: IP address of the server.
+        port: HTTP port of the server.
+        slots: most requests that the server runs at once.
     """
 
     host: Host
@@ -64,11 +64,11 @@
 
 
 class PlatformSettings(Struct, frozen=True, kw_only=True):
-    """The platform's service that is read and watched.
+    """The platform's service from which documents are read.
 
     Attributes:
-        url: its base address.
-        prefix: under which the configuration's keys stand.
+        url: base URL of the service.
+        prefix: prefix of the configuration's keys.
     """
 
     url: Url
@@ -76,11 +76,12 @@
 
 
 class DistributionSettings(Struct, frozen=True, kw_only=True):
-    """How configuration spreads.
+    """Settings of the distribution of documents.
 
     Attributes:
-        seeds: control addresses of some nodes, asked at the start.
-        spread: what weighs more, convergence time or control bytes.
+        seeds: control addresses of some nodes, which a new node contacts
+            first.
+        spread: preference between short convergence and few control bytes.
     """
 
     seeds: tuple[Seed, ...] = ()
@@ -91,14 +92,16 @@
     """Limits on what callers send, and on the planned stop.
 
     Attributes:
-        head_bytes: largest request head.
-        body_bytes: largest request body.
-        connections: callers' connections open at once.
-        drain_seconds: how long a planned stop waits for work in flight.
-        announce_seconds: of these, how long callers are served on while
-            they are told to go elsewhere.
-        linger_seconds: how long idle callers are waited for, so that their
-            next answer tells them to close.
+        head_bytes: largest request head, bytes.
+        body_bytes: largest request body, bytes.
+        connections: most connections of callers at once.
+        drain_seconds: longest wait of a planned stop for work in flight,
+            seconds.
+        announce_seconds: part of these in which callers are still served but
+            asked to use other nodes, seconds.
+        linger_seconds: time for which idle connections of callers stay open
+            in a planned stop, so that their next response asks them to close,
+            seconds.
     """
 
     head_bytes: Annotated[int, Meta(ge=MIN_HEAD_BYTES)] = HEAD_BYTES
@@ -116,12 +119,12 @@
 
 
 class TeamToken(Struct, frozen=True, kw_only=True):
-    """Where one team's token is found.
+    """Source of one team's token.
 
     Attributes:
-        team: sees and checks its own services with it.
-        token_file: file that holds it.
-        token_variable: environment variable that holds it.
+        team: team that may view and check its own services with the token.
+        token_file: file that holds the token.
+        token_variable: environment variable that holds the token.
     """
 
     team: Annotated[TeamName, Meta(pattern=NAME_PATTERN)]
@@ -130,12 +133,12 @@
 
 
 class AdminSettings(Struct, frozen=True, kw_only=True):
-    """Where the administration API's tokens are found.
+    """Sources of the administration API's tokens.
 
     Attributes:
         token_file: file that holds the operators' token.
-        token_variable: environment variable that holds it.
-        teams: tokens of teams.
+        token_variable: environment variable that holds the operators' token.
+        teams: sources of the teams' tokens.
     """
 
     token_file: str | None = None
@@ -144,11 +147,12 @@
 
 
 class CallSettings(Struct, frozen=True, kw_only=True):
-    """How calls are carried; all but the defaults are to measure against.
+    """Settings of calls; other values than the defaults are baselines.
 
     Attributes:
-        choice: how an upstream is chosen.
-        admits: whether slots bound what runs at the backend server.
+        choice: method of choosing an upstream.
+        admits: whether slots limit the requests that run at the backend
+            server at once.
         reserves: whether a non-idempotent request reserves a slot first.
         hedges: whether slow idempotent requests get a second attempt.
     """
@@ -163,23 +167,27 @@
     """Keys for the connections between nodes.
 
     Attributes:
-        secret_files: this node's own key first, then others it accepts;
-            none for connections that are neither encrypted nor checked.
+        secret_files: key files, this node's own first, then others that it
+            accepts; empty for connections without encryption and
+            authentication.
     """
 
     secret_files: Annotated[tuple[str, ...], Meta(max_length=MAX_KEYS)] = ()
 
 
 class BoundSettings(Struct, frozen=True, kw_only=True):
-    """Figures that the operators of a platform publish and hold nodes to.
+    """Bounds that the operators of a platform publish and nodes must keep.
 
     Attributes:
-        apply_seconds: in which a published version is in force everywhere.
-        drain_seconds: in which an instance that leaves gets no new work.
-        stop_seconds: from the signal to stop until the process is killed.
-        retry_share: repeated requests, as a share of all to a service.
-        retry_window_seconds: over which that share counts.
-        retry_slack: repeated requests beyond that share, over all nodes.
+        apply_seconds: longest time until a published version is in use on all
+            nodes, seconds.
+        drain_seconds: longest time until a leaving instance gets no new work,
+            seconds.
+        stop_seconds: time from the signal to stop until the process is
+            killed, seconds.
+        retry_share: most retries, as a share of all requests to a service.
+        retry_window_seconds: window over which the share is counted, seconds.
+        retry_slack: retries allowed beyond the share, over all nodes.
     """
 
     apply_seconds: Annotated[float, Meta(gt=0)] = APPLY_SECONDS
@@ -191,45 +199,45 @@
 
     @property
     def read_seconds(self) -> float:
-        """How long a read of the platform may take beyond its wait."""
+        """Longest time of a read of the platform beyond its wait, seconds."""
         return READ_SHARE * min(self.apply_seconds, self.drain_seconds)
 
 
 class LogSettings(Struct, frozen=True, kw_only=True):
-    """The log.
+    """Settings of the log.
 
     Attributes:
-        level: lowest level that is written.
+        level: lowest level that is logged.
     """
 
     level: Level = 'info'
 
 
 class Settings(Struct, frozen=True, kw_only=True):
-    """Everything that one daemon is told.
+    """All settings of one daemon.
 
     Attributes:
-        instance: id of the instance; a replacement has another one.
-        name: of the node, for people; its instance where left out.
-        service: what the backend server beside it runs.
-        data_centre: where the instance stands.
-        region: of which region that is.
-        host: IP number of the instance.
-        entry_port: where callers' requests come.
-        owner_port: where other nodes' calls come.
-        control_port: where control messages come.
-        admin_port: where the administration API answers.
-        ready_port: where ``GET /ready`` tells whether the node takes
-            callers; nothing if only the administration API tells.
+        instance: id of the instance; a replacement has another id.
+        name: name of the node, for people; the instance id if left out.
+        service: service that the backend server runs.
+        data_centre: data centre of the instance.
+        region: region of the data centre.
+        host: IP address of the instance.
+        entry_port: port for callers' requests.
+        owner_port: port for other nodes' calls.
+        control_port: port for control messages.
+        admin_port: port of the administration API.
+        ready_port: port of the readiness check ``GET /ready``; None if only
+            the administration API reports readiness.
         backend: the backend server.
         platform: the platform's service.
-        distribution: how configuration spreads.
-        limits: on callers and the planned stop.
-        admin: the administration API.
-        calls: how calls are carried.
-        keys: for connections between nodes.
-        log: the log.
-        bounds: figures that the platform's operators publish.
+        distribution: distribution of documents.
+        limits: limits on callers and on the planned stop.
+        admin: administration API.
+        calls: handling of calls.
+        keys: keys for connections between nodes.
+        log: settings of the log.
+        bounds: bounds that the platform's operators publish.
     """
 
     instance: Annotated[InstanceId, Meta(pattern=NAME_PATTERN)]
--- a/wagtaildale/settings/tests/__init__.py
+++ b/wagtaildale/settings/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the slice."""
+"""Tests of a daemon's settings."""
--- a/wagtaildale/settings/tests/test_load.py
+++ b/wagtaildale/settings/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of reading a daemon's settings."""
+"""Tests of reading the settings file of a daemon."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 """
 
 
-def test_good_settings() -> None:
+def test_valid_settings() -> None:
     settings = assert_ok(parse_settings(TEXT, name='a.toml'))
     assert settings.limits.drain_seconds > 0
 
@@ -52,18 +52,20 @@
         ('host = "127.0.0.1"', 'host = "derby.example"', 1002),
     ],
 )
-def test_bad_settings(old: str, new: str, code: Code) -> None:
+def test_invalid_settings_have_their_code(
+    old: str, new: str, code: Code
+) -> None:
     text = TEXT.replace(old, new, 1)
     faults = assert_err(parse_settings(text, name='a.toml'))
     assert {fault.code for fault in faults} == {code}
 
 
-def test_missing_file(tmp_path: Path) -> None:
+def test_missing_file_is_a_fault(tmp_path: Path) -> None:
     faults = assert_err(load_settings(tmp_path / 'none.toml'))
     assert_codes(faults, Code.settings_unreadable)
 
 
-def test_token_is_in_no_message(
+def test_token_is_read_and_never_shown(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
