--- a/wagtaildale/configuration/shapes.py
+++ b/wagtaildale/configuration/shapes.py
@@ -109,26 +109,26 @@
     return findings
 
 
-def _check_field(given: Any, hint: Any, path: KeyPath) -> list[Finding]:
+def _check_field(raw_value: Any, hint: Any, path: KeyPath) -> list[Finding]:
     element = _find_struct(hint)
     if element is None:
-        return _convert_leaf(given, hint, path)
+        return _convert_leaf(raw_value, hint, path)
     if not _is_sequence(hint):
-        return check_shape(given, shape=element, path=path)
-    if not isinstance(given, list) or not given:
-        return _convert_leaf(given, hint, path)
+        return check_shape(raw_value, shape=element, path=path)
+    if not isinstance(raw_value, list) or not raw_value:
+        return _convert_leaf(raw_value, hint, path)
     return [
         finding
-        for index, entry in enumerate(given)
+        for index, entry in enumerate(raw_value)
         for finding in check_shape(entry, shape=element, path=(*path, index))
     ]
 
 
-def _convert_leaf(given: Any, hint: Any, path: KeyPath) -> list[Finding]:
+def _convert_leaf(raw_value: Any, hint: Any, path: KeyPath) -> list[Finding]:
     try:
-        convert(given, hint)
+        convert(raw_value, hint)
     except ValidationError as error:
-        return [_describe_invalid(path, given, str(error))]
+        return [_describe_invalid(path, raw_value, str(error))]
     return []
 
 
@@ -160,10 +160,12 @@
     )
 
 
-def _describe_invalid(path: KeyPath, given: object, expected: str) -> Finding:
+def _describe_invalid(
+    path: KeyPath, raw_value: object, expected: str
+) -> Finding:
     return Finding(
         code=Code.field_invalid,
         path=path,
-        got=repr(given),
+        got=repr(raw_value),
         expected=expected,
     )
--- a/wagtaildale/configuration/validation.py
+++ b/wagtaildale/configuration/validation.py
@@ -101,10 +101,10 @@
         return pieces[0]
     return structs.replace(
         pieces[0],
-        classes=tuple(chain.from_iterable(each.classes for each in pieces)),
-        routes=tuple(chain.from_iterable(each.routes for each in pieces)),
-        connections=max(each.connections for each in pieces),
-        health_path=max(each.health_path for each in pieces),
+        classes=tuple(chain.from_iterable(piece.classes for piece in pieces)),
+        routes=tuple(chain.from_iterable(piece.routes for piece in pieces)),
+        connections=max(piece.connections for piece in pieces),
+        health_path=max(piece.health_path for piece in pieces),
     )
 
 
--- a/wagtaildale/keys/pairs.py
+++ b/wagtaildale/keys/pairs.py
@@ -72,11 +72,11 @@
     Returns:
         The pairs in the same order, or all faults.
     """
-    read = [_read_pair(Path(path)) for path in paths]
-    faults = tuple(each.err_value for each in read if isinstance(each, Err))
+    reads = [_read_pair(Path(path)) for path in paths]
+    faults = tuple(read.err_value for read in reads if isinstance(read, Err))
     if faults:
         return Err(faults)
-    return Ok(tuple(each.ok_value for each in read if isinstance(each, Ok)))
+    return Ok(tuple(read.ok_value for read in reads if isinstance(read, Ok)))
 
 
 def _read_pair(path: Path) -> Result[KeyPair, Fault]:
--- a/wagtaildale/lifecycle/stop.py
+++ b/wagtaildale/lifecycle/stop.py
@@ -105,15 +105,15 @@
             Whether all work was finished in time.
         """
         is_done = self._wait_until_done(seconds)
-        left = 0 if is_done else self.count_in_flight()
+        in_flight = 0 if is_done else self.count_in_flight()
         self._calls.finish_nodes()
-        if left:
+        if in_flight:
             self._recorder.record(
                 EventKind.node_leaving,
                 code=Code.drain_bound_passed,
-                detail=f'{left} requests were still in flight and are cut',
+                detail=f'{in_flight} requests were still in flight and are cut',
             )
-        return not left
+        return not in_flight
 
     def count_in_flight(self) -> int:
         """Count the requests in flight.
@@ -125,8 +125,10 @@
         return self._calls.busy
 
     def _wait_until_done(self, seconds: float) -> bool:
-        left = max(0, seconds - self._announce_seconds)
-        port_seconds = self._announce_seconds + OPEN_PORT_SHARE * left
+        remaining_seconds = max(0, seconds - self._announce_seconds)
+        port_seconds = (
+            self._announce_seconds + OPEN_PORT_SHARE * remaining_seconds
+        )
         started_at = read_clock()
         while read_clock() < started_at + seconds and not self._is_wait_ended:
             elapsed = read_clock() - started_at
--- a/wagtaildale/source/store.py
+++ b/wagtaildale/source/store.py
@@ -128,7 +128,7 @@
         Args:
             kind: document to build.
             entries: all entries of the store, by key.
-            version: version made from the store's revision, for a document
+            version: version built from the store's revision, for a document
                 that has no version of its own.
 
         Returns:
@@ -200,8 +200,8 @@
         """
 
     def _read_all(self) -> Result[FeedReading, ReadFailure]:
-        whole = self._store.read_all()
-        read = whole.and_then(partial(_check_era, held=self._era))
+        full_read = self._store.read_all()
+        read = full_read.and_then(partial(_check_era, held=self._era))
         if isinstance(read, Err):
             return read
         reading = read.ok_value
@@ -245,29 +245,31 @@
         reads: list[SourceRead] = []
         refused: list[EntryRefused] = []
         for kind in changed:
-            made = self._store.make_document(
+            built = self._store.make_document(
                 kind,
                 entries=self._entries,
                 version=make_version(self._era, revision=self._revision),
             )
-            if isinstance(made, Err):
+            if isinstance(built, Err):
                 # Go on with the other document: an unreadable configuration
                 # must not keep the instance list from every node, nor the
                 # other way round.
-                refused.extend(self._list_new_failures(kind, (made.err_value,)))
+                refused.extend(
+                    self._list_new_failures(kind, (built.err_value,))
+                )
                 continue
             refused.extend(
-                self._list_new_failures(kind, made.ok_value.failures)
+                self._list_new_failures(kind, built.ok_value.failures)
             )
-            if made.ok_value.version != NO_VERSION:
-                reads.append(self._make_read(kind, made.ok_value))
-        same = set(DocumentKind) - set(changed)
+            if built.ok_value.version != NO_VERSION:
+                reads.append(self._make_read(kind, built.ok_value))
+        unchanged = set(DocumentKind) - set(changed)
         confirmed = tuple(
             SourceConfirmed(
                 kind=each, version=self._find_confirmed_version(each)
             )
             for each in reversed(DocumentKind)
-            if each in same and self._versions[each] != NO_VERSION
+            if each in unchanged and self._versions[each] != NO_VERSION
         )
         return Ok(
             FeedReading(
