--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from benchmarks.measurements import Measurement
-from wagtaildale.configuration.whole import check_parts
+from wagtaildale.configuration.validation import check_parts
 from wagtaildale.distribution.wire import (
     Envelope,
     Holding,
@@ -44,7 +44,7 @@
     DataCentre,
     Incarnation,
     InstanceId,
-    Kind,
+    DocumentKind,
     NodeState,
     Version,
 )
@@ -112,10 +112,10 @@
 def _measure(size: Size) -> Costs:
     tracemalloc.start()
     configuration = _make_filled_store(
-        Kind.configuration, _build_configuration(size, 1)
+        DocumentKind.configuration, _build_configuration(size, 1)
     )
     instances = _make_filled_store(
-        Kind.instances, _build_instance_list(size, 1)
+        DocumentKind.instances, _build_instance_list(size, 1)
     )
     state = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -151,7 +151,7 @@
     }
     blobs['s0'] = build_part('s0', within_ms=100 + version)
     return make_document(
-        Kind.configuration,
+        DocumentKind.configuration,
         version=Version(version),
         blobs=blobs,
     )
@@ -174,7 +174,7 @@
     return DataCentre(f'dc{number % DATA_CENTRES}')
 
 
-def _make_filled_store(kind: Kind, document: Document) -> StoreState:
+def _make_filled_store(kind: DocumentKind, document: Document) -> StoreState:
     store = make_store(kind, check=CHECKS[kind])
     delta = make_delta(store.held, target=document)
     decide_offer(DeltaOffered(delta=delta), store)
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -22,7 +22,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import (
-    ANY_INCARNATION,
+    UNKNOWN_INCARNATION,
     Incarnation,
     InstanceId,
     Outcome,
@@ -153,7 +153,7 @@
                 for this owner.
         """
         is_known = fields.incarnation in {
-            ANY_INCARNATION,
+            UNKNOWN_INCARNATION,
             self.identity.incarnation,
         }
         if not is_known or not self._serves(fields.instance):
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -36,7 +36,7 @@
     OutlineOffered,
 )
 from wagtaildale.document.model import make_delta, make_outline
-from wagtaildale.types import InstanceId, Kind, NodeState, Version
+from wagtaildale.types import InstanceId, DocumentKind, NodeState, Version
 
 MAX_BATCH_BYTES: Final = 1_000_000
 
@@ -208,7 +208,9 @@
     )
 
 
-def _acknowledge_push(context: Context, kind: Kind, version: Version) -> None:
+def _acknowledge_push(
+    context: Context, kind: DocumentKind, version: Version
+) -> None:
     key = (context.sender, kind)
     push = context.state.pushes.get(key)
     if push is not None and push.version <= version:
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -51,7 +51,7 @@
     RequestRefused,
 )
 from wagtaildale.timers.messages import Tick, TimerName, WokeLate
-from wagtaildale.types import Kind, NodeState
+from wagtaildale.types import DocumentKind, NodeState
 
 
 @singledispatch
@@ -182,9 +182,9 @@
     forwarded: list[messages.Effect] = []
     if any(isinstance(each, messages.DocumentUpdated) for each in effects):
         schedule_confirmation(state, now=now)
-        if kind is Kind.instances and pushes_to_others(state):
+        if kind is DocumentKind.instances and pushes_to_others(state):
             forwarded = push_to_data_centres(state, kind=kind, now=now)
-    elif kind is Kind.configuration:
+    elif kind is DocumentKind.configuration:
         forwarded = _send_unless_scheduled(state, now=now)
     if state.members.state is NodeState.joining:
         # The first list determines whether this node is a reader.
@@ -202,7 +202,7 @@
     if message.version >= state.stores[message.kind].held.version:
         note_confirmed(state, kind=message.kind, now=now)
     forwarded = _clear_failure(state, message.kind)
-    if message.kind is Kind.configuration:
+    if message.kind is DocumentKind.configuration:
         forwarded.extend(_send_unless_scheduled(state, now=now))
     return [*forwarded, *review_ready(state, now=now)]
 
@@ -361,7 +361,7 @@
 
 def _clear_failure(
     state: DistributionState,
-    kind: Kind,
+    kind: DocumentKind,
 ) -> list[messages.Effect]:
     if kind not in state.failing:
         return []
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -25,7 +25,7 @@
     Rejected,
 )
 from wagtaildale.membership.state import find_topology
-from wagtaildale.types import Kind
+from wagtaildale.types import DocumentKind
 
 if TYPE_CHECKING:
     from wagtaildale.document.messages import (
@@ -43,7 +43,7 @@
 def handle_offer(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     offer: Offer,
     now: float,
     from_tree: bool = False,
@@ -88,7 +88,7 @@
 ) -> list[Effect]:
     document = outcome.document
     changes: list[Effect] = []
-    if document.kind is Kind.instances:
+    if document.kind is DocumentKind.instances:
         # These come before the list itself, so that calls never use the list
         # without its exceptions.
         changes = update_list(state, document=document, now=now)
@@ -145,7 +145,7 @@
 def request_delta(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     peer: InstanceId,
 ) -> Send:
     """Request the delta from this node's version to that of a peer.
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -21,7 +21,7 @@
 from wagtaildale.membership.news import AWAY_STATES
 from wagtaildale.suspects.records import TRIAL_ENDS
 from wagtaildale.timers.service import read_clock
-from wagtaildale.types import InstanceId, Kind, NodeState
+from wagtaildale.types import InstanceId, DocumentKind, NodeState
 
 PLATFORM_ORIGIN: Final = 'platform'
 OWN_ORIGIN: Final = 'own'
@@ -110,7 +110,7 @@
     dependencies = sender.dependencies
     if not _check_invariants(effect, dependencies):
         return
-    if document.kind is Kind.configuration:
+    if document.kind is DocumentKind.configuration:
         dependencies.view.replace_configuration(document)
         kind = EventKind.version_applied
     else:
@@ -174,17 +174,17 @@
 ) -> bool:
     document = effect.document
     transition = f'{effect.before.version} to {document.version}'
-    rises = dependencies.invariants.hold(
+    rises = dependencies.invariants.check(
         Invariant.version_rises,
         holds=document.version > effect.before.version,
         detail=transition,
     )
-    whole = dependencies.invariants.hold(
+    whole = dependencies.invariants.check(
         Invariant.version_whole,
         holds=document.entries.keys() == document.blobs.keys(),
         detail=transition,
     )
-    resources = dependencies.invariants.hold(
+    resources = dependencies.invariants.check(
         Invariant.route_has_resource,
         holds=CHECKS[document.kind](document).is_ok(),
         detail=transition,
@@ -219,7 +219,7 @@
         kind = EventKind.node_ready
     away = sender.state.members.list_away()
     sender.dependencies.view.replace_away(away)
-    held = sender.state.stores[Kind.configuration].held
+    held = sender.state.stores[DocumentKind.configuration].held
     sender.dependencies.recorder.record(kind, version=held.version)
 
 
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -21,7 +21,7 @@
 
     from wagtaildale.distribution.messages import Effect
     from wagtaildale.document.model import Delta
-    from wagtaildale.types import InstanceId, Kind
+    from wagtaildale.types import InstanceId, DocumentKind
 
 MAX_INLINE_BYTES: Final = 65_536
 MAX_PUSH_ATTEMPTS: Final = 2
@@ -30,7 +30,7 @@
 def push_version(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
     from_tree: bool,
 ) -> list[Effect]:
@@ -62,7 +62,7 @@
 def push_to_data_centres(
     state: DistributionState,
     *,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
 ) -> list[Effect]:
     """Push a version that was read from the platform to other data centres.
@@ -140,7 +140,7 @@
 def _push_to(
     state: DistributionState,
     peer: InstanceId,
-    kind: Kind,
+    kind: DocumentKind,
     now: float,
     attempts: int = 1,
 ) -> Send:
--- a/wagtaildale/distribution/state.py
+++ b/wagtaildale/distribution/state.py
@@ -19,7 +19,7 @@
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.membership.state import MembershipState
 from wagtaildale.suspects.table import SuspectTable
-from wagtaildale.types import DataCentre, InstanceId, Kind, Version
+from wagtaildale.types import DataCentre, InstanceId, DocumentKind, Version
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.tuning import Tuning
@@ -131,7 +131,7 @@
 
     started_at: float
     replied_peers: set[InstanceId] = field(default_factory=set)
-    confirmed_kinds: set[Kind] = field(default_factory=set)
+    confirmed_kinds: set[DocumentKind] = field(default_factory=set)
     next_read_at: float = NEVER
     read_count: int = 0
     next_check_at: float = NEVER
@@ -166,11 +166,11 @@
     tuning: Tuning
     seeds: tuple[str, ...]
     joining: Joining
-    stores: dict[Kind, StoreState]
-    freshness: dict[Kind, Freshness]
+    stores: dict[DocumentKind, StoreState]
+    freshness: dict[DocumentKind, Freshness]
     lapses: Lapses = field(default_factory=Lapses)
     delays: Delays = field(default_factory=Delays)
-    pushes: dict[tuple[InstanceId, Kind], PendingPush] = field(
+    pushes: dict[tuple[InstanceId, DocumentKind], PendingPush] = field(
         default_factory=dict,
     )
     pending_replies: dict[InstanceId, float] = field(default_factory=dict)
@@ -178,11 +178,11 @@
     appointed_at: float = NEVER
     listed_at: float | None = None
     confirmation_due_at: float | None = None
-    failing: set[Kind] = field(default_factory=set)
+    failing: set[DocumentKind] = field(default_factory=set)
     suspects: SuspectTable = field(default_factory=SuspectTable)
     swap_count: int = 0
 
-    def describe_holding(self, kind: Kind, now: float) -> Holding:
+    def describe_holding(self, kind: DocumentKind, now: float) -> Holding:
         """Describe the current version of a document and its freshness.
 
         Args:
@@ -263,9 +263,9 @@
         seeds=seeds,
         joining=Joining(started_at=now),
         stores=_make_stores(),
-        freshness={kind: Freshness() for kind in Kind},
+        freshness={kind: Freshness() for kind in DocumentKind},
     )
 
 
-def _make_stores() -> dict[Kind, StoreState]:
-    return {kind: make_store(kind, check=CHECKS[kind]) for kind in Kind}
+def _make_stores() -> dict[DocumentKind, StoreState]:
+    return {kind: make_store(kind, check=CHECKS[kind]) for kind in DocumentKind}
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -18,7 +18,7 @@
 )
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.testing.builders import build_configuration
-from wagtaildale.types import InstanceId, Kind, NodeState
+from wagtaildale.types import InstanceId, DocumentKind, NodeState
 
 B = InstanceId('b')
 ROUNDS_TO_JOIN = 5
@@ -136,10 +136,10 @@
     network.source.down = True
     for name in tuple(network.nodes):
         network.restart(name)
-    before = network.source.reads[Kind.configuration.name]
+    before = network.source.reads[DocumentKind.configuration.name]
     for _round in range(200):
         network.run_round(seconds=0.05)
-    reads = network.source.reads[Kind.configuration.name] - before
+    reads = network.source.reads[DocumentKind.configuration.name] - before
     assert reads <= 35 * len(network.nodes)
     network.source.down = False
     for _round in range(20):
--- a/wagtaildale/distribution/tests/watched_fleet.py
+++ b/wagtaildale/distribution/tests/watched_fleet.py
@@ -16,7 +16,7 @@
 from wagtaildale.timers.messages import Tick, TimerName
 from wagtaildale.types import (
     InstanceId,
-    Kind,
+    DocumentKind,
     ListedState,
     NodeState,
     Version,
@@ -99,7 +99,9 @@
         Returns:
             Version of the new list.
         """
-        version = Version(_find_shown(self.network, Kind.instances).version + 1)
+        version = Version(
+            _find_shown(self.network, DocumentKind.instances).version + 1
+        )
         self.network.records = [
             _mark_leaving(record) if record.instance == instance else record
             for record in self.network.records
@@ -173,7 +175,9 @@
         first_read_at = now + self.read_share * tuning.read_seconds
         self._next_read_at.setdefault(name, first_read_at)
         began = self._watch_began.setdefault(name, now)
-        shown = [_find_shown(self.network, kind) for kind in reversed(Kind)]
+        shown = [
+            _find_shown(self.network, kind) for kind in reversed(DocumentKind)
+        ]
         versions = tuple(document.version for document in shown)
         is_ready = now >= self._next_read_at[name]
         if is_ready and self._versions_read.get(name) != versions:
@@ -200,12 +204,12 @@
             merge_news(node.state.members, received=received, now=network.now)
 
 
-def _find_shown(network: FakeNetwork, kind: Kind) -> Document:
+def _find_shown(network: FakeNetwork, kind: DocumentKind) -> Document:
     return network.source.published[kind]
 
 
 def _read_list_version(node: FakeNode) -> Version:
-    return node.state.stores[Kind.instances].held.version
+    return node.state.stores[DocumentKind.instances].held.version
 
 
 def _mark_leaving(record: InstanceRecord) -> InstanceRecord:
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.document.model import Delta, Document, Outline
 from wagtaildale.errors.faults import Fault
-from wagtaildale.types import Digest, InstanceId, Kind, Version
+from wagtaildale.types import Digest, InstanceId, DocumentKind, Version
 
 # Peer that offered something; nothing if it was the platform.
 Origin = InstanceId | None
@@ -29,7 +29,7 @@
 class BlobsOffered(Struct, frozen=True, kw_only=True):
     """Requested blobs were received."""
 
-    kind: Kind
+    kind: DocumentKind
     blobs: tuple[bytes, ...]
     origin: Origin = None
 
@@ -59,7 +59,7 @@
         is_first: whether the rejection is new and should be reported.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     fault: Fault
     is_first: bool = False
@@ -68,14 +68,14 @@
 class OutlineWanted(Struct, frozen=True, kw_only=True):
     """The base of a delta is not held; the outline is to be requested."""
 
-    kind: Kind
+    kind: DocumentKind
     origin: Origin
 
 
 class BlobsWanted(Struct, frozen=True, kw_only=True):
     """Blobs of a pending version are missing and to be requested."""
 
-    kind: Kind
+    kind: DocumentKind
     digests: tuple[Digest, ...]
     origin: Origin
 
--- a/wagtaildale/document/model.py
+++ b/wagtaildale/document/model.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct
 
-from wagtaildale.configuration.compiled import DIGEST_SIZE, hash_part
-from wagtaildale.types import NO_VERSION, Digest, Kind, Version
+from wagtaildale.configuration.compiled import DIGEST_BYTES, hash_part
+from wagtaildale.types import NO_VERSION, Digest, DocumentKind, Version
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -32,7 +32,7 @@
         entries: content hashes, by name.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     entries: dict[str, Digest]
 
@@ -51,7 +51,7 @@
         removed: names of removed entries.
     """
 
-    kind: Kind
+    kind: DocumentKind
     base_version: Version
     base_digest: Digest
     version: Version
@@ -71,14 +71,14 @@
         blobs: contents, by name.
     """
 
-    kind: Kind
+    kind: DocumentKind
     version: Version
     digest: Digest
     entries: Mapping[str, Digest]
     blobs: Mapping[str, bytes]
 
 
-def make_empty(kind: Kind) -> Document:
+def make_empty(kind: DocumentKind) -> Document:
     """Make the empty document that a new node holds.
 
     Args:
@@ -97,7 +97,7 @@
 
 
 def make_document(
-    kind: Kind,
+    kind: DocumentKind,
     *,
     version: Version,
     blobs: Mapping[str, bytes],
@@ -153,7 +153,7 @@
     """
     if outline.version == NO_VERSION:
         return NO_DIGEST
-    state = blake2b(digest_size=DIGEST_SIZE)
+    state = blake2b(digest_size=DIGEST_BYTES)
     state.update(outline.version.to_bytes(VERSION_BYTES))
     for name in sorted(outline.entries):
         state.update(name.encode())
--- a/wagtaildale/routing/table.py
+++ b/wagtaildale/routing/table.py
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from wagtaildale.configuration.whole import Configuration
+    from wagtaildale.configuration.validation import Configuration
 
 
 # Retries of a request whose route sets no number of attempts.
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -13,7 +13,7 @@
 from wagtaildale.routing.ejection import Ejection
 from wagtaildale.routing.known_limits import ServerLimit
 from wagtaildale.routing.speed import Speed, decay_linearly
-from wagtaildale.types import ANY_INCARNATION, Incarnation, InstanceId
+from wagtaildale.types import UNKNOWN_INCARNATION, Incarnation, InstanceId
 
 # Concurrency limit that is assumed before the first report.
 INITIAL_LIMIT: Final = 10
@@ -116,7 +116,7 @@
             now: current time, in seconds.
         """
         self.instance = instance
-        self.incarnation = ANY_INCARNATION
+        self.incarnation = UNKNOWN_INCARNATION
         self.ejection = Ejection()
         self.pending = 0
         self.in_flight = 0
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -34,7 +34,7 @@
     Digest,
     Incarnation,
     InstanceId,
-    Kind,
+    DocumentKind,
     Version,
 )
 
@@ -68,7 +68,7 @@
             blobs read, under ``blobs``.
     """
 
-    published: dict[Kind, Document]
+    published: dict[DocumentKind, Document]
     blobs: dict[Digest, bytes] = field(default_factory=dict)
     down: bool = False
     reads: Counter[str] = field(default_factory=Counter)
@@ -98,10 +98,12 @@
     """
 
     state: DistributionState
-    watching: set[Kind] = field(default_factory=set)
+    watching: set[DocumentKind] = field(default_factory=set)
     running: bool = True
     paused: bool = False
-    held_versions: dict[Kind, list[Version]] = field(default_factory=dict)
+    held_versions: dict[DocumentKind, list[Version]] = field(
+        default_factory=dict
+    )
     effects: list[messages.Effect] = field(default_factory=list)
 
     def set_watch(self, effect: messages.Watch) -> None:
@@ -147,7 +149,7 @@
         self.sent: Counter[type[Body]] = Counter()
         self.partitions: set[frozenset[InstanceId]] = set()
         self.source = FakeSource(
-            published={kind: make_empty(kind) for kind in Kind},
+            published={kind: make_empty(kind) for kind in DocumentKind},
         )
         self.records = [
             build_record(
@@ -342,7 +344,9 @@
             seeds=(SEED,),
             now=self.now,
         )
-        return FakeNode(state=state, held_versions={kind: [] for kind in Kind})
+        return FakeNode(
+            state=state, held_versions={kind: [] for kind in DocumentKind}
+        )
 
     def _run_effect(
         self, instance: InstanceId, effect: messages.Effect
@@ -366,13 +370,13 @@
         elif isinstance(effect, messages.ReadBlobs):
             self._read_blobs(instance, effect)
 
-    def _read_document(self, instance: InstanceId, kind: Kind) -> None:
+    def _read_document(self, instance: InstanceId, kind: DocumentKind) -> None:
         self.source.reads[kind.name] += 1
         document = self.source.published[kind]
         if self.source.down or not document.version:
             return
         blobs: tuple[bytes, ...] = ()
-        if kind is Kind.instances:
+        if kind is DocumentKind.instances:
             blobs = tuple(document.blobs.values())
         outline = make_outline(document)
         self.dispatch(
@@ -412,5 +416,5 @@
         )
 
 
-def _get_kind_value(kind: Kind) -> str:
+def _get_kind_value(kind: DocumentKind) -> str:
     return kind.value
