--- a/wagtaildale/calls/backends.py
+++ b/wagtaildale/calls/backends.py
@@ -296,7 +296,7 @@
         # A connection that has given a stray response, or has not taken all
         # of a request, is not used again: what comes next on it is unsure.
         clean = self._stray is None and not self._parser.has_more()
-        whole = not request.more and not self._stream.unsent
+        whole = not request.more and not self._stream.unsent_bytes
         if message.keep_alive and clean and whole:
             self.used_at = read_clock()
             self.idle_until = self.used_at + _find_idle_seconds(message)
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -202,7 +202,7 @@
         Unsent output counts as one request: otherwise the node would consider a
         long answer to a slow reader done, and end before it is sent.
         """
-        return len(self._exchanges) or int(self._stream.unsent > 0)
+        return len(self._exchanges) or int(self._stream.unsent_bytes > 0)
 
     @property
     def is_full(self) -> bool:
@@ -435,7 +435,7 @@
         self._is_finishing = True
         if aborted:
             self._stream.close()
-        elif self._stream.unsent:
+        elif self._stream.unsent_bytes:
             # Closing now would cut off the answer to a slow reader. The
             # connection closes once all of it is sent.
             self._drop_exchanges()
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -291,7 +291,7 @@
     @property
     def unsent(self) -> int:
         """Number of bytes not yet sent."""
-        return self._stream.unsent
+        return self._stream.unsent_bytes
 
     def open_call(self, receiver: PeerReceiver) -> CallNumber:
         """Open a call; see ``Peer``.
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -341,7 +341,7 @@
         Unsent output counts as one call: otherwise a stop would end the process
         with answers unsent that a slow connection has yet to take.
         """
-        return self.calls.active_calls or int(self._stream.unsent > 0)
+        return self.calls.active_calls or int(self._stream.unsent_bytes > 0)
 
     def send_load(self, load: LoadReport) -> None:
         """Send a load report to the entry.
--- a/wagtaildale/reactor/stream.py
+++ b/wagtaildale/reactor/stream.py
@@ -94,7 +94,7 @@
         loop.watch(self._number, self._events, self._on_events)
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """How many bytes wait to be sent."""
         return len(self._unsent)
 
@@ -296,7 +296,7 @@
         """Throw bytes away."""
 
     def on_end(self) -> None:
-        if not self._stream.unsent:
+        if not self._stream.unsent_bytes:
             self._stream.close()
 
     def on_lost(self, error: OSError) -> None:
