--- a/wagtaildale/admin/__init__.py
+++ b/wagtaildale/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The administration API of one node."""
+"""Administration API of a node."""
--- a/wagtaildale/admin/client.py
+++ b/wagtaildale/admin/client.py
@@ -13,13 +13,13 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 
-Shape = TypeVar('Shape')
+Document = TypeVar('Document')
 
-CONNECT_MS: Final = 1000
-ANSWER_MS: Final = 10_000
+CONNECT_TIMEOUT_MS: Final = 1000
+RESPONSE_TIMEOUT_MS: Final = 10_000
 STATUS_OK: Final = 200
 STATUS_UNAUTHORISED: Final = 401
-STATUS_UNKNOWN: Final = 404
+STATUS_NOT_FOUND: Final = 404
 
 
 class AdminClient(Struct, frozen=True, kw_only=True):
@@ -37,34 +37,34 @@
         self,
         path: str,
         *,
-        shape: type[Shape],
+        document_type: type[Document],
         query: dict[str, str] | None = None,
-    ) -> Result[Shape, Fault]:
+    ) -> Result[Document, Fault]:
         """Read one document.
 
         Args:
             path: of the API.
-            shape: what it becomes.
+            document_type: what it becomes.
             query: parameters.
 
         Returns:
             The document, or the fault.
         """
         curl = self._prepare(f'{path}?{urlencode(query or {})}')
-        return self._perform(curl, shape)
+        return self._perform(curl, document_type)
 
     def send(
         self,
         path: str,
         *,
-        shape: type[Shape],
+        document_type: type[Document],
         body: bytes = b'',
-    ) -> Result[Shape, Fault]:
+    ) -> Result[Document, Fault]:
         """Send something by POST.
 
         Args:
             path: of the API.
-            shape: what the answer becomes.
+            document_type: what the answer becomes.
             body: what is sent.
 
         Returns:
@@ -75,13 +75,13 @@
         # handle has a connection of its own.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.POSTFIELDS, body)
-        return self._perform(curl, shape)
+        return self._perform(curl, document_type)
 
     def _perform(
         self,
         curl: pycurl.Curl,
-        shape: type[Shape],
-    ) -> Result[Shape, Fault]:
+        document_type: type[Document],
+    ) -> Result[Document, Fault]:
         body = BytesIO()
         curl.setopt(pycurl.WRITEDATA, body)
         try:
@@ -92,28 +92,30 @@
         curl.close()
         if status != STATUS_OK:
             return Err(self._describe_status(status))
-        return self._decode(body.getvalue(), shape)
+        return self._decode(body.getvalue(), document_type)
 
     def _prepare(self, target: str) -> pycurl.Curl:
         curl = pycurl.Curl()
         curl.setopt(pycurl.URL, f'http://{self.address}{target}')
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.PROXY, '')
-        curl.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_MS)
-        curl.setopt(pycurl.TIMEOUT_MS, ANSWER_MS)
+        curl.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS)
+        curl.setopt(pycurl.TIMEOUT_MS, RESPONSE_TIMEOUT_MS)
         if self.token is not None:
             authorization = f'Authorization: Bearer {self.token}'
             curl.setopt(pycurl.HTTPHEADER, [authorization])
         return curl
 
-    def _decode(self, body: bytes, shape: type[Shape]) -> Result[Shape, Fault]:
+    def _decode(
+        self, body: bytes, document_type: type[Document]
+    ) -> Result[Document, Fault]:
         try:
-            return Ok(json.decode(body, type=shape))
+            return Ok(json.decode(body, type=document_type))
         except MsgspecError as error:
             return Err(self._describe(str(error)))
 
     def _describe_status(self, status: int) -> Fault:
-        if status == STATUS_UNKNOWN:
+        if status == STATUS_NOT_FOUND:
             return Fault(
                 code=Code.admin_not_found,
                 where=self.address,
--- a/wagtaildale/admin/pages.py
+++ b/wagtaildale/admin/endpoints.py
@@ -34,11 +34,11 @@
     from wagtaildale.admin.fleet import FleetReporter
     from wagtaildale.node import Node
 
-LARGEST_PROPOSAL: Final = 1_000_000
-LARGEST_FINGERPRINT: Final = 256
+MAX_PROPOSAL_BYTES: Final = 1_000_000
+MAX_FINGERPRINT_BYTES: Final = 256
 
 
-class Context(Struct, frozen=True, kw_only=True):
+class RequestContext(Struct, frozen=True, kw_only=True):
     """What a page is made from."""
 
     node: Any
@@ -47,7 +47,7 @@
     scope: Scope
 
 
-def show_node(context: Context) -> NodeReport:
+def show_node(context: RequestContext) -> NodeReport:
     """Show this node's state.
 
     Args:
@@ -57,10 +57,10 @@
         The report, with the classes that the token opens.
     """
     node: Node = context.node
-    return _narrow(report_node(node), context)
+    return _restrict_classes(report_node(node), context)
 
 
-def show_fleet(context: Context) -> FleetReport:
+def show_fleet(context: RequestContext) -> FleetReport:
     """Show the fleet as far as this node can find out.
 
     Args:
@@ -75,7 +75,7 @@
     return fleet.report(token=header.removeprefix(BEARER) or None)
 
 
-def show_timeline(context: Context) -> Timeline:
+def show_timeline(context: RequestContext) -> Timeline:
     """Show this node's events after a stamp.
 
     Args:
@@ -84,14 +84,14 @@
     Returns:
         The events; operators only.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     node: Node = context.node
     since = context.request.args.get('since', 0, type=int)
     events = node.parts.recorder.read_since(since)
     return Timeline(events=tuple(events))
 
 
-def show_explanation(context: Context) -> Explanation:
+def show_explanation(context: RequestContext) -> Explanation:
     """Explain where a request would go.
 
     Args:
@@ -114,7 +114,7 @@
     return explanation
 
 
-def show_instances(context: Context) -> InstanceAddresses:
+def show_instances(context: RequestContext) -> InstanceAddresses:
     """List where all nodes are administered.
 
     Args:
@@ -136,7 +136,7 @@
     )
 
 
-def check_file(context: Context) -> ProposalReport:
+def check_file(context: RequestContext) -> ProposalReport:
     """Check a proposed file, sent as the body.
 
     Args:
@@ -147,14 +147,14 @@
     """
     node: Node = context.node
     request: Request = context.request
-    if (request.content_length or 0) > LARGEST_PROPOSAL:
+    if (request.content_length or 0) > MAX_PROPOSAL_BYTES:
         raise RequestEntityTooLarge
     text = request.get_data().decode('utf-8', errors='replace')
     view = node.parts.view.current
     return check_proposal(text, view=view, scope=context.scope)
 
 
-def drain_node(context: Context) -> DrainReport:
+def drain_node(context: RequestContext) -> DrainReport:
     """Begin this node's planned stop, as SIGTERM does.
 
     Args:
@@ -163,13 +163,13 @@
     Returns:
         What is in flight; operators only.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     node: Node = context.node
     node.drain_asked.set()
     return DrainReport(in_flight=node.stop.count_in_flight())
 
 
-def show_ready(context: Context) -> ReadyReport:
+def show_ready(context: RequestContext) -> ReadyReport:
     """Show whether this node is ready; needs no token.
 
     Args:
@@ -182,7 +182,7 @@
     return ReadyReport(state=node.parts.states[-1].value)
 
 
-def show_suspects(context: Context) -> SuspectsReport:
+def show_suspects(context: RequestContext) -> SuspectsReport:
     """Show the requests under which servers have ended.
 
     Args:
@@ -191,11 +191,11 @@
     Returns:
         The report; operators only.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     return report_suspects(context.node)
 
 
-def clear_request(context: Context) -> SuspectsReport:
+def clear_request(context: RequestContext) -> SuspectsReport:
     """Let the request run again whose fingerprint is sent as the body.
 
     Args:
@@ -204,40 +204,42 @@
     Returns:
         What was known of it; operators only.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     request: Request = context.request
-    if (request.content_length or 0) > LARGEST_FINGERPRINT:
+    if (request.content_length or 0) > MAX_FINGERPRINT_BYTES:
         raise RequestEntityTooLarge
-    named = request.get_data().decode('latin-1').strip()
-    return clear_suspect(context.node, named)
+    fingerprint_text = request.get_data().decode('latin-1').strip()
+    return clear_suspect(context.node, fingerprint_text)
 
 
-class Page(Struct, frozen=True, kw_only=True):
+class Endpoint(Struct, frozen=True, kw_only=True):
     """One page of the API.
 
     Attributes:
         method: HTTP method.
         path: of the page.
-        make: makes its document.
-        shape: of the document.
+        build_document: makes its document.
+        document_type: of the document.
         summary: for people.
         query: names of its parameters.
     """
 
     method: str
     path: str
-    make: Callable[[Context], Struct]
-    shape: type[Struct]
+    build_document: Callable[[RequestContext], Struct]
+    document_type: type[Struct]
     summary: str
     query: tuple[str, ...] = ()
 
 
-def _check_whole(context: Context) -> None:
-    if not context.scope.is_whole:
+def _require_unrestricted(context: RequestContext) -> None:
+    if not context.scope.is_unrestricted:
         raise Forbidden
 
 
-def _narrow(report: NodeReport, context: Context) -> NodeReport:
+def _restrict_classes(
+    report: NodeReport, context: RequestContext
+) -> NodeReport:
     view = context.node.parts.view.current
     classes = tuple(
         state
@@ -247,77 +249,77 @@
     return structs.replace(report, classes=classes)
 
 
-PAGES: Final = (
-    Page(
+ENDPOINTS: Final = (
+    Endpoint(
         method='GET',
         path='/v1/node',
-        make=show_node,
-        shape=NodeReport,
+        build_document=show_node,
+        document_type=NodeReport,
         summary='State of this node',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/fleet',
-        make=show_fleet,
-        shape=FleetReport,
+        build_document=show_fleet,
+        document_type=FleetReport,
         summary='State of the fleet, each part with its age',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/timeline',
-        make=show_timeline,
-        shape=Timeline,
+        build_document=show_timeline,
+        document_type=Timeline,
         summary='Events of this node after a stamp',
         query=('since',),
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/explain',
-        make=show_explanation,
-        shape=Explanation,
+        build_document=show_explanation,
+        document_type=Explanation,
         summary='Class and upstreams of a request',
         query=('method', 'path'),
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/instances',
-        make=show_instances,
-        shape=InstanceAddresses,
+        build_document=show_instances,
+        document_type=InstanceAddresses,
         summary='Where every node is administered',
     ),
-    Page(
+    Endpoint(
         method='POST',
         path='/v1/check',
-        make=check_file,
-        shape=ProposalReport,
+        build_document=check_file,
+        document_type=ProposalReport,
         summary='Faults of a proposed file, or what it would change',
     ),
-    Page(
+    Endpoint(
         method='POST',
         path='/v1/drain',
-        make=drain_node,
-        shape=DrainReport,
+        build_document=drain_node,
+        document_type=DrainReport,
         summary='Begin the planned stop of this node',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/suspects',
-        make=show_suspects,
-        shape=SuspectsReport,
+        build_document=show_suspects,
+        document_type=SuspectsReport,
         summary='Requests under which servers have ended',
     ),
-    Page(
+    Endpoint(
         method='POST',
         path='/v1/suspects/clear',
-        make=clear_request,
-        shape=SuspectsReport,
+        build_document=clear_request,
+        document_type=SuspectsReport,
         summary='Let the request with the fingerprint in the body run again',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/ready',
-        make=show_ready,
-        shape=ReadyReport,
+        build_document=show_ready,
+        document_type=ReadyReport,
         summary='Whether this node is ready',
     ),
 )
--- a/wagtaildale/admin/fleet.py
+++ b/wagtaildale/admin/fleet.py
@@ -1,6 +1,6 @@
 """Any node answers for the fleet, at a bounded cost.
 
-A request asks at most ``ASKED_AT_ONCE`` nodes anew, those of which the news
+A request asks at most ``MAX_NODES_ASKED`` nodes anew, those of which the news
 is oldest; the rest is answered from before, with its age. In a fleet of
 2,500 a status that is asked for every second is whole after 40 of them, and
 no node is asked more often than it is asked for.
@@ -23,12 +23,12 @@
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.node import Node
 
-ASKED_AT_ONCE: Final = 64
-WORKERS: Final = 8
-PATIENCE_SECONDS: Final = 3.0
-FRESH_SECONDS: Final = 1.0
-MILLISECONDS: Final = 1000
-NEVER: Final = float('-inf')
+MAX_NODES_ASKED: Final = 64
+WORKER_COUNT: Final = 8
+POLL_TIMEOUT_SECONDS: Final = 3.0
+MIN_POLL_INTERVAL_SECONDS: Final = 1.0
+MILLISECONDS_PER_SECOND: Final = 1000
+NEVER_ASKED: Final = float('-inf')
 
 
 class FleetReporter:
@@ -43,7 +43,7 @@
         self._node = node
         self._lock = threading.Lock()
         self._reports: dict[str, tuple[float, NodeReport]] = {}
-        self._asked: dict[str, float] = {}
+        self._asked_at: dict[str, float] = {}
 
     def report(self, *, token: str | None) -> FleetReport:
         """Report on the fleet.
@@ -56,17 +56,17 @@
         """
         with self._lock:
             records = self._list_records()
-            self._ask(self._pick(records), token)
+            self._poll(self._select_stalest(records), token)
             own = report_node(self._node)
             now = read_clock()
             self._reports[own.instance] = (now, own)
-            return self._sum_up(records, now)
+            return self._make_report(records, now)
 
     def _list_records(self) -> dict[str, InstanceRecord]:
         view = self._node.parts.view.current
         return {record.instance: record for record in view.list_records()}
 
-    def _pick(
+    def _select_stalest(
         self,
         records: dict[str, InstanceRecord],
     ) -> list[InstanceRecord]:
@@ -76,31 +76,34 @@
             record
             for name, record in records.items()
             if name != own
-            and now - self._asked.get(name, NEVER) > FRESH_SECONDS
+            and now - self._asked_at.get(name, NEVER_ASKED)
+            > MIN_POLL_INTERVAL_SECONDS
         ]
-        due.sort(key=lambda record: self._asked.get(record.instance, NEVER))
-        return due[:ASKED_AT_ONCE]
+        due.sort(
+            key=lambda record: self._asked_at.get(record.instance, NEVER_ASKED)
+        )
+        return due[:MAX_NODES_ASKED]
 
-    def _ask(self, chosen: list[InstanceRecord], token: str | None) -> None:
-        executor = ThreadPoolExecutor(WORKERS)
+    def _poll(self, chosen: list[InstanceRecord], token: str | None) -> None:
+        executor = ThreadPoolExecutor(WORKER_COUNT)
         futures = [
-            executor.submit(self._ask_one, record, token) for record in chosen
+            executor.submit(self._poll_node, record, token) for record in chosen
         ]
-        wait(futures, timeout=PATIENCE_SECONDS)
+        wait(futures, timeout=POLL_TIMEOUT_SECONDS)
         executor.shutdown(wait=False, cancel_futures=True)
 
-    def _ask_one(self, record: InstanceRecord, token: str | None) -> None:
-        self._asked[record.instance] = read_clock()
+    def _poll_node(self, record: InstanceRecord, token: str | None) -> None:
+        self._asked_at[record.instance] = read_clock()
         client = AdminClient(
             address=f'{record.host}:{record.admin_port}',
             token=token,
         )
-        found = client.read('/v1/node', shape=NodeReport)
+        found = client.read('/v1/node', document_type=NodeReport)
         if isinstance(found, Ok):
             report = found.ok_value
             self._reports[report.instance] = (read_clock(), report)
 
-    def _sum_up(
+    def _make_report(
         self,
         records: dict[str, InstanceRecord],
         now: float,
@@ -112,7 +115,7 @@
             if known is None:
                 unknown.append(name)
                 continue
-            age = round((now - known[0]) * MILLISECONDS)
+            age = round((now - known[0]) * MILLISECONDS_PER_SECOND)
             parts.append(ReportPart(age_ms=age, report=known[1]))
         return FleetReport(
             asked=self._node.parts.identity.instance,
--- a/wagtaildale/admin/openapi.py
+++ b/wagtaildale/admin/openapi.py
@@ -6,7 +6,7 @@
 
 from msgspec import json
 
-from wagtaildale.admin.pages import PAGES, Page
+from wagtaildale.admin.endpoints import ENDPOINTS, Endpoint
 
 VERSION: Final = '3.1.0'
 REFERENCE: Final = '#/components/schemas/{name}'
@@ -20,14 +20,16 @@
     Returns:
         An OpenAPI document.
     """
-    shapes = [page.shape for page in PAGES]
+    document_types = [endpoint.document_type for endpoint in ENDPOINTS]
     schemas, components = json.schema_components(
-        shapes,
+        document_types,
         ref_template=REFERENCE,
     )
     paths = {
-        page.path: {page.method.lower(): _describe_page(page, schema)}
-        for page, schema in zip(PAGES, schemas, strict=True)
+        endpoint.path: {
+            endpoint.method.lower(): _describe_endpoint(endpoint, schema)
+        }
+        for endpoint, schema in zip(ENDPOINTS, schemas, strict=True)
     }
     return {
         'openapi': VERSION,
@@ -50,16 +52,16 @@
     return json.format(json.encode(describe_api(), order='sorted')) + b'\n'
 
 
-def _describe_page(page: Page, schema: Description) -> Description:
+def _describe_endpoint(endpoint: Endpoint, schema: Description) -> Description:
     return {
-        'summary': page.summary,
+        'summary': endpoint.summary,
         'parameters': [
             {'name': name, 'in': 'query', 'schema': {'type': 'string'}}
-            for name in page.query
+            for name in endpoint.query
         ],
         'responses': {
             '200': {
-                'description': page.summary,
+                'description': endpoint.summary,
                 'content': {'application/json': {'schema': schema}},
             },
         },
--- a/wagtaildale/admin/port.py
+++ b/wagtaildale/admin/port.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from wagtaildale.admin.scopes import Doorkeeper, make_doorkeeper
+from wagtaildale.admin.scopes import TokenAuthenticator, make_authenticator
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 
@@ -35,7 +35,7 @@
             node: that is administered.
         """
         self._node = node
-        self._doorkeeper = Doorkeeper({})
+        self._authenticator = TokenAuthenticator({})
         self._listener: socket.socket | None = None
         self._server: AdminServer | None = None
         sender, receiver = socket.socketpair()
@@ -49,10 +49,10 @@
             Nothing, or the fault.
         """
         settings = self._node.parts.settings
-        doorkeeper = make_doorkeeper(settings.admin)
-        if isinstance(doorkeeper, Err):
-            return doorkeeper
-        self._doorkeeper = doorkeeper.ok_value
+        authenticator = make_authenticator(settings.admin)
+        if isinstance(authenticator, Err):
+            return authenticator
+        self._authenticator = authenticator.ok_value
         address = (settings.host, settings.admin_port)
         try:
             self._listener = socket.create_server(address, backlog=BACKLOG)
@@ -89,6 +89,6 @@
 
         return AdminServer(
             self._node,
-            doorkeeper=self._doorkeeper,
+            authenticator=self._authenticator,
             listener=listener,
         )
--- a/wagtaildale/admin/proposals.py
+++ b/wagtaildale/admin/proposals.py
@@ -59,7 +59,7 @@
     return {
         name
         for name, part in parts.items()
-        if scope.is_whole or part.team == scope.team
+        if scope.is_unrestricted or part.team == scope.team
     }
 
 
--- a/wagtaildale/admin/reports.py
+++ b/wagtaildale/admin/reports.py
@@ -25,7 +25,7 @@
     from wagtaildale.routing.view import FleetView
     from wagtaildale.telemetry.tallies import ClassTally
 
-STATUS_FILE: Final = '/proc/self/statm'
+MEMORY_FILE: Final = '/proc/self/statm'
 
 
 def report_node(node: Node) -> NodeReport:
@@ -57,7 +57,7 @@
         backend=_report_backend(node),
         invariants_broken=parts.invariants.broken,
         cpu_seconds=time.process_time(),
-        resident_bytes=_read_resident(),
+        resident_bytes=_read_resident_bytes(),
     )
 
 
@@ -127,21 +127,21 @@
     now = read_clock()
     placement = node.calls.entry.parts.placement
     upstream = placement.statistics.find(record.instance, now=now)
-    near = record.data_centre == node.parts.settings.data_centre
-    place = 'own data centre' if near else record.data_centre
+    is_local = record.data_centre == node.parts.settings.data_centre
+    location = 'own data centre' if is_local else record.data_centre
     load = round(upstream.measure_load(now) * 100)
     slowness = round(upstream.speed.find_slowness(now), 1)
     return ', '.join(
         (
-            f'{record.instance}: {place}',
-            _describe_work(node, view, record),
+            f'{record.instance}: {location}',
+            _describe_availability(node, view, record),
             f'{load}% of its limit',
             f'{slowness} times the usual time',
         ),
     )
 
 
-def _describe_work(
+def _describe_availability(
     node: Node,
     view: FleetView,
     record: InstanceRecord,
@@ -234,7 +234,7 @@
     )
 
 
-def _read_resident() -> int:
-    with open(STATUS_FILE, encoding='ascii') as status:
+def _read_resident_bytes() -> int:
+    with open(MEMORY_FILE, encoding='ascii') as status:
         pages = int(status.read().split()[1])
     return pages * resource.getpagesize()
--- a/wagtaildale/admin/scopes.py
+++ b/wagtaildale/admin/scopes.py
@@ -29,7 +29,7 @@
     team: TeamName | None = None
 
     @property
-    def is_whole(self) -> bool:
+    def is_unrestricted(self) -> bool:
         """Whether it opens everything."""
         return self.team is None
 
@@ -45,14 +45,14 @@
         """
         if self.team is None:
             return True
-        part = view.parts.get(ServiceName(service))
-        return part is not None and part.team == self.team
+        service_part = view.parts.get(ServiceName(service))
+        return service_part is not None and service_part.team == self.team
 
 
-EVERYTHING: Final = Scope()
+UNRESTRICTED: Final = Scope()
 
 
-class Doorkeeper:
+class TokenAuthenticator:
     """Finds the scope of a request's token."""
 
     def __init__(self, scopes: dict[str, Scope]) -> None:
@@ -73,7 +73,7 @@
             The scope, or nothing if the token is missing or wrong.
         """
         if not self._scopes:
-            return EVERYTHING
+            return UNRESTRICTED
         found = None
         # Every token is compared, so that time says nothing of which is
         # nearly right.
@@ -83,7 +83,9 @@
         return found
 
 
-def make_doorkeeper(settings: AdminSettings) -> Result[Doorkeeper, Fault]:
+def make_authenticator(
+    settings: AdminSettings,
+) -> Result[TokenAuthenticator, Fault]:
     """Read every token of the settings.
 
     Args:
@@ -93,7 +95,7 @@
         The doorkeeper, or the first fault.
     """
     sources: list[tuple[AdminSettings | TeamToken, Scope]] = [
-        (settings, EVERYTHING),
+        (settings, UNRESTRICTED),
         *((team, Scope(team=team.team)) for team in settings.teams),
     ]
     scopes: dict[str, Scope] = {}
@@ -103,4 +105,4 @@
             return token
         if token.ok_value is not None:
             scopes[token.ok_value] = scope
-    return Ok(Doorkeeper(scopes))
+    return Ok(TokenAuthenticator(scopes))
--- a/wagtaildale/admin/server.py
+++ b/wagtaildale/admin/server.py
@@ -15,8 +15,8 @@
 from wagtaildale.admin.fleet import FleetReporter
 from wagtaildale.admin.model import ReadyReport
 from wagtaildale.admin.openapi import write_api
-from wagtaildale.admin.pages import PAGES, Context, show_ready
-from wagtaildale.admin.scopes import Doorkeeper, Scope
+from wagtaildale.admin.endpoints import ENDPOINTS, RequestContext, show_ready
+from wagtaildale.admin.scopes import TokenAuthenticator, Scope
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 from wagtaildale.telemetry.gauges import make_metrics
@@ -40,8 +40,8 @@
 ROUTES: Final = Map(
     [
         *(
-            Rule(page.path, endpoint=page, methods=[page.method])
-            for page in PAGES
+            Rule(endpoint.path, endpoint=endpoint, methods=[endpoint.method])
+            for endpoint in ENDPOINTS
         ),
         Rule('/metrics', endpoint=METRICS, methods=['GET']),
         Rule('/v1/openapi.json', endpoint=OPENAPI, methods=['GET']),
@@ -56,21 +56,21 @@
         self,
         node: Node,
         *,
-        doorkeeper: Doorkeeper,
+        authenticator: TokenAuthenticator,
         listener: socket.socket,
     ) -> None:
         """Prepare.
 
         Args:
             node: that is administered.
-            doorkeeper: knows who may see what.
+            authenticator: knows who may see what.
             listener: the open port.
         """
         logging.getLogger('werkzeug').setLevel(logging.ERROR)
         self._node = node
         self._metrics = make_metrics(node)
         self._fleet = FleetReporter(node)
-        self._doorkeeper = doorkeeper
+        self._authenticator = authenticator
         host, port = listener.getsockname()
         self._server = make_server(
             host,
@@ -96,9 +96,9 @@
         """
         request = Request(environ)
         try:
-            response = self._answer(request)
+            response = self._respond(request)
         except HTTPException as error:
-            response = _write_error(error)
+            response = _make_error_response(error)
         return response(environ, start_response)
 
     def run(self) -> None:
@@ -115,45 +115,48 @@
         """
         threading.Thread(target=self._server.shutdown, daemon=True).start()
 
-    def _answer(self, request: Request) -> Response:
+    def _respond(self, request: Request) -> Response:
         adapter = ROUTES.bind_to_environ(request.environ)
-        page = adapter.match()[0]
+        endpoint = adapter.match()[0]
         scope = self._find_scope(request)
-        needs_token = page == METRICS or getattr(page, 'make', 0) != show_ready
+        needs_token = (
+            endpoint == METRICS
+            or getattr(endpoint, 'build_document', 0) != show_ready
+        )
         if scope is None and needs_token:
             raise Unauthorized
-        if page == METRICS:
+        if endpoint == METRICS:
             body = self._metrics.write_page()
             return Response(body, content_type=METRICS_TYPE)
-        if page == OPENAPI:
+        if endpoint == OPENAPI:
             return Response(write_api(), mimetype=JSON)
-        context = Context(
+        context = RequestContext(
             node=self._node,
             fleet=self._fleet,
             request=request,
             scope=scope or Scope(),
         )
-        return self._write(page.make(context))
+        return self._make_response(endpoint.build_document(context))
 
     def _find_scope(self, request: Request) -> Scope | None:
         header = request.headers.get('Authorization', '')
-        return self._doorkeeper.find_scope(header)
+        return self._authenticator.find_scope(header)
 
-    def _write(self, document: Struct) -> Response:
+    def _make_response(self, document: Struct) -> Response:
         states = self._node.parts.states
-        unready = states[-1] is not NodeState.ready
-        asks_ready = isinstance(document, ReadyReport)
+        is_unready = states[-1] is not NodeState.ready
+        is_ready_report = isinstance(document, ReadyReport)
         return Response(
             json.encode(document),
-            status=UNREADY_STATUS if unready and asks_ready else OK,
+            status=UNREADY_STATUS if is_unready and is_ready_report else OK,
             mimetype=JSON,
         )
 
 
-def _write_error(error: HTTPException) -> Response:
-    closed = isinstance(error, Unauthorized | Forbidden)
+def _make_error_response(error: HTTPException) -> Response:
+    is_denied = isinstance(error, Unauthorized | Forbidden)
     fault = Fault(
-        code=Code.admin_unauthorised if closed else Code.admin_not_found,
+        code=Code.admin_unauthorised if is_denied else Code.admin_not_found,
         where='admin API',
         got=error.name,
         expected='a page of docs/openapi.json, with a token that opens it',
--- a/wagtaildale/admin/suspects.py
+++ b/wagtaildale/admin/suspects.py
@@ -37,12 +37,12 @@
     return SuspectsReport(suspects=tuple(states))
 
 
-def clear_suspect(node: Node, named: str) -> SuspectsReport:
+def clear_suspect(node: Node, fingerprint_text: str) -> SuspectsReport:
     """Let a request run again, at all nodes, whoever sends it.
 
     Args:
         node: that is told, and tells the others.
-        named: fingerprint, hexadecimal.
+        fingerprint_text: fingerprint, hexadecimal.
 
     Returns:
         What was known of it.
@@ -53,20 +53,24 @@
     now = read_clock()
     cleared = {
         fingerprint: record
-        for fingerprint, record in _find_alike(node, named).items()
+        for fingerprint, record in _find_same_subject(
+            node, fingerprint_text
+        ).items()
         if record.ends
     }
     if not cleared:
         raise NotFound
-    for alike in cleared:
-        node.parts.inbox.put(RequestAnswered(alike))
+    for same_subject in cleared:
+        node.parts.inbox.put(RequestAnswered(same_subject))
     states = [_describe(*pair, now) for pair in cleared.items()]
     return SuspectsReport(suspects=tuple(states))
 
 
-def _find_alike(node: Node, named: str) -> dict[Fingerprint, Record]:
+def _find_same_subject(
+    node: Node, fingerprint_text: str
+) -> dict[Fingerprint, Record]:
     try:
-        fingerprint = Fingerprint(bytes.fromhex(named))
+        fingerprint = Fingerprint(bytes.fromhex(fingerprint_text))
     except ValueError:
         return {}
     return node.parts.suspects.current.list_same_subject(fingerprint)
--- a/wagtaildale/admin/tests/test_pages.py
+++ b/wagtaildale/admin/tests/test_endpoints.py
@@ -10,10 +10,10 @@
 from wagtaildale.admin.proposals import check_proposal
 from wagtaildale.admin.scopes import (
     BEARER,
-    EVERYTHING,
-    Doorkeeper,
+    UNRESTRICTED,
+    TokenAuthenticator,
     Scope,
-    make_doorkeeper,
+    make_authenticator,
 )
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.view import ViewHolder
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     ('header', 'scope'),
     [
-        (f'{BEARER}all', EVERYTHING),
+        (f'{BEARER}all', UNRESTRICTED),
         (f'{BEARER}mine', FIELD),
         (f'{BEARER}wrong', None),
         ('all', None),
@@ -48,24 +48,24 @@
     ],
 )
 def test_token_opens_its_scope(header: str, scope: Scope | None) -> None:
-    keeper = Doorkeeper({'all': EVERYTHING, 'mine': FIELD})
-    assert keeper.find_scope(header) == scope
+    authenticator = TokenAuthenticator({'all': UNRESTRICTED, 'mine': FIELD})
+    assert authenticator.find_scope(header) == scope
 
 
 def test_api_without_tokens_is_open() -> None:
-    assert Doorkeeper({}).find_scope('') is EVERYTHING
+    assert TokenAuthenticator({}).find_scope('') is UNRESTRICTED
 
 
 def test_team_sees_its_own_services() -> None:
     view = build_view().current
     assert FIELD.covers('casefiles', view=view)
     assert not OTHER.covers('casefiles', view=view)
-    assert EVERYTHING.covers('casefiles', view=view)
+    assert UNRESTRICTED.covers('casefiles', view=view)
 
 
 def test_missing_team_token_is_a_fault() -> None:
     team = TeamToken(team=TeamName('field'), token_file='/no/such/file')
-    fault = assert_err(make_doorkeeper(AdminSettings(teams=(team,))))
+    fault = assert_err(make_authenticator(AdminSettings(teams=(team,))))
     assert fault.code is Code.secret_unreadable
 
 
@@ -73,13 +73,13 @@
     secret = tmp_path / 'token'
     secret.write_text('t\n')
     team = TeamToken(team=TeamName('field'), token_file=str(secret))
-    keeper = assert_ok(make_doorkeeper(AdminSettings(teams=(team,))))
-    assert keeper.find_scope(f'{BEARER}t') == FIELD
+    authenticator = assert_ok(make_authenticator(AdminSettings(teams=(team,))))
+    assert authenticator.find_scope(f'{BEARER}t') == FIELD
 
 
 def test_proposal_says_what_changes() -> None:
     view = build_view().current
-    report = check_proposal(MESH_TEXT, view=view, scope=EVERYTHING)
+    report = check_proposal(MESH_TEXT, view=view, scope=UNRESTRICTED)
     subjects = {change.subject for change in report.changes}
     assert 'casefiles/booking' in subjects
     hidden = check_proposal(MESH_TEXT, view=view, scope=OTHER)
@@ -89,5 +89,5 @@
 def test_bad_proposal_names_its_faults() -> None:
     view = build_view().current
     text = MESH_TEXT.replace('true', '1')
-    report = check_proposal(text, view=view, scope=EVERYTHING)
+    report = check_proposal(text, view=view, scope=UNRESTRICTED)
     assert_codes(report.faults, Code.field_invalid)
--- a/wagtaildale/admin/tests/test_server.py
+++ b/wagtaildale/admin/tests/test_server.py
@@ -37,7 +37,7 @@
     return server
 
 
-def ends(work: Callable[[], None]) -> bool:
+def returns_in_time(work: Callable[[], None]) -> bool:
     worker = threading.Thread(target=work, daemon=True)
     worker.start()
     worker.join(TIMEOUT_SECONDS)
@@ -52,8 +52,8 @@
     whoever stops it waited for the look. Here no look ever comes, since the
     server's task has not begun.
     """
-    assert ends(admin.stop)
-    assert ends(admin.run)
+    assert returns_in_time(admin.stop)
+    assert returns_in_time(admin.run)
 
 
 def test_first_request_finds_the_port_open_and_is_answered(
--- a/wagtaildale/cli/__init__.py
+++ b/wagtaildale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the operators."""
+"""Command line for operators."""
--- a/wagtaildale/cli/errors.py
+++ b/wagtaildale/cli/errors.py
@@ -7,11 +7,11 @@
 import click
 
 from wagtaildale.cli.options import output_option
-from wagtaildale.cli.output import Form, print_json, print_table
+from wagtaildale.cli.output import OutputFormat, print_json, print_table
 from wagtaildale.errors.codes import MEANINGS, Code
 
 
-PAGE_HEAD: Final = """# Result codes
+MARKDOWN_HEADER: Final = """# Result codes
 
 The thousands name the duty that reports a code: 1 settings, 2 operators'
 files, 3 distribution, 4 calls, 5 lifecycle, 6 administration. This page is
@@ -26,7 +26,9 @@
 @click.argument('number', type=int, required=False)
 @click.option('--markdown', is_flag=True, help='Print docs/errors.md.')
 @output_option
-def show_errors(number: int | None, *, markdown: bool, form: Form) -> None:
+def show_errors(
+    number: int | None, *, markdown: bool, form: OutputFormat
+) -> None:
     """Explain result codes, all of them or the one with NUMBER.
 
     \b
@@ -44,7 +46,7 @@
         raise click.BadParameter(f'got {number}, expected a code of the table')
     if markdown:
         click.echo(write_markdown(), nl=False)
-    elif form is Form.json:
+    elif form is OutputFormat.json:
         print_json([_describe(code) for code in known])
     else:
         print_table(('code', 'name', 'meaning'), rows=map(_describe, known))
@@ -59,7 +61,7 @@
     rows = ''.join(
         '| {0} | {1} | {2} |\n'.format(*_describe(code)) for code in Code
     )
-    return PAGE_HEAD + rows
+    return MARKDOWN_HEADER + rows
 
 
 def _describe(code: Code) -> tuple[str, str, str]:
--- a/wagtaildale/cli/explain.py
+++ b/wagtaildale/cli/explain.py
@@ -17,23 +17,23 @@
 from wagtaildale.cli.output import (
     EXIT_FAULTS,
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
 )
-from wagtaildale.telemetry.lines import read_lines
-from wagtaildale.telemetry.story import (
-    Story,
+from wagtaildale.telemetry.log_lines import read_lines
+from wagtaildale.telemetry.request_history import (
+    RequestHistory,
     describe_code,
     find_cause,
-    tell_story,
+    collect_history,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
     from pathlib import Path
 
-    from wagtaildale.telemetry.lines import LogLine, LogReading
+    from wagtaildale.telemetry.log_lines import LogLine, ParsedLog
 
 METHODS: Final = frozenset(
     ('GET', 'HEAD', 'POST', 'PUT', 'DELETE', 'PATCH', 'OPTIONS'),
@@ -50,7 +50,7 @@
     rest: tuple[str, ...],
     node: str | None,
     token_file: Path | None,
-    form: Form,
+    form: OutputFormat,
 ) -> None:
     """Explain where a request would go, or how one ended.
 
@@ -73,47 +73,51 @@
         form: how to print.
     """
     if subject not in METHODS:
-        _tell(subject, rest, form)
+        _explain_ended(subject, rest, form)
         return
     if node is None:
         raise click.UsageError(
             'got a method and no --node, expected the node to ask',
         )
-    _ask(subject, rest[0], node=node, token_file=token_file, form=form)
+    _explain_route(
+        subject, rest[0], node=node, token_file=token_file, form=form
+    )
 
 
-def _tell(request: str, paths: Sequence[str], form: Form) -> None:
+def _explain_ended(
+    request: str, paths: Sequence[str], form: OutputFormat
+) -> None:
     texts: list[str] = []
     for path in paths:
         with click.open_file(path, errors='replace') as opened:
             texts.extend(opened)
-    reading = read_lines(texts)
-    story = tell_story(request, reading.lines)
-    if form is Form.json:
-        print_json(story)
+    parsed_log = read_lines(texts)
+    history = collect_history(request, parsed_log.lines)
+    if form is OutputFormat.json:
+        print_json(history)
     else:
-        _print_story(story, reading)
-    if not story.decisions:
+        _print_history(history, parsed_log)
+    if not history.decisions:
         sys.exit(EXIT_FAULTS)
 
 
-def _print_story(story: Story, reading: LogReading) -> None:
-    if story.decisions:
-        begin = story.decisions[0].at_ms
-        _print_lines('what the nodes had last learned', story.beliefs, begin)
-        _print_lines('decisions', story.decisions, begin)
-        _print_end(story)
+def _print_history(history: RequestHistory, parsed_log: ParsedLog) -> None:
+    if history.decisions:
+        begin = history.decisions[0].at_ms
+        _print_lines('what the nodes had last learned', history.beliefs, begin)
+        _print_lines('decisions', history.decisions, begin)
+        _print_end(history)
     else:
         click.echo(
-            f'no line names request {story.request}: got '
-            f'{len(reading.lines)} lines of the log; give the logs of all '
+            f'no line names request {history.request}: got '
+            f'{len(parsed_log.lines)} lines of the log; give the logs of all '
             'nodes, of the time of the request',
         )
-    _print_gaps(story, reading)
+    _print_gaps(history, parsed_log)
 
 
-def _print_lines(head: str, lines: Sequence[LogLine], begin: int) -> None:
-    click.echo(f'{head}:')
+def _print_lines(header: str, lines: Sequence[LogLine], begin: int) -> None:
+    click.echo(f'{header}:')
     for line in lines:
         click.echo(f'  {line.at_ms - begin:+6d} ms  {_describe(line)}')
 
@@ -131,51 +135,51 @@
     return ' '.join(words)
 
 
-def _print_end(story: Story) -> None:
-    end = story.end
+def _print_end(history: RequestHistory) -> None:
+    end = history.end
     if end is None:
         click.echo(
             'end: not written; the entry died, or its lines were left out',
         )
         return
     click.echo(f'end: {end.kind.value}, {describe_code(end.code)}')
-    cause = find_cause(story)
+    cause = find_cause(history)
     if cause is not None and cause is not end:
         click.echo(f'cause: {describe_code(cause.code)}')
         click.echo(f'  {_describe(cause)}')
 
 
-def _print_gaps(story: Story, reading: LogReading) -> None:
-    if reading.torn:
-        click.echo(f'passed over: {reading.torn} torn lines')
-    if reading.foreign:
-        click.echo(f'passed over: {reading.foreign} lines of other programs')
-    if story.left_out:
+def _print_gaps(history: RequestHistory, parsed_log: ParsedLog) -> None:
+    if parsed_log.torn:
+        click.echo(f'passed over: {parsed_log.torn} torn lines')
+    if parsed_log.foreign:
+        click.echo(f'passed over: {parsed_log.foreign} lines of other programs')
+    if history.left_out:
         click.echo(
-            f'left out by these nodes at the time: {story.left_out} lines',
+            f'left out by these nodes at the time: {history.left_out} lines',
         )
-    for node in story.restarted:
+    for node in history.restarted:
         click.echo(f'{node} was started more than once in these logs')
 
 
-def _ask(
+def _explain_route(
     method: str,
     path: str,
     *,
     node: str,
     token_file: Path | None,
-    form: Form,
+    form: OutputFormat,
 ) -> None:
     client = make_client(node, token_file, form)
     found = client.read(
         '/v1/explain',
-        shape=Explanation,
+        document_type=Explanation,
         query={'method': method, 'path': path},
     )
     if isinstance(found, Err):
         fail((found.err_value,), form=form, exit_code=EXIT_UNREACHABLE)
     explanation = found.ok_value
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(explanation)
     else:
         _print_explanation(explanation)
@@ -184,13 +188,13 @@
 
 
 def _print_explanation(explanation: Explanation) -> None:
-    head = f'{explanation.method} {explanation.path}'
+    header = f'{explanation.method} {explanation.path}'
     if not explanation.found:
-        click.echo(f'{head}: no class (version {explanation.version})')
+        click.echo(f'{header}: no class (version {explanation.version})')
         return
     safety = 'idempotent' if explanation.idempotent else 'not idempotent'
     click.echo(
-        f'{head}: {explanation.work_class} by {explanation.template}, '
+        f'{header}: {explanation.work_class} by {explanation.template}, '
         f'{safety}, version {explanation.version}',
     )
     click.echo(
--- a/wagtaildale/cli/files.py
+++ b/wagtaildale/cli/files.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from wagtaildale.cli.options import output_option
-from wagtaildale.cli.output import Form, fail, print_json, print_table
+from wagtaildale.cli.output import OutputFormat, fail, print_json, print_table
 from wagtaildale.configuration.comparison import compare_parts
 from wagtaildale.configuration.compiled import (
     Compiled,
@@ -30,7 +30,7 @@
 @click.argument('mesh_file', metavar='FILE', type=click.Path())
 @click.option('--against', type=click.Path(), help='Show what would change.')
 @output_option
-def check(mesh_file: str, against: str | None, form: Form) -> None:
+def check(mesh_file: str, against: str | None, form: OutputFormat) -> None:
     """Check an operators' FILE and list every fault of it.
 
     \b
@@ -44,13 +44,13 @@
         against: path of the file in force.
         form: how to print.
     """
-    mesh = _expect(read_mesh(mesh_file), form)
+    mesh = _unwrap(read_mesh(mesh_file), form)
     if against is not None:
-        old = _expect(read_mesh(against), form)
+        old = _unwrap(read_mesh(against), form)
         _print_changes(old, mesh, form)
         return
     classes = sum(len(service.classes) for service in mesh.services)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json({'faults': [], 'name': mesh.name, 'classes': classes})
         return
     click.echo(
@@ -68,7 +68,9 @@
     help='Folder for manifest and parts.',
 )
 @output_option
-def compile_file(mesh_file: str, version: int, out: Path, form: Form) -> None:
+def compile_file(
+    mesh_file: str, version: int, out: Path, form: OutputFormat
+) -> None:
     """Compile an operators' FILE to what is published.
 
     Publish every file of OUT/parts first and OUT/manifest.json last.
@@ -84,8 +86,8 @@
         out: folder.
         form: how to print.
     """
-    mesh = _expect(read_mesh(mesh_file), form)
-    compiled = _expect(compile_mesh(mesh, version=version), form)
+    mesh = _unwrap(read_mesh(mesh_file), form)
+    compiled = _unwrap(compile_mesh(mesh, version=version), form)
     write_compiled(compiled, folder=out)
     _print_compiled(compiled, out, form)
 
@@ -94,7 +96,7 @@
 @click.argument('old', type=click.Path())
 @click.argument('new', type=click.Path())
 @output_option
-def diff(old: str, new: str, form: Form) -> None:
+def diff(old: str, new: str, form: OutputFormat) -> None:
     """Show what changes from the file OLD to the file NEW.
 
     \b
@@ -107,22 +109,22 @@
         new: path of the proposed file.
         form: how to print.
     """
-    before = _expect(read_mesh(old), form)
-    after = _expect(read_mesh(new), form)
+    before = _unwrap(read_mesh(old), form)
+    after = _unwrap(read_mesh(new), form)
     _print_changes(before, after, form)
 
 
-def _expect(outcome: Result[Any, Faults], form: Form) -> Any:
+def _unwrap(outcome: Result[Any, Faults], form: OutputFormat) -> Any:
     if isinstance(outcome, Err):
         fail(outcome.err_value, form=form)
     return outcome.ok_value
 
 
-def _print_changes(old: MeshEntry, new: MeshEntry, form: Form) -> None:
-    before = decode_parts(_expect(compile_mesh(old, version=1), form))
-    after = decode_parts(_expect(compile_mesh(new, version=1), form))
+def _print_changes(old: MeshEntry, new: MeshEntry, form: OutputFormat) -> None:
+    before = decode_parts(_unwrap(compile_mesh(old, version=1), form))
+    after = decode_parts(_unwrap(compile_mesh(new, version=1), form))
     changes = compare_parts(before, new=after)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json({'changes': changes})
     elif changes:
         rows = [
@@ -134,9 +136,9 @@
         click.echo('nothing changes')
 
 
-def _print_compiled(compiled: Compiled, out: Path, form: Form) -> None:
+def _print_compiled(compiled: Compiled, out: Path, form: OutputFormat) -> None:
     manifest = compiled.manifest
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(manifest)
         return
     size = sum(map(len, compiled.parts.values()))
--- a/wagtaildale/cli/keys.py
+++ b/wagtaildale/cli/keys.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from wagtaildale.cli.options import output_option
-from wagtaildale.cli.output import Form, fail, print_json
+from wagtaildale.cli.output import OutputFormat, fail, print_json
 from wagtaildale.keys.pairs import write_new_pair
 
 
@@ -20,7 +20,7 @@
 @keys.command()
 @click.argument('path', type=click.Path(path_type=Path))
 @output_option
-def new(path: Path, form: Form) -> None:
+def new(path: Path, form: OutputFormat) -> None:
     """Make a key pair and write its secret to the new file PATH.
 
     Give the file to every node and name it in [keys] of their settings.
@@ -38,7 +38,7 @@
     if isinstance(pair, Err):
         fail((pair.err_value,), form=form)
     public = pair.ok_value.public.decode()
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json({'file': str(path), 'public': public})
     else:
         click.echo(f'secret in {path}; public key {public}')
--- a/wagtaildale/cli/nodes.py
+++ b/wagtaildale/cli/nodes.py
@@ -11,7 +11,7 @@
 from wagtaildale.cli.options import make_client, node_options, output_option
 from wagtaildale.cli.output import (
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
 )
@@ -23,7 +23,7 @@
 @click.command()
 @node_options
 @output_option
-def drain(node: str, token_file: Path | None, form: Form) -> None:
+def drain(node: str, token_file: Path | None, form: OutputFormat) -> None:
     """Begin the planned stop of a node, as SIGTERM does.
 
     \b
@@ -37,10 +37,10 @@
         form: how to print.
     """
     client = make_client(node, token_file, form)
-    found = client.send('/v1/drain', shape=DrainReport)
+    found = client.send('/v1/drain', document_type=DrainReport)
     if isinstance(found, Err):
         fail((found.err_value,), form=form, exit_code=EXIT_UNREACHABLE)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(found.ok_value)
     else:
         click.echo(f'leaving; {found.ok_value.in_flight} requests in flight')
--- a/wagtaildale/cli/options.py
+++ b/wagtaildale/cli/options.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from wagtaildale.admin.client import AdminClient
-from wagtaildale.cli.output import Form, fail
+from wagtaildale.cli.output import OutputFormat, fail
 from wagtaildale.settings.load import read_token
 from wagtaildale.settings.model import AdminSettings
 
@@ -21,8 +21,8 @@
 output_option: Final = click.option(
     '--output',
     'form',
-    type=click.Choice(Form),
-    default=Form.text,
+    type=click.Choice(OutputFormat),
+    default=OutputFormat.text,
     help='How to print.',
 )
 
@@ -51,7 +51,9 @@
     return _add_node(command, required=False)
 
 
-def make_client(node: str, token_file: Path | None, form: Form) -> AdminClient:
+def make_client(
+    node: str, token_file: Path | None, form: OutputFormat
+) -> AdminClient:
     """Make a client from the options.
 
     Args:
--- a/wagtaildale/cli/output.py
+++ b/wagtaildale/cli/output.py
@@ -16,11 +16,11 @@
 
 EXIT_FAULTS: Final = 1
 EXIT_UNREACHABLE: Final = 3
-GAP: Final = '  '
+COLUMN_GAP: Final = '  '
 
 
 @final
-class Form(Enum):
+class OutputFormat(Enum):
     """How results are printed."""
 
     text = 'text'
@@ -36,26 +36,28 @@
     click.echo(json.format(json.encode(document)).decode())
 
 
-def print_table(head: Sequence[str], *, rows: Iterable[Sequence[str]]) -> None:
+def print_table(
+    header: Sequence[str], *, rows: Iterable[Sequence[str]]
+) -> None:
     """Print rows under a head, each column as wide as it must be.
 
     Args:
-        head: names of the columns.
+        header: names of the columns.
         rows: texts, as many as the head has.
     """
-    lines = [tuple(head), *(tuple(row) for row in rows)]
+    lines = [tuple(header), *(tuple(row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = (
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         )
-        click.echo(GAP.join(cells).rstrip())
+        click.echo(COLUMN_GAP.join(cells).rstrip())
 
 
 def fail(
     faults: Iterable[Fault],
     *,
-    form: Form,
+    form: OutputFormat,
     exit_code: int = EXIT_FAULTS,
 ) -> NoReturn:
     """Print faults and end the program.
@@ -66,7 +68,7 @@
         exit_code: for scripts.
     """
     listed = list(faults)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json({'faults': listed})
     else:
         for fault in listed:
--- a/wagtaildale/cli/status.py
+++ b/wagtaildale/cli/status.py
@@ -14,7 +14,7 @@
 from wagtaildale.cli.options import make_client, node_options, output_option
 from wagtaildale.cli.output import (
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
     print_table,
@@ -27,9 +27,9 @@
     from wagtaildale.admin.client import AdminClient
 
 PERCENT: Final = 100
-WATCH_SECONDS: Final = 2.0
-NAMED_MOST: Final = 12
-SILENT_MS: Final = 3000
+WATCH_INTERVAL_SECONDS: Final = 2.0
+MAX_LISTED_NAMES: Final = 12
+MAX_REPORT_AGE_MS: Final = 3000
 CONFIGURATION: Final = 'configuration'
 
 
@@ -42,7 +42,7 @@
     token_file: Path | None,
     *,
     watch: bool,
-    form: Form,
+    form: OutputFormat,
 ) -> None:
     """Show whether each class is in its target, and which version is where.
 
@@ -63,7 +63,7 @@
     client = make_client(node, token_file, form)
     _show(client, form)
     while watch:
-        time.sleep(WATCH_SECONDS)
+        time.sleep(WATCH_INTERVAL_SECONDS)
         click.clear()
         _show(client, form)
 
@@ -86,11 +86,11 @@
     return [totals[name] for name in sorted(totals)]
 
 
-def _show(client: AdminClient, form: Form) -> None:
-    found = client.read('/v1/fleet', shape=FleetReport)
+def _show(client: AdminClient, form: OutputFormat) -> None:
+    found = client.read('/v1/fleet', document_type=FleetReport)
     if isinstance(found, Err):
         fail((found.err_value,), form=form, exit_code=EXIT_UNREACHABLE)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(found.ok_value)
     else:
         _print_fleet(found.ok_value)
@@ -107,7 +107,7 @@
     )
     missing = _list_missing(fleet)
     if missing:
-        click.echo(f'not reached of late: {_name_some(missing)}')
+        click.echo(f'not reached of late: {_join_names(missing)}')
     _print_versions(reports)
     click.echo()
     print_table(
@@ -117,10 +117,12 @@
 
 
 def _list_missing(fleet: FleetReport) -> tuple[str, ...]:
-    silent = [
-        part.report.instance for part in fleet.parts if part.age_ms > SILENT_MS
+    outdated = [
+        part.report.instance
+        for part in fleet.parts
+        if part.age_ms > MAX_REPORT_AGE_MS
     ]
-    return (*fleet.unknown, *silent)
+    return (*fleet.unknown, *outdated)
 
 
 def _print_versions(reports: list[NodeReport]) -> None:
@@ -129,22 +131,22 @@
     )
     latest = max(held, default=0)
     click.echo(f'version {latest} in force on {held[latest]} nodes')
-    for behind in reports:
-        document = behind.documents[CONFIGURATION]
+    for node_report in reports:
+        document = node_report.documents[CONFIGURATION]
         if document.version < latest:
-            why = document.refused.get(str(latest), 'has not come yet')
+            reason = document.refused.get(str(latest), 'has not come yet')
             click.echo(
-                f'behind: {behind.instance} holds {document.version}; '
-                f'{latest}: {why}',
+                f'behind: {node_report.instance} holds {document.version}; '
+                f'{latest}: {reason}',
             )
     broken = sum(report.invariants_broken for report in reports)
     if broken:
         click.echo(f'INVARIANTS BROKEN: {broken}; please report this defect')
 
 
-def _name_some(names: tuple[str, ...]) -> str:
-    named = ', '.join(names[:NAMED_MOST])
-    more = len(names) - NAMED_MOST
+def _join_names(names: tuple[str, ...]) -> str:
+    named = ', '.join(names[:MAX_LISTED_NAMES])
+    more = len(names) - MAX_LISTED_NAMES
     return f'{named} and {more} more' if more > 0 else named
 
 
--- a/wagtaildale/cli/suspects.py
+++ b/wagtaildale/cli/suspects.py
@@ -12,7 +12,7 @@
 from wagtaildale.cli.output import (
     EXIT_FAULTS,
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
 )
@@ -34,7 +34,7 @@
     clear: str | None,
     node: str,
     token_file: Path | None,
-    form: Form,
+    form: OutputFormat,
 ) -> None:
     """Show requests that end servers, or let one run again.
 
@@ -53,11 +53,11 @@
     """
     client = make_client(node, token_file, form)
     if clear is None:
-        found = client.read('/v1/suspects', shape=SuspectsReport)
+        found = client.read('/v1/suspects', document_type=SuspectsReport)
     else:
         found = client.send(
             '/v1/suspects/clear',
-            shape=SuspectsReport,
+            document_type=SuspectsReport,
             body=clear.encode(),
         )
     if isinstance(found, Err):
@@ -68,7 +68,7 @@
             form=form,
             exit_code=EXIT_FAULTS if unknown else EXIT_UNREACHABLE,
         )
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(found.ok_value)
     else:
         _print(found.ok_value, cleared=clear is not None)
--- a/wagtaildale/cli/tests/test_explain.py
+++ b/wagtaildale/cli/tests/test_explain.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-LOG = """\
+LOG_TEXT = """\
 at_ms=900 node=b incarnation=1 kind=instances-applied version=12
 at_ms=1020 node=b incarnation=1 kind=run-refused request=r1 code=4009 running=9
 at_ms=1021 node=a incarnation=1 kind=call-refused request=r1 code=4009 version=7
@@ -20,7 +20,7 @@
 """
 
 
-STORY = """what the nodes had last learned:
+EXPECTED_OUTPUT = """what the nodes had last learned:
     -120 ms  b instances-applied version=12
 decisions:
       +0 ms  b run-refused code=4009 r1 running=9
@@ -35,15 +35,15 @@
 
 def test_story_of_a_refused_request(tmp_path: Path) -> None:
     path = tmp_path / 'fleet.log'
-    path.write_text(LOG)
+    path.write_text(LOG_TEXT)
     outcome = CliRunner().invoke(main, ['explain', 'r1', str(path)])
     assert outcome.exit_code == 0, outcome.output
-    assert outcome.output == STORY
+    assert outcome.output == EXPECTED_OUTPUT
 
 
 def test_request_that_no_log_names(tmp_path: Path) -> None:
     path = tmp_path / 'fleet.log'
-    path.write_text(LOG)
+    path.write_text(LOG_TEXT)
     outcome = CliRunner().invoke(main, ['explain', 'r2', str(path)])
     assert outcome.exit_code == 1
     assert 'no line names request r2' in outcome.output
--- a/wagtaildale/cli/timeline.py
+++ b/wagtaildale/cli/timeline.py
@@ -16,24 +16,24 @@
 from wagtaildale.cli.options import make_client, node_options, output_option
 from wagtaildale.cli.output import (
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
     print_table,
 )
 from wagtaildale.telemetry.clock import read_milliseconds
-from wagtaildale.telemetry.page import write_page
+from wagtaildale.telemetry.timeline_page import write_page
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from wagtaildale.telemetry.events import Event
 
-WORKERS: Final = 16
-FOLLOW_SECONDS: Final = 1.0
+WORKER_COUNT: Final = 16
+FOLLOW_INTERVAL_SECONDS: Final = 1.0
 
 
-class Filter(Struct, frozen=True, kw_only=True):
+class EventFilter(Struct, frozen=True, kw_only=True):
     """Which events are wanted; empty fields let all pass.
 
     Attributes:
@@ -46,7 +46,7 @@
     kind: str | None = None
     instance: str | None = None
 
-    def passes(self, event: Event) -> bool:
+    def matches(self, event: Event) -> bool:
         """Tell whether an event is wanted.
 
         Args:
@@ -79,10 +79,10 @@
     node: str,
     token_file: Path | None,
     *,
-    form: Form,
+    form: OutputFormat,
     follow: bool,
     page: Path | None,
-    **wanted: str | None,
+    **filters: str | None,
 ) -> None:
     """Gather the events of all nodes and merge them in causal order.
 
@@ -98,20 +98,20 @@
         form: how to print.
         follow: go on.
         page: file for the plot.
-        wanted: the filter's fields.
+        filters: the filter's fields.
     """
     client = make_client(node, token_file, form)
-    chosen = Filter(**wanted)
+    event_filter = EventFilter(**filters)
     clients = _find_clients(client, form)
     events = gather_events(clients, since=0)
-    passed = [event for event in events if chosen.passes(event)]
+    matching = [event for event in events if event_filter.matches(event)]
     if page is not None:
-        page.write_text(write_page(passed), encoding='utf-8')
-        click.echo(f'{len(passed)} events in {page}')
+        page.write_text(write_page(matching), encoding='utf-8')
+        click.echo(f'{len(matching)} events in {page}')
         return
-    _print(passed, form)
+    _print(matching, form)
     while follow:
-        time.sleep(FOLLOW_SECONDS)
+        time.sleep(FOLLOW_INTERVAL_SECONDS)
         since = max((event.stamp for event in events), default=0)
         events = gather_events(clients, since=since) or events
         _print([each for each in events if each.stamp > since], form)
@@ -132,11 +132,11 @@
         By stamp: causal order.
     """
     query = {'since': str(since)}
-    with ThreadPoolExecutor(WORKERS) as executor:
+    with ThreadPoolExecutor(WORKER_COUNT) as executor:
         found = executor.map(
             lambda client: client.read(
                 '/v1/timeline',
-                shape=Timeline,
+                document_type=Timeline,
                 query=query,
             ),
             clients,
@@ -147,15 +147,15 @@
         if isinstance(timeline_read, Ok)
         for event in timeline_read.ok_value.events
     ]
-    return sorted(events, key=_read_order)
+    return sorted(events, key=_read_sort_key)
 
 
-def _read_order(event: Event) -> tuple[int, str]:
+def _read_sort_key(event: Event) -> tuple[int, str]:
     return event.stamp, event.node
 
 
-def _find_clients(client: AdminClient, form: Form) -> list[AdminClient]:
-    found = client.read('/v1/instances', shape=InstanceAddresses)
+def _find_clients(client: AdminClient, form: OutputFormat) -> list[AdminClient]:
+    found = client.read('/v1/instances', document_type=InstanceAddresses)
     if isinstance(found, Err):
         fail((found.err_value,), form=form, exit_code=EXIT_UNREACHABLE)
     return [
@@ -164,12 +164,12 @@
     ]
 
 
-def _print(events: list[Event], form: Form) -> None:
-    if form is Form.json:
+def _print(events: list[Event], form: OutputFormat) -> None:
+    if form is OutputFormat.json:
         print_json(Timeline(events=tuple(events)))
     elif events:
-        head = ('at_ms', 'node', 'kind', 'code', 'about')
-        print_table(head, rows=map(_describe_event, events))
+        header = ('at_ms', 'node', 'kind', 'code', 'about')
+        print_table(header, rows=map(_describe_event, events))
 
 
 def _describe_event(event: Event) -> tuple[str, ...]:
--- a/wagtaildale/reactor/__init__.py
+++ b/wagtaildale/reactor/__init__.py
@@ -1,1 +1,1 @@
-"""A task that owns sockets: its loop, and the streams in it."""
+"""Event loop of a task that owns sockets, with its streams and acceptors."""
--- a/wagtaildale/reactor/loop.py
+++ b/wagtaildale/reactor/loop.py
@@ -1,8 +1,9 @@
-"""The loop of a task that owns many sockets and waits on a selector.
+"""Event loop of a task that owns many sockets and waits on a selector.
 
-A handful of such tasks carries all connections of a node. A thread for each
-connection costs a stack and a scheduler's turn each, and a machine runs out
-of threads before it runs out of work (figures in docs/design/concurrency.md).
+A few such tasks handle all connections of a node. With a thread for each
+connection, each would need a stack and its own scheduling, and a machine would
+run out of threads before it reaches its capacity (see the figures in
+docs/design/concurrency.md).
 """
 
 from __future__ import annotations
@@ -26,19 +27,23 @@
 
 
 class Job:
-    """Something that another thread asks the loop to do."""
+    """A function that another thread submits to the loop.
+
+    Attributes:
+        future: receives the result or the exception of the function.
+    """
 
     def __init__(self, work: Callable[[], object]) -> None:
-        """Describe it.
+        """Create a job.
 
         Args:
-            work: done in the loop's thread.
+            work: function to call in the loop's thread.
         """
         self.future: Future[object] = Future()
         self._work = work
 
-    def carry_out(self) -> None:
-        """Do it and give the outcome to whoever asked."""
+    def run(self) -> None:
+        """Call the function and set its result or exception on the future."""
         try:
             self.future.set_result(self._work())
         except Exception as error:
@@ -46,11 +51,12 @@
 
 
 class Loop:
-    """Waits for sockets, alarms and jobs, and calls what was set for them.
+    """Waits for sockets, alarms and jobs, and calls their callbacks.
 
     Attributes:
-        alarms: rung between two waits, before any socket is looked at.
-        woken_late: how often the process was found to have been paused.
+        alarms: alarms of the task, which fire after each wait and before any
+            socket is handled.
+        late_wakes: number of detected pauses of the process.
     """
 
     def __init__(
@@ -59,143 +65,149 @@
         on_defect: Callable[[BaseException], None],
         on_late: Callable[[float], None],
     ) -> None:
-        """Open the selector; ``run`` does the work.
+        """Open the selector; ``run`` starts handling events.
 
         Args:
-            on_defect: is told when a callback fails in a way that no other
-                side can cause; the loop goes on.
-            on_late: is told for how many seconds the process was paused.
+            on_defect: function that is called with an exception that a
+                callback raises, which is a defect of the program and not
+                caused by a peer; the loop continues.
+            on_late: function that is called with the length of a detected
+                pause of the process, in seconds.
         """
         self.alarms = Alarms()
-        self.woken_late = 0
+        self.late_wakes = 0
         self._on_defect = on_defect
         self._on_late = on_late
         self._selector = select.epoll()
         self._callbacks: dict[int, Callable[[int], None]] = {}
         self._jobs: Inbox[Job] = Inbox()
-        self._soon: deque[Callable[[], None]] = deque()
+        self._deferred: deque[Callable[[], None]] = deque()
         self._running = True
-        self.watch(self._jobs.fileno(), READABLE, self._do_jobs)
+        self.watch(self._jobs.fileno(), READABLE, self._run_jobs)
 
     def watch(
         self,
-        number: int,
+        descriptor: int,
         events: int,
         callback: Callable[[int], None],
     ) -> None:
-        """Call a callback when a descriptor is ready.
+        """Register a callback for the events of a file descriptor.
 
         Args:
-            number: the descriptor.
-            events: for which to wait.
-            callback: is given the events that came.
+            descriptor: file descriptor to watch.
+            events: mask of epoll events to wait for.
+            callback: function that is called with the mask of events that
+                occurred.
         """
-        self._callbacks[number] = callback
-        self._selector.register(number, events)
+        self._callbacks[descriptor] = callback
+        self._selector.register(descriptor, events)
 
-    def change(self, number: int, events: int) -> None:
-        """Wait for other events of a descriptor.
+    def modify(self, descriptor: int, events: int) -> None:
+        """Change the events of a watched file descriptor.
 
         Args:
-            number: the descriptor.
-            events: for which to wait.
+            descriptor: file descriptor that is watched.
+            events: mask of epoll events to wait for.
         """
-        self._selector.modify(number, events)
+        self._selector.modify(descriptor, events)
 
-    def forget(self, number: int) -> None:
-        """Wait for a descriptor no longer; before it is closed.
+    def unwatch(self, descriptor: int) -> None:
+        """Stop watching a file descriptor; call it before closing that.
 
         Args:
-            number: the descriptor.
+            descriptor: file descriptor that is watched.
         """
-        self._callbacks.pop(number, None)
-        self._selector.unregister(number)
+        self._callbacks.pop(descriptor, None)
+        self._selector.unregister(descriptor)
 
     def submit(self, work: Callable[[], Outcome]) -> Future[Outcome]:
-        """Have something done in the loop's thread.
+        """Submit a function to be called in the loop's thread.
 
         Args:
-            work: what to do.
+            work: function to call; may be submitted from any thread.
 
         Returns:
-            Gets the outcome.
+            Future that receives the result of the function.
         """
         job = Job(work)
         self._jobs.put(job)
         return job.future  # type: ignore[return-value]
 
     def call_soon(self, work: Callable[[], None]) -> None:
-        """Do something once the callback at work has returned.
+        """Call a function after the current callback has returned.
 
         Args:
-            work: what to do; from the loop's own thread.
+            work: function to call. This method is only for the loop's own
+                thread.
         """
-        self._soon.append(work)
+        self._deferred.append(work)
 
     def run(self) -> None:
-        """Work until stopped."""
+        """Handle events until ``stop`` is called."""
         while self._running:
-            self.step(LONGEST_STEP)
+            self.step(MAX_STEP_SECONDS)
 
     def stop(self) -> None:
-        """End ``run``; may be called from another thread."""
+        """Make ``run`` return; may be called from another thread."""
         self._running = False
         self._jobs.put(Job(_do_nothing))
 
-    def step(self, longest: float) -> None:
-        """Wait once and handle what has come.
+    def step(self, max_wait: float) -> None:
+        """Wait once and handle the events that occurred.
 
-        Failure guarded here: a process is paused, wakes, and sends on a
-        request whose caller has long gone elsewhere. Alarms ring before any
-        socket is read, so deadlines and leases that ended during the pause
-        end their calls first.
+        Alarms fire before any socket is read, so deadlines and leases that
+        expired during a pause of the process end their calls first. Without
+        this order, a process that resumes would forward requests whose
+        callers have long retried elsewhere.
 
         Args:
-            longest: seconds to wait at most.
+            max_wait: maximum time to wait, seconds.
         """
         now = read_clock()
-        delay = min(longest, self.alarms.find_delay(now))
-        if self._soon:
+        delay = min(max_wait, self.alarms.find_delay(now))
+        if self._deferred:
             delay = 0
         ready = self._selector.poll(delay)
-        late_by = read_clock() - now - delay
-        if late_by > LATE_SECONDS:
-            self.woken_late += 1
-            self._on_late(late_by)
-        self._guard(self._ring)
-        self._do_soon()
-        for number, events in ready:
-            callback = self._callbacks.get(number)
+        pause = read_clock() - now - delay
+        if pause > LATE_SECONDS:
+            self.late_wakes += 1
+            self._on_late(pause)
+        self._call_guarded(self._fire_alarms)
+        self._run_deferred()
+        for descriptor, events in ready:
+            callback = self._callbacks.get(descriptor)
             if callback is not None:
-                self._guard(callback, events)
-                self._do_soon()
+                self._call_guarded(callback, events)
+                self._run_deferred()
 
     def close(self) -> None:
-        """Close the selector, after ``run`` has ended."""
+        """Close the selector; call it after ``run`` has returned."""
         self._selector.close()
 
-    def _ring(self) -> None:
+    def _fire_alarms(self) -> None:
         self.alarms.fire_due(read_clock())
 
-    def _do_soon(self) -> None:
-        while self._soon:
-            self._guard(self._soon.popleft())
+    def _run_deferred(self) -> None:
+        while self._deferred:
+            self._call_guarded(self._deferred.popleft())
 
-    def _do_jobs(self, events: int) -> None:
+    def _run_jobs(self, events: int) -> None:
         for job in self._jobs.take_all():
-            job.carry_out()
+            job.run()
 
-    def _guard(self, callback: Callable[..., None], *events: int) -> None:
-        # Failure: a defect in the handling of one connection ends the task
-        # and with it every other connection of the node.
+    def _call_guarded(
+        self, callback: Callable[..., None], *events: int
+    ) -> None:
+        # Prevents a defect in the handling of one connection from ending the
+        # task and with it all its other connections.
         try:
             callback(*events)
         except Exception as error:
             self._on_defect(error)
 
 
-LONGEST_STEP: Final = 1.0
+MAX_STEP_SECONDS: Final = 1.0
 
 
 def _do_nothing() -> None:
-    """Wake the loop."""
+    """Do nothing; the job only wakes the loop."""
--- a/wagtaildale/reactor/stream.py
+++ b/wagtaildale/reactor/stream.py
@@ -1,4 +1,4 @@
-"""A TCP connection in a loop: buffered writes, paused reads, a quiet end."""
+"""TCP connection in a loop: buffered writes, pausable reads, clean close."""
 
 from __future__ import annotations
 
@@ -14,54 +14,55 @@
     from wagtaildale.timers.alarms import Alarm
 
 READ_BYTES: Final = 65_536
-# Above this much unsent, whoever produces more is asked to wait.
-HIGH_WATER: Final = 262_144
+# Producers should wait while more than this is unsent.
+HIGH_WATER_BYTES: Final = 262_144
 LINGER_SECONDS: Final = 1.0
-# Failure: the other side loses power or a line goes silent, and a connection
-# that has sent waits for minutes. The kernel gives up on unacknowledged
-# bytes after this time, and asks an idle other side after KEEPALIVE_SECONDS.
-UNACKNOWLEDGED_MS: Final = 3000
-KEEPALIVE_SECONDS: Final = 2
+# When the peer loses power or the network drops all packets, a connection with
+# sent data would wait for minutes. With these options the kernel closes it
+# when data is unacknowledged for this time, and probes an idle peer after
+# KEEPALIVE_IDLE_SECONDS.
+UNACKNOWLEDGED_TIMEOUT_MS: Final = 3000
+KEEPALIVE_IDLE_SECONDS: Final = 2
 KEEPALIVE_PROBES: Final = 2
-HUNG_UP: Final = select.EPOLLERR | select.EPOLLHUP
-# What sending on a connection tells that the other side has closed.
-CLOSED_THERE: Final = frozenset((errno.EPIPE, errno.ECONNRESET))
-UNDER_WAY: Final = frozenset((0, errno.EINPROGRESS))
+HANGUP_EVENTS: Final = select.EPOLLERR | select.EPOLLHUP
+# Errors of sending that mean that the peer has closed the connection.
+PEER_CLOSED_ERRORS: Final = frozenset((errno.EPIPE, errno.ECONNRESET))
+CONNECTING_RESULTS: Final = frozenset((0, errno.EINPROGRESS))
 
 
 class StreamReceiver(Protocol):
-    """Whoever uses a stream."""
+    """Receiver of the events of a stream."""
 
     def on_open(self) -> None:
-        """Learn that a connection that was begun here is open."""
+        """Handle that a connection opened from this side is established."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Take bytes that have come.
+        """Handle received bytes.
 
         Args:
-            chunk: not empty.
+            chunk: received bytes; not empty.
         """
 
     def on_end(self) -> None:
-        """Learn that the other side sends no more."""
+        """Handle that the peer has finished sending."""
 
     def on_lost(self, error: OSError) -> None:
-        """Learn that the connection is gone; it is closed already.
+        """Handle that the connection is lost; the stream is closed already.
 
         Args:
-            error: why.
+            error: error that ended the connection.
         """
 
     def on_drained(self) -> None:
-        """Learn that what was buffered has been sent."""
+        """Handle that all buffered bytes have been sent."""
 
 
 class Stream:
-    """One connection.
+    """One TCP connection.
 
     Attributes:
-        sock: the socket.
-        is_closed: whether it is of no more use.
+        sock: socket of the connection.
+        is_closed: whether the stream is closed.
     """
 
     def __init__(
@@ -72,50 +73,50 @@
         *,
         is_open: bool = True,
     ) -> None:
-        """Take a socket.
+        """Create a stream on a socket and start watching it.
 
         Args:
-            loop: that waits for it.
-            sock: connected, or connecting.
-            receiver: uses it.
-            is_open: whether the connection stands already.
+            loop: loop that waits for the socket.
+            sock: connected or connecting socket.
+            receiver: receiver of the stream's events.
+            is_open: whether the connection is established already.
         """
         self.sock = sock
         self.is_closed = False
         self._loop = loop
         self._receiver = receiver
-        self._number = sock.fileno()
+        self._descriptor = sock.fileno()
         self._unsent = bytearray()
         self._is_open = is_open
-        self._reads = True
-        self._lingering: Alarm | None = None
+        self._is_reading = True
+        self._linger_alarm: Alarm | None = None
         self._send_error: OSError | None = None
         self._events = READABLE if is_open else WRITABLE
-        loop.watch(self._number, self._events, self._on_events)
+        loop.watch(self._descriptor, self._events, self._on_events)
 
     @property
     def unsent_bytes(self) -> int:
-        """How many bytes wait to be sent."""
+        """Number of bytes that are buffered and not sent yet."""
         return len(self._unsent)
 
     @property
     def is_full(self) -> bool:
-        """Whether whoever produces more should wait for ``on_drained``."""
-        return len(self._unsent) > HIGH_WATER
+        """Whether producers should wait for ``on_drained``."""
+        return len(self._unsent) > HIGH_WATER_BYTES
 
-    def use(self, receiver: StreamReceiver) -> None:
-        """Hand the connection to another receiver.
+    def switch_receiver(self, receiver: StreamReceiver) -> None:
+        """Replace the receiver of the stream's events.
 
         Args:
-            receiver: uses it from now on.
+            receiver: receiver of all later events.
         """
         self._receiver = receiver
 
     def send(self, chunk: bytes) -> None:
-        """Send bytes, now or as soon as the other side takes them.
+        """Send bytes, and buffer what the kernel does not accept at once.
 
         Args:
-            chunk: what to send.
+            chunk: bytes to send.
         """
         if self.is_closed or self._send_error is not None:
             return
@@ -124,59 +125,59 @@
             sent = self._try_send(chunk)
         if sent < len(chunk) and self._can_send():
             self._unsent += chunk[sent:]
-            self._change()
+            self._update_events()
 
     def pause(self) -> None:
-        """Read nothing until ``resume``."""
-        self._reads = False
-        self._change()
+        """Stop reading until ``resume`` is called."""
+        self._is_reading = False
+        self._update_events()
 
     def resume(self) -> None:
-        """Read again."""
-        self._reads = True
-        self._change()
+        """Start reading again."""
+        self._is_reading = True
+        self._update_events()
 
     def finish(self) -> None:
-        """Close once everything is sent and the other side has read it.
+        """Close once everything is sent and the peer has closed its side.
 
-        Failure guarded here: closing with bytes unread resets the
-        connection, and an answer that was just sent is lost with them. What
-        still comes is thrown away for a moment.
+        Closing a socket with unread bytes resets the connection, and an
+        answer that was just sent would be lost with it. Therefore received
+        bytes are discarded for up to ``LINGER_SECONDS`` before the close.
         """
-        if self.is_closed or self._lingering is not None:
+        if self.is_closed or self._linger_alarm is not None:
             return
-        self._receiver = _Lingering(self)
-        self._lingering = self._loop.alarms.set(LINGER_SECONDS, self.close)
-        self._reads = True
-        self._change()
+        self._receiver = _DiscardingReceiver(self)
+        self._linger_alarm = self._loop.alarms.set(LINGER_SECONDS, self.close)
+        self._is_reading = True
+        self._update_events()
         if not self._unsent:
             self.end_sending()
 
     def end_sending(self) -> None:
-        """Tell the other side that nothing more comes."""
+        """Shut down the sending side of the connection."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            # The other side is gone already: nothing is left to tell it.
+            # The peer has closed the connection already.
             self.close()
 
-    def fail(self, number: int) -> None:
-        """Close at once; the receiver hears that the connection is lost.
+    def fail(self, error_number: int) -> None:
+        """Close at once and report the connection to the receiver as lost.
 
         Args:
-            number: of the system's error.
+            error_number: ``errno`` value of the error to report.
         """
-        self._lose(OSError(number, 'connection failed'))
+        self._lose(OSError(error_number, 'connection failed'))
 
     def close(self) -> None:
-        """Close at once; the receiver hears nothing more."""
+        """Close at once; the receiver gets no further events."""
         if self.is_closed:
             return
         self.is_closed = True
-        self._loop.forget(self._number)
+        self._loop.unwatch(self._descriptor)
         self.sock.close()
-        if self._lingering is not None:
-            self._lingering.cancel()
+        if self._linger_alarm is not None:
+            self._linger_alarm.cancel()
 
     def _on_events(self, events: int) -> None:
         if not self._is_open:
@@ -186,22 +187,22 @@
             self._flush()
         if self.is_closed or not events & ~WRITABLE:
             return
-        if self._reads:
+        if self._is_reading:
             self._read()
-        elif events & HUNG_UP:
+        elif events & HANGUP_EVENTS:
             self._lose(OSError(errno.ECONNRESET, 'the other side hung up'))
 
     def _finish_connecting(self) -> None:
-        number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if number:
-            self._lose(OSError(number, 'connecting failed'))
+        error_number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            self._lose(OSError(error_number, 'connecting failed'))
             return
         if not self._is_connected():
-            # The event was of a descriptor with this number that has been
-            # closed since the selector looked.
+            # The event belongs to an earlier descriptor with the same number,
+            # which was closed after the selector reported it.
             return
         self._is_open = True
-        self._change()
+        self._update_events()
         self._receiver.on_open()
         if self._unsent and not self.is_closed:
             self._flush()
@@ -219,7 +220,7 @@
             return
         self._unsent = self._unsent[sent:]
         if not self._unsent:
-            self._change()
+            self._update_events()
             self._receiver.on_drained()
 
     def _read(self) -> None:
@@ -236,8 +237,8 @@
         if self._send_error is not None:
             self._lose(self._send_error)
             return
-        self._reads = False
-        self._change()
+        self._is_reading = False
+        self._update_events()
         self._receiver.on_end()
 
     def _try_send(self, chunk: bytes | bytearray) -> int:
@@ -253,38 +254,38 @@
         return not self.is_closed and self._send_error is None
 
     def _fail_sending(self, error: OSError) -> None:
-        if error.errno not in CLOSED_THERE:
+        if error.errno not in PEER_CLOSED_ERRORS:
             self._lose(error)
             return
-        # Failure: the other side answers before it has read all and closes,
-        # and its answer is thrown away since the rest cannot be sent. What
-        # has come is read; the connection is lost at the end of that.
+        # A peer may answer and close before it has read the whole request. Its
+        # answer would be discarded because the rest cannot be sent, so the
+        # received bytes are read first and then the connection counts as lost.
         self._send_error = error
         self._unsent.clear()
-        self._change()
+        self._update_events()
 
     def _lose(self, error: OSError) -> None:
         if self.is_closed:
             return
         receiver = self._receiver
         self.close()
-        # A receiver is never called from within its own call of ``send``:
-        # it would find itself half-way through a change of its state.
+        # The receiver is called later because it may be in its own call of
+        # ``send``, in the middle of a change of its state.
         self._loop.call_soon(lambda: receiver.on_lost(error))
 
-    def _change(self) -> None:
+    def _update_events(self) -> None:
         if self.is_closed or not self._is_open:
             return
-        events = READABLE if self._reads else 0
+        events = READABLE if self._is_reading else 0
         if self._unsent:
             events |= WRITABLE
         if events != self._events:
             self._events = events
-            self._loop.change(self._number, events)
+            self._loop.modify(self._descriptor, events)
 
 
-class _Lingering:
-    """Throws away what comes until the other side closes."""
+class _DiscardingReceiver:
+    """Discards received bytes until the peer closes the connection."""
 
     def __init__(self, stream: Stream) -> None:
         self._stream = stream
@@ -293,14 +294,14 @@
         """Do nothing."""
 
     def on_bytes(self, chunk: bytes) -> None:
-        """Throw bytes away."""
+        """Discard the bytes."""
 
     def on_end(self) -> None:
         if not self._stream.unsent_bytes:
             self._stream.close()
 
     def on_lost(self, error: OSError) -> None:
-        """Do nothing: the stream is closed."""
+        """Do nothing: the stream is closed already."""
 
     def on_drained(self) -> None:
         self._stream.end_sending()
@@ -311,36 +312,36 @@
     address: tuple[str, int],
     receiver: StreamReceiver,
 ) -> Stream:
-    """Begin to open a connection; the receiver hears how it went.
+    """Start opening a connection; the receiver is called with the result.
 
     Args:
-        loop: that waits for it.
-        address: IP number and port.
-        receiver: uses it.
+        loop: loop that waits for the connection.
+        address: IP address and port of the peer.
+        receiver: receiver of the stream's events.
 
     Returns:
-        The stream; what is sent before it is open waits.
+        Stream that buffers what is sent before the connection is open.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    prepare(sock)
-    number = sock.connect_ex(address)
+    set_socket_options(sock)
+    error_number = sock.connect_ex(address)
     stream = Stream(loop, sock, receiver, is_open=False)
-    if number not in UNDER_WAY:
-        stream.fail(number)
+    if error_number not in CONNECTING_RESULTS:
+        stream.fail(error_number)
     return stream
 
 
-def prepare(sock: socket.socket) -> None:
-    """Set the options of every connection.
+def set_socket_options(sock: socket.socket) -> None:
+    """Set the options that every connection has.
 
     Args:
-        sock: new.
+        sock: new socket.
     """
     sock.setblocking(False)
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
--- a/wagtaildale/reactor/tests/test_stream.py
+++ b/wagtaildale/reactor/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Tests of connections that end while both sides have something to say."""
+"""Tests of connections that end while both sides have data to send."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 ADDRESS: Final = ('127.0.9.8', 8081)
 STEP_SECONDS: Final = 0.01
-# Closing sends a reset.
-RESET: Final = struct.pack('ii', 1, 0)
+# Makes closing the socket send a reset.
+LINGER_RESET: Final = struct.pack('ii', 1, 0)
 
 
-class Listening:
-    """Keeps what comes on a stream."""
+class RecordingReceiver:
+    """Records the events of a stream."""
 
     def __init__(self) -> None:
         self.is_open = False
-        self.came = b''
+        self.received = b''
         self.ends: list[str] = []
 
     def on_open(self) -> None:
         self.is_open = True
 
     def on_bytes(self, chunk: bytes) -> None:
-        self.came += chunk
+        self.received += chunk
 
     def on_end(self) -> None:
         self.ends.append('ended')
@@ -54,35 +54,37 @@
     assert not defects
 
 
-def move_until(loop: Loop, condition: Callable[[], bool]) -> None:
-    """Let the loop work until something is so."""
-    wait_until(lambda: step(loop, condition))
+def run_until(loop: Loop, condition: Callable[[], bool]) -> None:
+    """Run the loop until a condition is true."""
+    wait_until(lambda: run_step(loop, condition))
 
 
-def step(loop: Loop, condition: Callable[[], bool]) -> bool:
+def run_step(loop: Loop, condition: Callable[[], bool]) -> bool:
     loop.step(STEP_SECONDS)
     return condition()
 
 
-def test_what_has_come_is_read_first(loop: Loop) -> None:
-    """A caller hears 502 though the answer has come to this machine.
+def test_received_bytes_are_read_before_a_reset(
+    loop: Loop,
+) -> None:
+    """Prevents a 502 to the caller when the answer has already arrived.
 
-    The owner of its call answers, stops, and resets the connection, since
-    something sent to it was not read any more. This node has a message to
-    send before it looks at the socket; sending fails, and the answer that
-    waits there was thrown away. It is read first, and the connection still
-    counts as lost and not as ended in order.
+    The owner of a call answers, stops, and resets the connection because it
+    did not read everything sent to it. If this node sends a message before it
+    reads the socket, sending fails, and the received answer would be
+    discarded. Now the answer is read first, and the connection still counts
+    as lost, not as cleanly ended.
     """
-    listening = Listening()
+    receiver = RecordingReceiver()
     with socket.create_server(ADDRESS) as server:
-        stream = open_stream(loop, ADDRESS, listening)
-        other = server.accept()[0]
-        move_until(loop, lambda: listening.is_open)
-        other.sendall(b'the answer')
-        other.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        other.close()
+        stream = open_stream(loop, ADDRESS, receiver)
+        peer = server.accept()[0]
+        run_until(loop, lambda: receiver.is_open)
+        peer.sendall(b'the answer')
+        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        peer.close()
         stream.send(b'a question')
-        move_until(loop, lambda: bool(listening.ends))
+        run_until(loop, lambda: bool(receiver.ends))
         stream.close()
-    assert listening.came == b'the answer'
-    assert listening.ends == ['lost']
+    assert receiver.received == b'the answer'
+    assert receiver.ends == ['lost']
--- a/wagtaildale/telemetry/__init__.py
+++ b/wagtaildale/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Events, logs and metrics."""
+"""Events, the event log and metrics of a node."""
--- a/wagtaildale/telemetry/clock.py
+++ b/wagtaildale/telemetry/clock.py
@@ -1,8 +1,8 @@
-"""A hybrid logical clock, so that events of many nodes can be ordered.
+"""Hybrid logical clock that orders the events of many nodes.
 
-Wall clocks of instances disagree; a plain sort by them shows an answer
-before its question. A hybrid logical clock stays near the wall clock and
-never runs behind a message that was received.
+Wall clocks of instances disagree, and sorting by them can show an answer
+before its request. A hybrid logical clock stays near the wall clock and is
+never behind the stamp of a message that was received.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 Stamp = NewType('Stamp', int)
 
 LOGICAL_BITS: Final = 16
-NANOSECONDS_PER_TICK: Final = 1_000_000
-MAX_AHEAD_TICKS: Final = 60_000
+NANOSECONDS_PER_MILLISECOND: Final = 1_000_000
+MAX_AHEAD_MS: Final = 60_000
 
 
 class HybridClock:
-    """Stamps that rise with the wall clock and with what was heard.
+    """Issues stamps that follow the wall clock and the received stamps.
 
-    A stamp is one integer: milliseconds since the epoch, then a counter of
-    16 bits.
+    A stamp is one integer: milliseconds since the epoch in the upper bits
+    and a counter in the lower 16 bits.
 
     Example:
         >>> clock = HybridClock()
@@ -31,41 +31,41 @@
     """
 
     def __init__(self) -> None:
-        """Start at the wall clock."""
+        """Create a clock that starts at the wall clock."""
         self._last = 0
         self._lock = threading.Lock()
 
     def tick(self) -> Stamp:
-        """Stamp an event of this process.
+        """Issue a stamp for an event of this process.
 
         Returns:
-            A stamp above each one given or observed before.
+            A stamp greater than all that were issued or observed before.
         """
         with self._lock:
-            self._last = max(self._last + 1, _read_wall())
+            self._last = max(self._last + 1, _read_wall_clock())
             return Stamp(self._last)
 
     def observe(self, stamp: int) -> None:
-        """Take note of a stamp from another node.
+        """Advance the clock to a stamp received from another node.
 
-        A stamp far ahead of the wall clock is left out: one node with a
-        broken clock would otherwise drag the whole fleet's stamps along.
+        A stamp far ahead of the wall clock is ignored: otherwise one node
+        with a wrong clock would advance the stamps of the whole fleet.
 
         Args:
-            stamp: the sender's stamp.
+            stamp: stamp of the sender.
         """
-        ahead = (stamp - _read_wall()) >> LOGICAL_BITS
-        if ahead > MAX_AHEAD_TICKS:
+        ahead = (stamp - _read_wall_clock()) >> LOGICAL_BITS
+        if ahead > MAX_AHEAD_MS:
             return
         with self._lock:
             self._last = max(self._last, stamp)
 
 
 def read_milliseconds(stamp: int) -> int:
-    """Give the wall-clock part of a stamp.
+    """Read the wall-clock part of a stamp.
 
     Args:
-        stamp: as given by ``HybridClock.tick``.
+        stamp: stamp issued by ``HybridClock.tick``.
 
     Returns:
         Milliseconds since the epoch.
@@ -73,5 +73,5 @@
     return stamp >> LOGICAL_BITS
 
 
-def _read_wall() -> int:
-    return (time.time_ns() // NANOSECONDS_PER_TICK) << LOGICAL_BITS
+def _read_wall_clock() -> int:
+    return (time.time_ns() // NANOSECONDS_PER_MILLISECOND) << LOGICAL_BITS
--- a/wagtaildale/telemetry/events.py
+++ b/wagtaildale/telemetry/events.py
@@ -1,4 +1,4 @@
-"""Typed events and the bounded ring each node keeps of them."""
+"""Typed events of a node and a bounded ring buffer of the latest ones."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 RING_SIZE: Final = 4096
 
-# What decided something, by name.
+# Values that a decision was based on, by name.
 Inputs = dict[str, str | int]
 
 
 @final
 class EventKind(Enum):
-    """What happened."""
+    """Kind of an event."""
 
     node_started = 'node-started'
     node_ready = 'node-ready'
@@ -79,19 +79,19 @@
 
 
 class Event(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One thing that happened on one node.
+    """One event on one node.
 
     Attributes:
-        stamp: hybrid logical clock.
-        node: the instance the node runs on.
-        incarnation: the node's incarnation.
-        kind: what happened.
-        code: numbered result code, 0 where nothing is wrong.
-        version: configuration version or list index it is about, else 0.
-        subject: class, peer or service it is about.
-        detail: anything more, for a person.
-        request: id of the request that a decision touched.
-        inputs: what decided it, with its age or version.
+        stamp: time of the event on the hybrid logical clock.
+        node: instance that the node runs on.
+        incarnation: incarnation of the node's process.
+        kind: kind of the event.
+        code: numbered result code; 0 if nothing is wrong.
+        version: configuration version or list index concerned, otherwise 0.
+        subject: class, peer or service concerned.
+        detail: further information for readers.
+        request: id of the request that a decision affected.
+        inputs: values that the decision was based on, with age or version.
     """
 
     stamp: Stamp
@@ -106,9 +106,10 @@
     inputs: Inputs = {}
 
 
-# Decisions that every call brings: they go to the log alone. The ring is for
-# what is rarer, and would hold only a second of calls.
-OF_EVERY_CALL: Final = frozenset(
+# Kinds that every call produces go to the log only: together with them the
+# ring buffer would cover no more than a second of calls, and the rarer events
+# would be overwritten.
+PER_CALL_KINDS: Final = frozenset(
     (
         EventKind.call_answered,
         EventKind.call_redirected,
@@ -121,7 +122,7 @@
 
 
 class EventRecorder:
-    """Keeps the latest events in a ring and hands each to the log.
+    """Keeps the latest events in a ring buffer and passes each to the log.
 
     Example:
         >>> recorder = EventRecorder(InstanceId('a'), Incarnation(1))
@@ -137,12 +138,12 @@
         *,
         sink: Callable[[Event], None] | None = None,
     ) -> None:
-        """Begin an empty ring.
+        """Create a recorder without events.
 
         Args:
-            node: the instance this node runs on.
-            incarnation: of this process.
-            sink: gets each event, as the log does.
+            node: instance that this node runs on.
+            incarnation: incarnation of this process.
+            sink: function that is called with each event, such as the log.
         """
         self.clock = HybridClock()
         self._node = node
@@ -161,16 +162,17 @@
         request: str = '',
         inputs: Inputs | None = None,
     ) -> None:
-        """Record one event now.
+        """Record an event that happens now.
 
         Args:
-            kind: what happened.
-            code: numbered result code, if something is wrong.
-            version: the version it is about.
-            subject: the request, peer or service it is about.
-            detail: anything more, for a person.
-            request: id of the request that a decision touched.
-            inputs: what decided it, with its age or version.
+            kind: kind of the event.
+            code: numbered result code; 0 if nothing is wrong.
+            version: version concerned.
+            subject: request, peer or service concerned.
+            detail: further information for readers.
+            request: id of the request that a decision affected.
+            inputs: values that the decision was based on, with age or
+                version.
         """
         event = Event(
             stamp=self.clock.tick(),
@@ -184,18 +186,19 @@
             request=request,
             inputs=inputs or {},
         )
-        if kind not in OF_EVERY_CALL:
+        if kind not in PER_CALL_KINDS:
             self._ring.append(event)
         if self._sink is not None:
             self._sink(event)
 
     def read_since(self, stamp: int) -> list[Event]:
-        """Give the events after a stamp, oldest first.
+        """Read the events after a stamp.
 
         Args:
-            stamp: the last stamp already known; 0 for all.
+            stamp: last stamp that the reader has seen; 0 for all events.
 
         Returns:
-            What the ring still holds of them.
+            Events after the stamp that are still in the ring buffer, oldest
+            first.
         """
         return [event for event in tuple(self._ring) if event.stamp > stamp]
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -1,4 +1,4 @@
-"""The gauges of a node."""
+"""Gauges of a node."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def make_metrics(node: Node) -> Metrics:
-    """Make the instruments of a node.
+    """Create the metrics of a node.
 
     Args:
-        node: that is measured.
+        node: node that is measured.
 
     Returns:
-        Its metrics, read when they are scraped.
+        Metrics whose values are read when they are scraped.
     """
     parts = node.parts
     metrics = Metrics(parts.tallies, instance=parts.identity.instance)
     state = node.distribution.state
-    _add_server(metrics, node)
+    _add_backend_gauges(metrics, node)
     for kind in Kind:
         metrics.add_gauge(
             f'wagtaildale.{kind.name}.version',
@@ -63,7 +63,7 @@
     return metrics
 
 
-def _add_server(metrics: Metrics, node: Node) -> None:
+def _add_backend_gauges(metrics: Metrics, node: Node) -> None:
     metrics.add_gauge(
         'wagtaildale.backend.running',
         lambda: len(node.calls.owner.gate.state.running),
@@ -109,8 +109,8 @@
 
 
 def _read_rate_limit(node: Node) -> float:
-    named = node.calls.owner.server.words.per_second
-    return NO_LIMIT if named is None else named
+    rate_limit = node.calls.owner.server.words.per_second
+    return NO_LIMIT if rate_limit is None else rate_limit
 
 
 def _read_version(node: Node, kind: Kind) -> float:
--- a/wagtaildale/telemetry/log.py
+++ b/wagtaildale/telemetry/log.py
@@ -1,9 +1,9 @@
-"""The log: one line of key=value pairs for each event.
+"""Event log: one line of key=value pairs for each event.
 
-The house style asks for python-json-logger; its ``json_serializer`` hook
-writes the fields as key=value pairs in place of JSON. Lines go to standard
-output from a thread of their own, behind a bounded buffer: whoever records
-an event never waits for whoever reads the log.
+The project's style requires python-json-logger; its ``json_serializer`` hook
+writes the fields as key=value pairs instead of JSON. A separate thread writes
+the lines from a bounded buffer to standard output, so a thread that records
+an event never waits for the reader of the log.
 """
 
 from __future__ import annotations
@@ -28,10 +28,11 @@
     from wagtaildale.telemetry.events import Event
 
 MILLISECONDS_PER_SECOND: Final = 1000
-# Lines a second of each kind: more than a node has at its usual load (about
-# 150 calls a second), so that a storm of one kind leaves the others be.
+# Limits are set for each kind and lie above the rate at a node's usual load
+# (about 150 calls per second), so a burst of one kind does not displace lines
+# of other kinds.
 LINES_PER_SECOND: Final = 50
-LINES_OF_CALLS: Final = 200
+CALL_LINES_PER_SECOND: Final = 200
 CALL_KINDS: Final = MappingProxyType(
     dict.fromkeys(
         (
@@ -40,29 +41,30 @@
             EventKind.call_refused,
             EventKind.run_ended,
         ),
-        LINES_OF_CALLS,
+        CALL_LINES_PER_SECOND,
     ),
 )
-# Lines that wait for the reader of standard output: some seconds of them.
-BUFFERED: Final = 4096
-# A line is at most this late, and may be lost with a process that is killed.
-GATHER_SECONDS: Final = 0.05
-LINES_AT_ONCE: Final = 256
+# Holds several seconds of lines while the reader of standard output is slow.
+MAX_BUFFERED_LINES: Final = 4096
+# Delay before a batch is written; lines of this time are lost if the process
+# is killed.
+BATCH_DELAY_SECONDS: Final = 0.05
+MAX_BATCH_LINES: Final = 256
 STANDARD_OUTPUT: Final = 1
-# How long the last lines may take when the process ends.
+# Time for writing the last lines when the process ends.
 CLOSE_SECONDS: Final = 0.3
-PLAIN: Final = re.compile(r'^[\w.:/+@-]+$')
+UNQUOTED: Final = re.compile(r'^[\w.:/+@-]+$')
 
 
 def write_pairs(fields: Mapping[str, object], **_options: object) -> str:
     """Write fields as key=value pairs on one line.
 
     Args:
-        fields: what the log record holds.
-        _options: what python-json-logger passes for JSON; of no use here.
+        fields: fields of the log record.
+        _options: JSON options of python-json-logger, which are ignored.
 
     Returns:
-        Pairs parted by blanks, empty fields left out.
+        Pairs separated by spaces, without empty fields.
 
     Example:
         >>> write_pairs({'kind': 'node-ready', 'detail': 'in 2 s'})
@@ -76,26 +78,27 @@
 
 
 def open_log(*, level: str) -> EventLog:
-    """Open the process's log on standard output.
+    """Create the log of the process, which goes to standard output.
 
     Args:
         level: name of the lowest level that is written.
 
     Returns:
-        A sink for an ``EventRecorder``.
+        Sink for an ``EventRecorder``.
     """
-    return EventLog(_write_out, level=level)
+    return EventLog(_write_stdout, level=level)
 
 
 class EventLog:
-    """Writes events behind a bounded buffer.
-
-    Failures guarded here: in a storm (half the fleet gone at once) thousands
-    of events a second would cost more than the work itself, so each kind has
-    a rate, and the lines over it are counted; the count is written with the
-    next line. And a reader that stops reading standard output would stop
-    every thread that logs; only the writer's own waits for it, and what does
-    not fit the buffer is counted alike.
+    """Writes events through a bounded buffer.
+
+    Two overloads are limited. When half of the fleet fails at once, writing
+    thousands of events per second would cost more than handling the calls, so
+    each kind has a rate limit; lines above it are dropped and counted, and
+    the next line contains the count. When the reader of standard output stops
+    reading, every thread that logs would block; here only the writing thread
+    waits, and events that do not fit in the buffer are dropped and counted in
+    the same way.
     """
 
     def __init__(
@@ -104,17 +107,17 @@
         *,
         level: str = 'info',
     ) -> None:
-        """Write to a sink; lines wait until ``start``.
+        """Create a log that buffers lines until ``start``.
 
         Args:
-            sink: takes whole lines; may take its time.
+            sink: function that writes complete lines; it may block.
             level: name of the lowest level that is written.
         """
         self._sink = sink
-        self._least = logging.getLevelNamesMapping()[level.upper()]
+        self._min_level = logging.getLevelNamesMapping()[level.upper()]
         self._formatter = JsonFormatter(json_serializer=write_pairs)
         self._second = 0
-        self._taken: Counter[EventKind] = Counter()
+        self._counts: Counter[EventKind] = Counter()
         self._left_out = 0
         self._lines: deque[Event] = deque()
         self._wake = threading.Event()
@@ -122,14 +125,16 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def __call__(self, event: Event) -> None:
-        """Take an event, or count it as left out; never waits.
+        """Add an event to the buffer, or count it as dropped; never blocks.
 
         Args:
-            event: what happened.
+            event: event to write.
         """
-        if find_level(event) < self._least:
+        if find_level(event) < self._min_level:
             return
-        if len(self._lines) >= BUFFERED or not self._is_within_rate(event):
+        if len(self._lines) >= MAX_BUFFERED_LINES or not self._is_within_rate(
+            event
+        ):
             self._left_out += 1
             return
         self._lines.append(event)
@@ -137,16 +142,16 @@
             self._wake.set()
 
     def start(self) -> None:
-        """Write lines from now on."""
+        """Start the thread that writes the lines."""
         self._thread.start()
 
     @property
     def left_out(self) -> int:
-        """How many events were not written since the last line that was."""
+        """Number of events dropped since the last line was written."""
         return self._left_out
 
     def close(self) -> None:
-        """Write what waits, as far as that takes no longer than a moment."""
+        """Write the buffered lines, for at most ``CLOSE_SECONDS``."""
         self._closing = True
         self._wake.set()
         self._thread.join(CLOSE_SECONDS)
@@ -154,15 +159,16 @@
     def _run(self) -> None:
         while not self._closing:
             self._wake.wait()
-            # A write for each line would wake this thread for each call.
-            time.sleep(GATHER_SECONDS)
+            # Writes lines in batches: otherwise this thread would wake for
+            # every call.
+            time.sleep(BATCH_DELAY_SECONDS)
             self._wake.clear()
             while self._lines:
                 self._sink(self._write_lines())
 
     def _write_lines(self) -> bytes:
         lines: list[str] = []
-        while self._lines and len(lines) < LINES_AT_ONCE:
+        while self._lines and len(lines) < MAX_BATCH_LINES:
             event = self._lines.popleft()
             left_out = self._left_out
             self._left_out -= left_out
@@ -174,28 +180,29 @@
         second = read_milliseconds(event.stamp) // MILLISECONDS_PER_SECOND
         if second != self._second:
             self._second = second
-            self._taken.clear()
-        self._taken[event.kind] += 1
-        most = CALL_KINDS.get(event.kind, LINES_PER_SECOND)
-        return self._taken[event.kind] <= most
+            self._counts.clear()
+        self._counts[event.kind] += 1
+        limit = CALL_KINDS.get(event.kind, LINES_PER_SECOND)
+        return self._counts[event.kind] <= limit
 
 
 def find_level(event: Event) -> int:
-    """Find the level of an event.
+    """Find the log level of an event.
 
     Args:
-        event: what happened.
+        event: event to write.
 
     Returns:
-        The level's number: a warning where something is wrong.
+        Number of the level: warning if the event has a result code, otherwise
+        info.
     """
     return logging.WARNING if event.code else logging.INFO
 
 
-def _write_out(lines: bytes) -> None:
-    rest = memoryview(lines)
-    while rest:
-        rest = rest[os.write(STANDARD_OUTPUT, rest) :]
+def _write_stdout(lines: bytes) -> None:
+    unwritten = memoryview(lines)
+    while unwritten:
+        unwritten = unwritten[os.write(STANDARD_OUTPUT, unwritten) :]
 
 
 def _list_fields(event: Event, left_out: int) -> dict[str, object]:
@@ -215,7 +222,7 @@
 
 
 def _quote(text: str) -> str:
-    if PLAIN.match(text):
+    if UNQUOTED.match(text):
         return text
     escaped = text.replace('\\', r'\\').replace('"', r'\"')
     return '"{0}"'.format(escaped.replace('\n', r'\n'))
--- a/wagtaildale/telemetry/metrics.py
+++ b/wagtaildale/telemetry/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by OpenTelemetry, scraped in the Prometheus format.
+"""OpenTelemetry metrics, scraped in the Prometheus format.
 
-Nothing is recorded on the path of calls: every instrument is observable and
-reads the workers' own tallies when it is scraped.
+Calls record nothing in the instruments: every instrument is observable and
+reads the tallies of the workers when it is scraped.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from prometheus_client import REGISTRY, generate_latest
 from prometheus_client.core import HistogramMetricFamily
 
-from wagtaildale.telemetry.tallies import BOUNDS
+from wagtaildale.telemetry.tallies import BUCKET_BOUNDS_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Iterator
 
     from wagtaildale.telemetry.tallies import ClassTally, Tallies
 
-SCOPE: Final = 'wagtaildale'
+METER_NAME: Final = 'wagtaildale'
 DURATION_NAME: Final = 'wagtaildale_call_duration_seconds'
 CLASS_LABEL: Final = 'work_class'
 
 
 class DurationCollector:
-    """Gives the workers' histograms of call durations to a scrape."""
+    """Prometheus collector of the workers' histograms of call durations."""
 
     def __init__(self, tallies: Tallies) -> None:
-        """Read from tallies.
+        """Create a collector.
 
         Args:
-            tallies: of all workers.
+            tallies: tallies of all workers.
         """
         self._tallies = tallies
 
@@ -42,7 +42,7 @@
         """Collect one histogram for each class.
 
         Yields:
-            The family of all classes.
+            Metric family with the histograms of all classes.
         """
         family = HistogramMetricFamily(
             DURATION_NAME,
@@ -55,14 +55,14 @@
 
 
 class Metrics:
-    """The instruments of one node."""
+    """Instruments of one node."""
 
     def __init__(self, tallies: Tallies, *, instance: str) -> None:
         """Create the instruments of calls.
 
         Args:
-            tallies: of all workers.
-            instance: the node's, a resource attribute.
+            tallies: tallies of all workers.
+            instance: instance of the node, used as a resource attribute.
         """
         self._tallies = tallies
         resource = Resource.create({'service.instance.id': instance})
@@ -70,7 +70,7 @@
             metric_readers=[PrometheusMetricReader()],
             resource=resource,
         )
-        self._meter = provider.get_meter(SCOPE)
+        self._meter = provider.get_meter(METER_NAME)
         REGISTRY.register(DurationCollector(tallies))
         self._meter.create_observable_counter(
             'wagtaildale.calls',
@@ -90,23 +90,23 @@
         """Add a gauge that is read when scraped.
 
         Args:
-            name: in OpenTelemetry's form.
-            read: gives the amount.
-            unit: in UCUM.
-            description: for people.
+            name: name of the gauge in OpenTelemetry's form.
+            read: function that returns the current value.
+            unit: unit of the value in UCUM notation.
+            description: description for readers.
         """
         self._meter.create_observable_gauge(
             name,
-            callbacks=[_Observer(read)],
+            callbacks=[_GaugeCallback(read)],
             unit=unit,
             description=description,
         )
 
     def write_page(self) -> bytes:
-        """Write what a scrape gets.
+        """Write the response to a scrape.
 
         Returns:
-            The Prometheus text format.
+            Metrics in the Prometheus text format.
         """
         return generate_latest(REGISTRY)
 
@@ -122,8 +122,8 @@
                 )
 
 
-class _Observer:
-    """Reads one gauge."""
+class _GaugeCallback:
+    """OpenTelemetry callback that reads the value of one gauge."""
 
     def __init__(self, read: Callable[[], float]) -> None:
         self._read = read
@@ -135,7 +135,7 @@
 def _sum_buckets(tally: ClassTally) -> list[tuple[str, float]]:
     total = 0
     buckets: list[tuple[str, float]] = []
-    bounds = [*(str(bound) for bound in BOUNDS), '+Inf']
+    bounds = [*(str(bound) for bound in BUCKET_BOUNDS_SECONDS), '+Inf']
     for bound, count in zip(bounds, tally.buckets, strict=True):
         total += count
         buckets.append((bound, total))
--- a/wagtaildale/telemetry/story.py
+++ b/wagtaildale/telemetry/request_history.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the logs of all nodes that it touched."""
+"""Reconstructs the history of a request from the logs of all its nodes."""
 
 from __future__ import annotations
 
@@ -13,23 +13,24 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-    from wagtaildale.telemetry.lines import LogLine
+    from wagtaildale.telemetry.log_lines import LogLine
 
-# A call that a backend server makes for a request is named after it.
-CALL_MARK: Final = '.'
-# How far back a change of what a node believed may matter: the time in which
-# a version is in force everywhere, twice.
-BEFORE_MS: Final = 5000
-ENDS: Final = frozenset(
+# Separates the id of a request from the suffix in the id of a call that a
+# backend server makes for it.
+CALL_SEPARATOR: Final = '.'
+# State changes this long before a request may have affected it: twice the time
+# in which a version comes into force on all nodes.
+LOOKBACK_MS: Final = 5000
+END_KINDS: Final = frozenset(
     (
         EventKind.call_answered,
         EventKind.call_failed,
         EventKind.call_refused,
     ),
 )
-# The detail of these names the fingerprint of the request.
-HELD_BACK: Final = frozenset((Code.request_on_trial, Code.request_harmful))
-BELIEFS: Final = frozenset(
+# Lines with these codes have the fingerprint of the request as their detail.
+SUSPECT_CODES: Final = frozenset((Code.request_on_trial, Code.request_harmful))
+STATE_KINDS: Final = frozenset(
     (
         EventKind.node_started,
         EventKind.node_ready,
@@ -68,17 +69,18 @@
 )
 
 
-class Story(Struct, frozen=True, kw_only=True):
-    """What is known of one request.
+class RequestHistory(Struct, frozen=True, kw_only=True):
+    """Log lines that explain one request.
 
     Attributes:
-        request: its id.
-        decisions: on it and on the calls made for it, in causal order.
-        beliefs: the last change of each kind before its end, at the nodes
-            that decided on it, oldest first.
-        end: the line that says how it ended, if it was written.
-        restarted: nodes of which more than one process wrote.
-        left_out: lines that those nodes did not write in that time.
+        request: id of the request.
+        decisions: decisions on the request and on the calls made for it, in
+            causal order.
+        beliefs: last state change of each kind before the end of the request,
+            on the nodes that decided on it, oldest first.
+        end: line that reports the end of the request, if it was written.
+        restarted: nodes whose lines come from more than one process.
+        left_out: number of lines that those nodes dropped in that time.
     """
 
     request: str
@@ -89,18 +91,18 @@
     left_out: int = 0
 
 
-def tell_story(request: str, lines: Sequence[LogLine]) -> Story:
-    """Gather the story of a request.
+def collect_history(request: str, lines: Sequence[LogLine]) -> RequestHistory:
+    """Collect the history of a request.
 
-    Lines are put in order by the hybrid clock, which every message between
-    nodes moves forward; two lines of one process keep their order.
+    Lines are sorted by the hybrid clock, which every message between nodes
+    advances; lines of one process keep their order.
 
     Args:
-        request: its id.
-        lines: of all nodes.
+        request: id of the request.
+        lines: log lines of all nodes.
 
     Returns:
-        Its story; without decisions if no line names it.
+        History of the request; it has no decisions if no line has the id.
     """
     decisions = sorted(
         (line for line in lines if is_about(line, request)),
@@ -110,68 +112,73 @@
     ends = [
         line
         for line in decisions
-        if line.request == request and line.kind in ENDS
+        if line.request == request and line.kind in END_KINDS
     ]
-    near = _take_near(lines, decisions, nodes)
-    ended = _list_ends(lines, decisions)
-    others = (line for line in _pick_beliefs(near) if line not in ended)
-    return Story(
+    nearby = _select_nearby(lines, decisions, nodes)
+    server_ends = _list_server_ends(lines, decisions)
+    others = (
+        line
+        for line in _select_latest_states(nearby)
+        if line not in server_ends
+    )
+    return RequestHistory(
         request=request,
         decisions=tuple(decisions),
-        beliefs=tuple(sorted((*ended, *others), key=_read_time)),
+        beliefs=tuple(sorted((*server_ends, *others), key=_read_time)),
         end=ends[-1] if ends else None,
         restarted=_find_restarted(lines, nodes),
-        left_out=sum(line.left_out for line in near),
+        left_out=sum(line.left_out for line in nearby),
     )
 
 
 def is_about(line: LogLine, request: str) -> bool:
-    """Tell whether a line is about a request or a call made for it.
+    """Check whether a line concerns a request or a call made for it.
 
     Args:
-        line: any.
-        request: id.
+        line: line of the log.
+        request: id of the request.
 
     Returns:
-        Whether it belongs to the story.
+        Whether the line is part of the request's history.
     """
     return line.request == request or line.request.startswith(
-        f'{request}{CALL_MARK}',
+        f'{request}{CALL_SEPARATOR}',
     )
 
 
-def find_cause(story: Story) -> LogLine | None:
-    """Find the line that says most of why a request failed.
+def find_cause(history: RequestHistory) -> LogLine | None:
+    """Find the line that best explains why a request failed.
 
-    The entry's last word names the outcome; the owner's last word on the
-    same code, or the last refusal or failure at all, has the numbers.
+    The entry's last line has the outcome. The details are in the last other
+    line with the same code, usually the owner's, or else in the last line
+    with any code.
 
     Args:
-        story: of the request.
+        history: history of the request.
 
     Returns:
-        The line, or nothing if the request was answered or is unknown.
+        The line, or None if the request was answered or its end is unknown.
     """
-    end = story.end
+    end = history.end
     if end is None or end.kind is EventKind.call_answered:
         return None
     faults = [
         line
-        for line in story.decisions
-        if line.code and line is not end and line.request == story.request
+        for line in history.decisions
+        if line.code and line is not end and line.request == history.request
     ]
-    alike = [line for line in faults if line.code == end.code]
-    return (alike or faults or [end])[-1]
+    same_code = [line for line in faults if line.code == end.code]
+    return (same_code or faults or [end])[-1]
 
 
 def describe_code(code: int) -> str:
     """Describe a result code.
 
     Args:
-        code: its number.
+        code: number of the code.
 
     Returns:
-        Number, name and meaning.
+        Number, name and meaning of the code.
     """
     if code not in set(Code):
         return f'{code}, a code that this version does not know'
@@ -179,35 +186,36 @@
     return f'{code} {known.name}: {MEANINGS[known]}'
 
 
-def _take_near(
+def _select_nearby(
     lines: Iterable[LogLine],
     decisions: Sequence[LogLine],
     nodes: set[InstanceId],
 ) -> list[LogLine]:
     if not decisions:
         return []
-    first = decisions[0].at_ms - BEFORE_MS
+    first = decisions[0].at_ms - LOOKBACK_MS
     last = decisions[-1].at_ms
-    near = [
+    nearby = [
         line
         for line in lines
         if line.node in nodes and first <= line.at_ms <= last
     ]
-    return sorted(near, key=_read_time)
+    return sorted(nearby, key=_read_time)
 
 
-def _list_ends(
+def _list_server_ends(
     lines: Iterable[LogLine],
     decisions: Iterable[LogLine],
 ) -> list[LogLine]:
-    """List the ends of servers for which a request is held back.
+    """List the server ends because of which a request was restricted.
 
-    They may be minutes old and at nodes that never saw the request.
+    They may be minutes older than the request and come from nodes that never
+    received it.
     """
     fingerprints = {
         line.detail
         for line in decisions
-        if line.code in HELD_BACK and line.detail
+        if line.code in SUSPECT_CODES and line.detail
     }
     return [
         line
@@ -217,12 +225,13 @@
     ]
 
 
-def _pick_beliefs(near: Sequence[LogLine]) -> tuple[LogLine, ...]:
-    # A version's subject is its digest: only the latest version counts.
+def _select_latest_states(nearby: Sequence[LogLine]) -> tuple[LogLine, ...]:
+    # The subject of a line with a version is a digest, so it is left out of
+    # the key: only the latest version matters.
     latest = {
         (line.node, line.kind, '' if line.version else line.subject): line
-        for line in near
-        if line.kind in BELIEFS
+        for line in nearby
+        if line.kind in STATE_KINDS
     }
     return tuple(sorted(latest.values(), key=_read_time))
 
@@ -235,7 +244,9 @@
     for line in lines:
         if line.node in nodes:
             seen.setdefault(line.node, set()).add(line.incarnation)
-    return tuple(node for node, starts in seen.items() if len(starts) > 1)
+    return tuple(
+        node for node, incarnations in seen.items() if len(incarnations) > 1
+    )
 
 
 def _read_time(line: LogLine) -> int:
--- a/wagtaildale/telemetry/tallies.py
+++ b/wagtaildale/telemetry/tallies.py
@@ -1,8 +1,8 @@
-"""Counts of calls, kept by each worker for itself and summed when read.
+"""Counts of calls, kept separately by each worker and summed when read.
 
 An instrument that all workers share costs a lock and a look-up of its
-attributes on every call. Here a worker adds to its own numbers; whoever
-reads (status, metrics) adds them up.
+attributes on every call. Here each worker updates its own counts, and the
+readers (status reports, metrics) add them up.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.types import Outcome
 
-# Upper bounds in seconds, as OpenTelemetry's HTTP conventions advise, with
-# finer steps below 10 ms.
-BOUNDS: Final = (
+# Upper bounds of the histogram buckets, as recommended by the HTTP conventions
+# of OpenTelemetry, with finer steps below 10 ms.
+BUCKET_BOUNDS_SECONDS: Final = (
     0.0005,
     0.001,
     0.0025,
@@ -40,18 +40,19 @@
 
 
 class ClassTally(Struct, kw_only=True):
-    """What became of the calls of one class.
+    """Counts of the calls of one class, by result.
 
     Attributes:
-        in_time: answered within the class's target.
-        answered: answered at all.
-        not_run: refused, and truly not run.
-        unknown: ended with an unknown outcome.
-        retried: attempts beyond the first.
-        hedged: attempts begun while another was under way.
-        codes: failures by code.
-        buckets: durations by ``BOUNDS``, the last one for longer ones.
-        seconds: sum of the durations.
+        in_time: calls answered within the class's target.
+        answered: calls answered, in time or later.
+        not_run: calls refused that certainly did not run.
+        unknown: calls that ended with an unknown outcome.
+        retried: attempts after the first one of a call.
+        hedged: attempts started while another one was in progress.
+        codes: numbers of failures by result code.
+        buckets: numbers of calls by duration, with the upper bounds of
+            ``BUCKET_BOUNDS_SECONDS``; the last bucket has no upper bound.
+        seconds: sum of the durations, seconds.
     """
 
     in_time: int = 0
@@ -62,22 +63,24 @@
     hedged: int = 0
     codes: dict[Code, int] = field(default_factory=dict)
     buckets: list[int] = field(
-        default_factory=lambda: [0 for _bucket in range(len(BOUNDS) + 1)],
+        default_factory=lambda: [
+            0 for _bucket in range(len(BUCKET_BOUNDS_SECONDS) + 1)
+        ],
     )
     seconds: float = 0
 
     @property
     def total(self) -> int:
-        """All calls of the class."""
+        """Number of all calls of the class."""
         return self.answered + self.not_run + self.unknown
 
     def note(self, code: Code, outcome: Outcome, seconds: float) -> None:
-        """Note how a call ended.
+        """Count a call that has ended.
 
         Args:
-            code: its result code.
-            outcome: what the caller was told.
-            seconds: it took.
+            code: result code of the call.
+            outcome: outcome reported to the caller.
+            seconds: duration of the call.
         """
         if outcome is Outcome.answered:
             self.answered += 1
@@ -87,14 +90,14 @@
             self.unknown += 1
         if code is not Code.ok:
             self.codes[code] = self.codes.get(code, 0) + 1
-        self.buckets[bisect_left(BOUNDS, seconds)] += 1
+        self.buckets[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.seconds += seconds
 
     def add(self, other: ClassTally) -> None:
-        """Add another worker's numbers.
+        """Add the counts of another worker to these.
 
         Args:
-            other: stays as it is.
+            other: counts to add; not changed.
         """
         self.in_time += other.in_time
         self.answered += other.answered
@@ -110,49 +113,53 @@
 
 
 class Tallies:
-    """The numbers of all workers of a node."""
+    """Counts of all workers of a node, by class."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create tallies without workers."""
         self._own = threading.local()
         self._all: list[dict[str, ClassTally]] = []
         self._lock = threading.Lock()
 
     def find(self, work_class: str) -> ClassTally:
-        """Find the calling worker's numbers for a class.
+        """Find the calling worker's counts for a class.
 
         Args:
-            work_class: service and class.
+            work_class: service and class, separated by a slash.
 
         Returns:
-            Numbers that only this worker adds to.
+            Counts that only this worker changes.
         """
-        mine: dict[str, ClassTally] | None = getattr(self._own, 'mine', None)
-        if mine is None:
-            mine = self._register()
-        tally = mine.get(work_class)
+        own_tallies: dict[str, ClassTally] | None = getattr(
+            self._own,
+            'own_tallies',
+            None,
+        )
+        if own_tallies is None:
+            own_tallies = self._register()
+        tally = own_tallies.get(work_class)
         if tally is None:
             tally = ClassTally()
-            mine[work_class] = tally
+            own_tallies[work_class] = tally
         return tally
 
     def sum_up(self) -> dict[str, ClassTally]:
-        """Add up the numbers of all workers.
+        """Add up the counts of all workers.
 
         Returns:
-            By class.
+            Totals by class.
         """
         with self._lock:
             workers = tuple(self._all)
         totals: dict[str, ClassTally] = {}
-        for mine in workers:
-            for name, tally in tuple(mine.items()):
+        for own_tallies in workers:
+            for name, tally in tuple(own_tallies.items()):
                 totals.setdefault(name, ClassTally()).add(tally)
         return totals
 
     def _register(self) -> dict[str, ClassTally]:
-        mine: dict[str, ClassTally] = {}
-        self._own.mine = mine
+        own_tallies: dict[str, ClassTally] = {}
+        self._own.own_tallies = own_tallies
         with self._lock:
-            self._all.append(mine)
-        return mine
+            self._all.append(own_tallies)
+        return own_tallies
--- a/wagtaildale/telemetry/tests/test_log.py
+++ b/wagtaildale/telemetry/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Tests of the log's lines."""
+"""Tests of the event log and the hybrid clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wagtaildale.telemetry.clock import HybridClock, Stamp
 from wagtaildale.telemetry.events import Event, EventKind
 from wagtaildale.telemetry.log import (
-    BUFFERED,
+    MAX_BUFFERED_LINES,
     LINES_PER_SECOND,
     EventLog,
     write_pairs,
@@ -21,8 +21,8 @@
     from collections.abc import Callable
 
 
-class Lines:
-    """Keeps the lines of a log, once it is told to read."""
+class LogReader:
+    """Sink that keeps the lines of a log; clear ``reading`` to block it."""
 
     def __init__(self) -> None:
         self.texts: list[str] = []
@@ -55,61 +55,61 @@
     )
 
 
-def test_pairs_are_on_one_line() -> None:
+def test_pairs_are_written_on_one_line() -> None:
     line = write_pairs({'kind': 'a', 'detail': 'x "y"\nz', 'code': 0})
     assert line == r'kind=a detail="x \"y\"\nz"'
 
 
-def test_storm_is_limited_and_counted() -> None:
-    """Half of the fleet is gone at once, and logging takes all the time.
+def test_lines_above_the_rate_are_dropped_and_counted() -> None:
+    """Prevents logging from using all the time when half the fleet fails.
 
-    Lines over the rate are left out; the next line that passes says how
-    many there were.
+    Lines above the rate are dropped; the next line that is written contains
+    their number.
     """
-    lines = Lines()
-    log = EventLog(lines)
+    log_reader = LogReader()
+    log = EventLog(log_reader)
     for _event in range(LINES_PER_SECOND + 7):
         log(build_event(1000 << 16))
     log.start()
-    wait_until(lambda: len(lines.texts) == LINES_PER_SECOND)
+    wait_until(lambda: len(log_reader.texts) == LINES_PER_SECOND)
     log(build_event(5000 << 16))
-    wait_until(lambda: len(lines.texts) == LINES_PER_SECOND + 1)
+    wait_until(lambda: len(log_reader.texts) == LINES_PER_SECOND + 1)
     log.close()
-    assert lines.count_left_out() == 7
+    assert log_reader.count_left_out() == 7
 
 
-def test_reader_that_stops_reading_holds_up_nobody() -> None:
-    """The log collector hangs, and with it every call of every node.
+def test_blocked_reader_does_not_block_recording() -> None:
+    """Prevents a hanging log collector from stopping the calls of every node.
 
-    Only the writer's own thread waits for the reader. What does not fit the
-    buffer meanwhile is left out and counted.
+    Only the writing thread waits for the reader. Events that do not fit in
+    the buffer are dropped and counted.
     """
-    lines = Lines()
-    lines.reading.clear()
-    log = EventLog(lines)
+    log_reader = LogReader()
+    log_reader.reading.clear()
+    log = EventLog(log_reader)
     log.start()
-    seconds = 2 * BUFFERED // LINES_PER_SECOND
+    seconds = 2 * MAX_BUFFERED_LINES // LINES_PER_SECOND
     for second in range(seconds):
         for _event in range(LINES_PER_SECOND):
             log(build_event((second * 1000) << 16))
     assert log.left_out > 0
-    lines.reading.set()
-    wait_until(lambda: len(lines.texts) >= BUFFERED)
+    log_reader.reading.set()
+    wait_until(lambda: len(log_reader.texts) >= MAX_BUFFERED_LINES)
     log.close()
-    written = len(lines.texts)
-    left_out = lines.count_left_out() + log.left_out
+    written = len(log_reader.texts)
+    left_out = log_reader.count_left_out() + log.left_out
     assert written + left_out == seconds * LINES_PER_SECOND
 
 
-def test_clock_never_runs_behind_what_it_heard() -> None:
+def test_clock_is_never_behind_a_received_stamp() -> None:
     clock = HybridClock()
-    heard = clock.tick() + (5000 << 16)
-    clock.observe(heard)
-    assert clock.tick() > heard
+    received = clock.tick() + (5000 << 16)
+    clock.observe(received)
+    assert clock.tick() > received
 
 
-def test_clock_ignores_a_broken_one() -> None:
+def test_clock_ignores_a_stamp_far_in_the_future() -> None:
     clock = HybridClock()
-    far = clock.tick() + (10_000_000 << 16)
-    clock.observe(far)
-    assert clock.tick() < far
+    far_stamp = clock.tick() + (10_000_000 << 16)
+    clock.observe(far_stamp)
+    assert clock.tick() < far_stamp
--- a/wagtaildale/telemetry/tests/test_story.py
+++ b/wagtaildale/telemetry/tests/test_request_history.py
@@ -1,4 +1,4 @@
-"""Tests of the story of a request, told from logs."""
+"""Tests of reconstructing the history of a request from logs."""
 
 from __future__ import annotations
 
@@ -6,9 +6,13 @@
 
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
-from wagtaildale.telemetry.lines import LogLine, read_lines
+from wagtaildale.telemetry.log_lines import LogLine, read_lines
 from wagtaildale.telemetry.log import write_pairs
-from wagtaildale.telemetry.story import Story, find_cause, tell_story
+from wagtaildale.telemetry.request_history import (
+    RequestHistory,
+    find_cause,
+    collect_history,
+)
 from wagtaildale.types import InstanceId
 
 ENTRY = InstanceId('10.1.0.1')
@@ -57,25 +61,25 @@
 )
 
 
-def tell(*texts: str) -> Story:
-    return tell_story(REQUEST, read_lines(texts).lines)
+def collect(*texts: str) -> RequestHistory:
+    return collect_history(REQUEST, read_lines(texts).lines)
 
 
-def test_refusal_is_explained_by_its_owner() -> None:
-    """A booking is refused, and the entry alone cannot say why.
+def test_cause_of_a_refusal_is_the_owner_line() -> None:
+    """The entry's line alone does not show why a request was refused.
 
-    The owner's line has the queue that decided it.
+    The owner's line has the state of the queue that led to the refusal.
     """
-    story = tell(*reversed(REFUSED))
-    cause = find_cause(story)
+    history = collect(*reversed(REFUSED))
+    cause = find_cause(history)
     assert cause is not None
     assert cause.node == OWNER
     assert cause.inputs['waiting'] == '21'
-    assert story.end is not None
-    assert story.end.code == Code.overloaded
+    assert history.end is not None
+    assert history.end.code == Code.overloaded
 
 
-def test_calls_made_for_a_request_belong_to_its_story() -> None:
+def test_calls_made_for_a_request_belong_to_its_history() -> None:
     called = build_text(
         EventKind.call_failed,
         at_ms=1010,
@@ -89,15 +93,15 @@
         request=f'{REQUEST}0',
         code=Code.timed_out.value,
     )
-    story = tell(called, other, *REFUSED)
-    assert [line.at_ms for line in story.decisions] == [1010, 1020, 1021]
+    history = collect(called, other, *REFUSED)
+    assert [line.at_ms for line in history.decisions] == [1010, 1020, 1021]
 
 
 def test_beliefs_are_the_last_of_their_kind_before_the_end() -> None:
-    """A request goes to a server that has left.
+    """Explains a request that was sent to a server that had left.
 
-    What its entry had last learned of the list is part of the story; what
-    other nodes learned, and what came later, is not.
+    The last list that its entry had applied is part of the history; lists
+    applied by other nodes, or later, are not.
     """
     learned = [
         build_text(EventKind.instances_applied, at_ms=at, version=at, node=node)
@@ -108,14 +112,14 @@
             (2000, ENTRY),
         )
     ]
-    story = tell(*learned, *REFUSED)
-    assert [line.version for line in story.beliefs] == [900]
+    history = collect(*learned, *REFUSED)
+    assert [line.version for line in history.beliefs] == [900]
 
 
-def test_prefix_of_a_collector_is_passed_over() -> None:
-    reading = read_lines([f'   1.6317 sidecar-a-1 {REFUSED[0]}\n'])
-    assert reading.lines[0].node == OWNER
-    assert not reading.foreign
+def test_prefix_of_a_log_collector_is_skipped() -> None:
+    parsed_log = read_lines([f'   1.6317 sidecar-a-1 {REFUSED[0]}\n'])
+    assert parsed_log.lines[0].node == OWNER
+    assert not parsed_log.foreign
 
 
 @pytest.mark.parametrize(
@@ -129,32 +133,34 @@
         ('at_ms=1 node=a kind="node-ready', 1, 0),
     ],
 )
-def test_bad_lines_are_counted(text: str, torn: int, foreign: int) -> None:
-    """A log ends in the middle of a line, or holds another program's lines.
+def test_unreadable_lines_are_counted(
+    text: str, torn: int, foreign: int
+) -> None:
+    """A log may end within a line or contain lines of other programs.
 
-    What cannot be read is counted, and the rest is told.
+    Lines that cannot be parsed are counted, and the others are still parsed.
     """
-    reading = read_lines([text, *REFUSED])
-    assert (reading.torn, reading.foreign) == (torn, foreign)
-    assert len(reading.lines) == len(REFUSED)
+    parsed_log = read_lines([text, *REFUSED])
+    assert (parsed_log.torn, parsed_log.foreign) == (torn, foreign)
+    assert len(parsed_log.lines) == len(REFUSED)
 
 
-def test_quoted_text_comes_back() -> None:
+def test_quoted_text_is_parsed_back() -> None:
     detail = 'two\nlines, "quoted" and a \\'
     text = build_text(EventKind.node_ready, at_ms=1, detail=detail)
     assert read_lines([text]).lines[0].detail == detail
 
 
-def test_two_processes_of_a_node_are_named() -> None:
-    """A node is restarted, and its second process's lines look like one."""
+def test_restarted_node_is_listed() -> None:
+    """Prevents lines of two processes of a node from passing as one's."""
     again = build_text(EventKind.node_started, at_ms=5000, incarnation=2)
-    assert tell(*REFUSED, again).restarted == (ENTRY,)
+    assert collect(*REFUSED, again).restarted == (ENTRY,)
 
 
-def test_end_that_was_not_written() -> None:
-    story = tell(REFUSED[0])
-    assert story.end is None
-    assert find_cause(story) is None
+def test_request_without_an_end_line_has_no_cause() -> None:
+    history = collect(REFUSED[0])
+    assert history.end is None
+    assert find_cause(history) is None
 
 
 def test_answered_request_has_no_cause() -> None:
@@ -164,21 +170,21 @@
         request=REQUEST,
         status=200,
     )
-    assert find_cause(tell(REFUSED[0], answered)) is None
+    assert find_cause(collect(REFUSED[0], answered)) is None
 
 
-def test_lines_left_out_are_said() -> None:
+def test_dropped_lines_are_counted() -> None:
     text = build_text(EventKind.node_ready, at_ms=1015, left_out=30)
-    assert tell(text, *REFUSED).left_out == 30
+    assert collect(text, *REFUSED).left_out == 30
 
 
-def test_unknown_request_has_no_story() -> None:
+def test_unknown_request_has_no_decisions() -> None:
     lines: list[LogLine] = read_lines(REFUSED).lines
-    assert not tell_story('0', lines).decisions
+    assert not collect_history('0', lines).decisions
 
 
-def test_ends_of_servers_explain_a_refusal() -> None:
-    """A request is refused for what happened minutes ago, elsewhere."""
+def test_server_ends_explain_a_refusal() -> None:
+    """The cause may lie minutes before the request and on another node."""
     ended = build_text(
         EventKind.server_ended,
         at_ms=1000,
@@ -194,5 +200,5 @@
         code=Code.request_harmful.value,
         detail='0a0b',
     )
-    story = tell(ended, other, refused)
-    assert [belief.subject for belief in story.beliefs] == ['i-1']
+    history = collect(ended, other, refused)
+    assert [belief.subject for belief in history.beliefs] == ['i-1']
--- a/wagtaildale/telemetry/page.py
+++ b/wagtaildale/telemetry/timeline_page.py
@@ -1,7 +1,7 @@
-"""The time line as one self-contained page with a plot.
+"""Writes a timeline of events as one self-contained HTML page with a plot.
 
-Lanes are nodes; marks are events, coloured by what they are about. No
-script of others, no download: a person can open it offline.
+Each node has a lane, and each event is a mark whose colour shows its group.
+The page loads no scripts or other files, so it can be opened offline.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
     from wagtaildale.telemetry.events import Event
 
-LANE: Final = 22
-LEFT: Final = 150
-WIDTH: Final = 1100
-RIGHT: Final = 80
-TOP: Final = 30
+LANE_PX: Final = 22
+LEFT_PX: Final = 150
+WIDTH_PX: Final = 1100
+RIGHT_PX: Final = 80
+TOP_PX: Final = 30
 TICKS: Final = 8
-RADIUS: Final = 4
+RADIUS_PX: Final = 4
 FAULT_COLOUR: Final = '#c62828'
 VERSION_COLOUR: Final = '#1565c0'
 FLEET_COLOUR: Final = '#ef6c00'
@@ -68,10 +68,10 @@
     """Write the page.
 
     Args:
-        events: in causal order.
+        events: events in causal order.
 
     Returns:
-        HTML.
+        HTML text of the page.
     """
     return PAGE.format(
         style=STYLE,
@@ -99,14 +99,17 @@
     if not events:
         return '<p>No events.</p>'
     nodes = sorted({event.node for event in events})
-    height = TOP + LANE * (len(nodes) + 1)
+    height = TOP_PX + LANE_PX * (len(nodes) + 1)
     first, span = _find_span(events)
     lanes = _write_lanes(nodes)
     marks = [
         _write_mark(event, first, span, nodes.index(event.node))
         for event in events
     ]
-    head = f'<svg width="{LEFT + WIDTH + RIGHT}" height="{height}" role="img">'
+    head = (
+        f'<svg width="{LEFT_PX + WIDTH_PX + RIGHT_PX}" height="{height}" '
+        'role="img">'
+    )
     return ''.join((head, _write_scale(span, height), lanes, *marks, '</svg>'))
 
 
@@ -118,11 +121,11 @@
 def _write_scale(span: int, height: int) -> str:
     ticks = []
     for number in range(TICKS + 1):
-        place = LEFT + WIDTH * number // TICKS
+        place = LEFT_PX + WIDTH_PX * number // TICKS
         label = f'{span * number // TICKS} ms'
         ticks.append(
-            f'<line x1="{place}" y1="{TOP}" x2="{place}" y2="{height}" '
-            f'stroke="#eee"/><text x="{place}" y="{TOP - RADIUS}">'
+            f'<line x1="{place}" y1="{TOP_PX}" x2="{place}" y2="{height}" '
+            f'stroke="#eee"/><text x="{place}" y="{TOP_PX - RADIUS_PX}">'
             f'{label}</text>',
         )
     return ''.join(ticks)
@@ -130,26 +133,26 @@
 
 def _write_lanes(nodes: Sequence[str]) -> str:
     return ''.join(
-        _write_lane(name, TOP + LANE * (number + 1))
+        _write_lane(name, TOP_PX + LANE_PX * (number + 1))
         for number, name in enumerate(nodes)
     )
 
 
 def _write_lane(name: str, place: int) -> str:
     return (
-        f'<text x="0" y="{place + RADIUS}">{escape(name)}</text>'
-        f'<line x1="{LEFT}" y1="{place}" x2="{LEFT + WIDTH}" y2="{place}" '
-        'stroke="#ccc"/>'
+        f'<text x="0" y="{place + RADIUS_PX}">{escape(name)}</text>'
+        f'<line x1="{LEFT_PX}" y1="{place}" x2="{LEFT_PX + WIDTH_PX}" '
+        f'y2="{place}" stroke="#ccc"/>'
     )
 
 
 def _write_mark(event: Event, first: int, span: int, lane: int) -> str:
     elapsed = read_milliseconds(event.stamp) - first
-    place = LEFT + WIDTH * elapsed // span
-    height = TOP + LANE * (lane + 1)
+    place = LEFT_PX + WIDTH_PX * elapsed // span
+    height = TOP_PX + LANE_PX * (lane + 1)
     title = escape(f'{event.kind.value} {_describe(event)}')
     return (
-        f'<circle cx="{place}" cy="{height}" r="{RADIUS}" '
+        f'<circle cx="{place}" cy="{height}" r="{RADIUS_PX}" '
         f'fill="{_find_colour(event)}"><title>{title}</title></circle>'
     )
 
