--- a/wagtaildale/admin/client.py
+++ b/wagtaildale/admin/client.py
@@ -1,4 +1,4 @@
-"""Asks a node's administration API, by pycurl."""
+"""Client of a node's administration API, based on pycurl."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class AdminClient(Struct, frozen=True, kw_only=True):
-    """Where a node's API is, and the token for it.
+    """Client of the administration API of one node.
 
     Attributes:
-        address: host and port.
-        token: nothing if none is set there.
+        address: host and port of the API.
+        token: token that is sent; None if the node requires none.
     """
 
     address: str
@@ -40,12 +40,12 @@
         document_type: type[Document],
         query: dict[str, str] | None = None,
     ) -> Result[Document, Fault]:
-        """Read one document.
+        """Read one document by GET.
 
         Args:
-            path: of the API.
-            document_type: what it becomes.
-            query: parameters.
+            path: path of the API.
+            document_type: type that the response is decoded to.
+            query: query parameters.
 
         Returns:
             The document, or the fault.
@@ -60,19 +60,19 @@
         document_type: type[Document],
         body: bytes = b'',
     ) -> Result[Document, Fault]:
-        """Send something by POST.
+        """Send a request by POST.
 
         Args:
-            path: of the API.
-            document_type: what the answer becomes.
-            body: what is sent.
+            path: path of the API.
+            document_type: type that the response is decoded to.
+            body: body of the request.
 
         Returns:
-            The answer, or the fault.
+            The decoded response, or the fault.
         """
         curl = self._prepare(path)
-        # libcurl repeats a request on a reused connection that dies; this
-        # handle has a connection of its own.
+        # libcurl retries a request when a reused connection fails, so a POST
+        # uses a new connection.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.POSTFIELDS, body)
         return self._perform(curl, document_type)
@@ -120,7 +120,7 @@
                 code=Code.admin_not_found,
                 where=self.address,
                 got=f'status {status}',
-                expected='something that this node knows',
+                expected='a path or a fingerprint that this node knows',
             )
         if status != STATUS_UNAUTHORISED:
             return self._describe(f'status {status}')
--- a/wagtaildale/admin/endpoints.py
+++ b/wagtaildale/admin/endpoints.py
@@ -1,6 +1,7 @@
-"""The pages of the administration API: one function for each.
+"""Endpoints of the administration API, with a function for each.
 
-A page is found by its path; ``openapi`` describes the same table.
+The server routes requests by the table ``ENDPOINTS``, and the OpenAPI
+description is generated from it.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class RequestContext(Struct, frozen=True, kw_only=True):
-    """What a page is made from."""
+    """Data that an endpoint uses to answer a request."""
 
     node: Any
     fleet: Any
@@ -51,23 +52,23 @@
     """Show this node's state.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The report, with the classes that the token opens.
+        Report with the classes that the token's scope allows.
     """
     node: Node = context.node
     return _restrict_classes(report_node(node), context)
 
 
 def show_fleet(context: RequestContext) -> FleetReport:
-    """Show the fleet as far as this node can find out.
+    """Show the state of the fleet as known to this node.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The report.
+        Report on the fleet.
     """
     fleet: FleetReporter = context.fleet
     request: Request = context.request
@@ -79,10 +80,10 @@
     """Show this node's events after a stamp.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The events; operators only.
+        The events; only for operators.
     """
     _require_unrestricted(context)
     node: Node = context.node
@@ -95,10 +96,13 @@
     """Explain where a request would go.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The explanation; none for another team's service.
+        The explanation.
+
+    Raises:
+        Forbidden: if the service belongs to another team.
     """
     node: Node = context.node
     arguments = context.request.args
@@ -115,10 +119,10 @@
 
 
 def show_instances(context: RequestContext) -> InstanceAddresses:
-    """List where all nodes are administered.
+    """List the administration addresses of all nodes.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
         The addresses.
@@ -137,13 +141,16 @@
 
 
 def check_file(context: RequestContext) -> ProposalReport:
-    """Check a proposed file, sent as the body.
+    """Check a proposed file that is sent as the body.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        Faults or changes.
+        Faults of the file, or the changes that it would make.
+
+    Raises:
+        RequestEntityTooLarge: if the body is over ``MAX_PROPOSAL_BYTES``.
     """
     node: Node = context.node
     request: Request = context.request
@@ -158,10 +165,10 @@
     """Begin this node's planned stop, as SIGTERM does.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        What is in flight; operators only.
+        Number of requests in flight; only for operators.
     """
     _require_unrestricted(context)
     node: Node = context.node
@@ -173,23 +180,23 @@
     """Show whether this node is ready; needs no token.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        Its state.
+        State of the node.
     """
     node: Node = context.node
     return ReadyReport(state=node.parts.states[-1].value)
 
 
 def show_suspects(context: RequestContext) -> SuspectsReport:
-    """Show the requests under which servers have ended.
+    """Show the requests during which backend servers have ended.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The report; operators only.
+        The report; only for operators.
     """
     _require_unrestricted(context)
     return report_suspects(context.node)
@@ -199,10 +206,13 @@
     """Let the request run again whose fingerprint is sent as the body.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        What was known of it; operators only.
+        State of the request before it was cleared; only for operators.
+
+    Raises:
+        RequestEntityTooLarge: if the body is over ``MAX_FINGERPRINT_BYTES``.
     """
     _require_unrestricted(context)
     request: Request = context.request
@@ -213,15 +223,15 @@
 
 
 class Endpoint(Struct, frozen=True, kw_only=True):
-    """One page of the API.
+    """One endpoint of the API.
 
     Attributes:
         method: HTTP method.
-        path: of the page.
-        build_document: makes its document.
-        document_type: of the document.
-        summary: for people.
-        query: names of its parameters.
+        path: path of the endpoint.
+        build_document: function that builds the document of the response.
+        document_type: type of that document.
+        summary: description for readers.
+        query: names of the query parameters.
     """
 
     method: str
@@ -285,7 +295,7 @@
         path='/v1/instances',
         build_document=show_instances,
         document_type=InstanceAddresses,
-        summary='Where every node is administered',
+        summary='Administration addresses of all nodes',
     ),
     Endpoint(
         method='POST',
@@ -306,7 +316,7 @@
         path='/v1/suspects',
         build_document=show_suspects,
         document_type=SuspectsReport,
-        summary='Requests under which servers have ended',
+        summary='Requests during which backend servers have ended',
     ),
     Endpoint(
         method='POST',
--- a/wagtaildale/admin/fleet.py
+++ b/wagtaildale/admin/fleet.py
@@ -1,9 +1,10 @@
-"""Any node answers for the fleet, at a bounded cost.
+"""Reports on the whole fleet from any node, at a bounded cost.
 
-A request asks at most ``MAX_NODES_ASKED`` nodes anew, those of which the news
-is oldest; the rest is answered from before, with its age. In a fleet of
-2,500 a status that is asked for every second is whole after 40 of them, and
-no node is asked more often than it is asked for.
+A request polls at most ``MAX_NODES_ASKED`` nodes, those that were polled
+longest ago; for the others it uses the last known report, with its age. In a
+fleet of 2,500 nodes, a report that is requested every second is complete
+after 40 requests, and no node is polled more often than reports are
+requested.
 """
 
 from __future__ import annotations
@@ -32,13 +33,13 @@
 
 
 class FleetReporter:
-    """Asks other nodes and remembers what they said."""
+    """Polls other nodes and keeps their latest reports."""
 
     def __init__(self, node: Node) -> None:
-        """Begin with nothing known.
+        """Create a reporter without reports.
 
         Args:
-            node: this process's.
+            node: node of this process.
         """
         self._node = node
         self._lock = threading.Lock()
@@ -49,10 +50,11 @@
         """Report on the fleet.
 
         Args:
-            token: the caller's, for the other nodes.
+            token: token of the request, which is sent to the other nodes.
 
         Returns:
-            Every listed node's part with its age, and who is not known.
+            Report of every listed node with its age, and the names of the
+            nodes without a report.
         """
         with self._lock:
             records = self._list_records()
--- a/wagtaildale/admin/model.py
+++ b/wagtaildale/admin/model.py
@@ -1,4 +1,4 @@
-"""What the administration API says."""
+"""Documents of the administration API."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 
 
 class DocumentState(Struct, frozen=True, kw_only=True):
-    """One replicated document as a node holds it.
+    """State of a replicated document on a node.
 
     Attributes:
-        version: held.
-        digest: of it, hexadecimal.
-        age_ms: since the platform was last confirmed; -1 for never.
-        refused: versions that failed their check, with the reason.
+        version: version that the node holds.
+        digest: digest of that version, hexadecimal.
+        age_ms: time since the version was last confirmed by the platform; -1
+            if it was never confirmed.
+        refused: versions that failed validation, with the reason.
     """
 
     version: int
@@ -26,16 +27,17 @@
 
 
 class ControlState(Struct, frozen=True, kw_only=True):
-    """What distribution has cost.
+    """Counts of the traffic of distribution.
 
     Attributes:
-        sent_bytes: to other nodes.
-        received_bytes: from other nodes.
-        sent: messages.
-        received: messages.
-        malformed: frames that were no message.
-        misdirected: messages meant for another instance.
-        refused_peers: connections refused for want of a key.
+        sent_bytes: bytes sent to other nodes.
+        received_bytes: bytes received from other nodes.
+        sent: number of messages sent.
+        received: number of messages received.
+        malformed: number of frames that could not be decoded.
+        misdirected: number of messages for another instance.
+        refused_peers: number of connections refused because of a missing
+            key.
     """
 
     sent_bytes: int
@@ -48,20 +50,21 @@
 
 
 class ClassState(Struct, frozen=True, kw_only=True):
-    """One class of work as a node's entry has served it.
+    """Counts of the calls of one class that a node's entry has served.
 
     Attributes:
-        name: service and class.
-        within_ms: its target; 0 if it is in force no longer.
-        percent: its target.
-        total: all calls.
-        answered: of these, answered.
-        in_time: of these, within the target.
-        not_run: refused, and truly not run.
-        unknown: ended with an unknown outcome.
-        retried: attempts beyond the first.
-        hedged: attempts begun while another was under way.
-        codes: failures by code.
+        name: service and class, separated by a slash.
+        within_ms: time target of the class; 0 if the class is no longer in
+            force.
+        percent: percentage of calls that should meet the time target.
+        total: number of all calls.
+        answered: number of calls answered, in time or later.
+        in_time: number of calls answered within the time target.
+        not_run: number of calls refused that certainly did not run.
+        unknown: number of calls that ended with an unknown outcome.
+        retried: number of attempts after the first one of a call.
+        hedged: number of attempts started while another one was in progress.
+        codes: numbers of failures by result code.
     """
 
     name: str
@@ -78,7 +81,15 @@
 
 
 class BackendState(Struct, frozen=True, kw_only=True):
-    """The backend server beside a node, as its owner sees it."""
+    """State of the backend server beside a node, as known to its owner.
+
+    Attributes:
+        slots: concurrent requests that the backend server accepts.
+        limit: current concurrency limit; at most ``slots``.
+        running: number of requests that run.
+        queued: number of requests that wait for a slot.
+        draining: whether new requests are refused.
+    """
 
     slots: int
     limit: int
@@ -88,24 +99,25 @@
 
 
 class NodeReport(Struct, frozen=True, kw_only=True):
-    """The state of one node.
+    """State of one node.
 
     Attributes:
-        instance: it runs on.
-        incarnation: of its process.
-        service: of the backend server beside it.
-        data_centre: where it stands.
+        instance: instance that the node runs on.
+        incarnation: incarnation of its process.
+        service: service of the backend server beside it.
+        data_centre: data centre of the node.
         state: joining, ready or leaving.
-        reader: whether it watches the platform.
-        documents: by kind.
-        away: instances that it takes for away.
-        neighbours: with whom it swaps digests.
-        control: what distribution has cost.
-        classes: as its entry has served them.
-        backend: the backend server beside it.
-        invariants_broken: count; anything but 0 is a defect.
+        reader: whether the node watches the platform.
+        documents: states of the replicated documents by kind.
+        away: instances that the node considers unreachable.
+        neighbours: nodes with which it exchanges digests.
+        control: counts of the traffic of distribution.
+        classes: counts of the calls that its entry has served, by class.
+        backend: state of the backend server beside it.
+        invariants_broken: number of broken invariants; any other value than
+            0 is a defect.
         cpu_seconds: processor time of the process.
-        resident_bytes: memory of the process.
+        resident_bytes: resident memory of the process.
     """
 
     instance: str
@@ -126,27 +138,30 @@
 
 
 class Timeline(Struct, frozen=True, kw_only=True):
-    """A node's events after a stamp."""
+    """Events of a node after a stamp.
+
+    Attributes:
+        events: events, oldest first.
+    """
 
     events: tuple[Event, ...]
 
 
 class Explanation(Struct, frozen=True, kw_only=True):
-    """Where a request would go, and why.
+    """Explanation of where a request would go.
 
     Attributes:
-        method: of the request.
-        path: of the request.
-        version: of the configuration that says so.
-        found: whether a class matches.
-        work_class: service and class.
-        template: the path template that matched.
-        idempotent: whether it may be retried.
-        within_ms: the class's target.
-        percent: the class's target.
-        deadline_ms: the class's deadline.
-        upstreams: every listed instance of the service, with what is
-            known of each.
+        method: method of the request.
+        path: path of the request.
+        version: version of the configuration that was used.
+        found: whether a class matches the request.
+        work_class: service and class, separated by a slash.
+        template: path template that matched.
+        idempotent: whether the request may be retried.
+        within_ms: time target of the class.
+        percent: percentage of calls that should meet the time target.
+        deadline_ms: deadline of the class.
+        upstreams: description of each listed instance of the service.
     """
 
     method: str
@@ -163,11 +178,11 @@
 
 
 class ReportPart(Struct, frozen=True, kw_only=True):
-    """One node's report within a fleet's.
+    """Report of one node within the report on the fleet.
 
     Attributes:
-        age_ms: since the node said so.
-        report: what it said.
+        age_ms: time since the node sent its report.
+        report: report of the node.
     """
 
     age_ms: int
@@ -175,12 +190,13 @@
 
 
 class FleetReport(Struct, frozen=True, kw_only=True):
-    """The fleet as one node could find out.
+    """State of the fleet as known to one node.
 
     Attributes:
-        asked: the node that answers.
-        parts: every node that is known, each with its age.
-        unknown: listed instances that could not be asked, or not yet.
+        asked: instance of the node that answers.
+        parts: reports of the nodes that have been polled, each with its age.
+        unknown: listed instances without a report, because the node could not
+            be reached or has not been polled yet.
     """
 
     asked: str
@@ -189,12 +205,12 @@
 
 
 class ProposalReport(Struct, frozen=True, kw_only=True):
-    """What came of checking a proposed file.
+    """Result of checking a proposed file.
 
     Attributes:
-        version: in force, which it was compared with.
-        faults: what is wrong with it.
-        changes: what it would change.
+        version: version in force, with which the file was compared.
+        faults: faults of the file.
+        changes: changes that the file would make.
     """
 
     version: int
@@ -203,43 +219,57 @@
 
 
 class InstanceAddress(Struct, frozen=True, kw_only=True):
-    """Where an instance's node is administered."""
+    """Administration address of an instance's node.
+
+    Attributes:
+        instance: instance that the node runs on.
+        admin: host and port of the administration API.
+    """
 
     instance: str
     admin: str
 
 
 class InstanceAddresses(Struct, frozen=True, kw_only=True):
-    """All listed instances."""
+    """Administration addresses of all listed instances.
+
+    Attributes:
+        instances: addresses of the instances.
+    """
 
     instances: tuple[InstanceAddress, ...]
 
 
 class ReadyReport(Struct, frozen=True, kw_only=True):
-    """Whether a node is ready."""
+    """Readiness of a node.
+
+    Attributes:
+        state: joining, ready or leaving.
+    """
 
     state: str
 
 
 class DrainReport(Struct, frozen=True, kw_only=True):
-    """A planned stop has begun.
+    """Confirmation that a planned stop has started.
 
     Attributes:
-        in_flight: requests that are still under way.
+        in_flight: number of requests in progress.
     """
 
     in_flight: int
 
 
 class SuspectState(Struct, frozen=True, kw_only=True):
-    """A request under which servers have ended.
+    """State of a request during which backend servers have ended.
 
     Attributes:
-        fingerprint: by which it is known again, hexadecimal.
-        ends: servers that ended one after the other.
-        standing: ``clear`` where it runs like others, ``trial`` where it
-            runs alone, ``harmful`` where it is refused.
-        seen_seconds_ago: when it came last, as far as the node knows.
+        fingerprint: fingerprint of the request, hexadecimal.
+        ends: number of backend servers that ended in succession.
+        standing: ``clear`` if the request runs like others, ``trial`` if it
+            runs alone, ``harmful`` if it is refused.
+        seen_seconds_ago: time since the request last arrived, as known to
+            the node.
     """
 
     fingerprint: str
@@ -249,6 +279,10 @@
 
 
 class SuspectsReport(Struct, frozen=True, kw_only=True):
-    """Requests under which servers have ended."""
+    """Requests during which backend servers have ended.
+
+    Attributes:
+        suspects: states of the requests, most ended servers first.
+    """
 
     suspects: tuple[SuspectState, ...]
--- a/wagtaildale/admin/openapi.py
+++ b/wagtaildale/admin/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI description, made from the table of pages."""
+"""Generates the OpenAPI description from the table of endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """Describe the whole API.
 
     Returns:
-        An OpenAPI document.
+        OpenAPI document.
     """
     document_types = [endpoint.document_type for endpoint in ENDPOINTS]
     schemas, components = json.schema_components(
@@ -44,10 +44,10 @@
 
 
 def write_api() -> bytes:
-    """Write the description as ``docs/openapi.json`` holds it.
+    """Write the description in the form of ``docs/openapi.json``.
 
     Returns:
-        Indented JSON.
+        Indented JSON with sorted keys.
     """
     return json.format(json.encode(describe_api(), order='sorted')) + b'\n'
 
--- a/wagtaildale/admin/port.py
+++ b/wagtaildale/admin/port.py
@@ -1,4 +1,4 @@
-"""The port of the administration API, open before anybody answers on it."""
+"""Port of the administration API, open before the HTTP server is loaded."""
 
 from __future__ import annotations
 
@@ -20,19 +20,20 @@
 
 
 class AdminPort:
-    """Holds the port; what answers on it is loaded with the first request.
+    """Owns the port and loads the HTTP server with the first request.
 
-    The HTTP server and the metrics took a third of the time that a node's
-    imports take (0.74 s with them and 0.50 s without, on a busy machine), and
-    a fifth of the memory that it starts with (43.7 and 34.8 MB resident).
-    Most nodes are never asked, and none is while callers wait for its start.
+    Importing the HTTP server and the metrics takes a third of the import time
+    of a node (0.74 s with them and 0.50 s without, on a busy machine) and a
+    fifth of its memory at start (43.7 MB and 34.8 MB resident). Most nodes
+    never get a request here, and none gets one while callers wait for the
+    node to start.
     """
 
     def __init__(self, node: Node) -> None:
-        """Prepare; ``bind`` opens the port.
+        """Create a closed port; ``bind`` opens it.
 
         Args:
-            node: that is administered.
+            node: node that is administered.
         """
         self._node = node
         self._authenticator = TokenAuthenticator({})
@@ -46,7 +47,7 @@
         """Read the tokens and open the port.
 
         Returns:
-            Nothing, or the fault.
+            Nothing, or the fault of a token or the address.
         """
         settings = self._node.parts.settings
         authenticator = make_authenticator(settings.admin)
@@ -67,7 +68,7 @@
         return Ok(None)
 
     def run(self) -> None:
-        """Wait for the first request, then serve until stopped."""
+        """Wait for the first request, then serve until ``stop`` is called."""
         listener = self._listener
         if listener is None:
             return
@@ -78,13 +79,13 @@
         self._server.run()
 
     def stop(self) -> None:
-        """End ``run``; waits for nobody."""
+        """Make ``run`` return, without waiting for it."""
         self._stop_sender.send(b'\0')
         if self._server is not None:
             self._server.stop()
 
     def _load_server(self, listener: socket.socket) -> AdminServer:
-        # Imported late: see the class.
+        # Imported with the first request, see the doc text of the class.
         from wagtaildale.admin.server import AdminServer
 
         return AdminServer(
--- a/wagtaildale/admin/proposals.py
+++ b/wagtaildale/admin/proposals.py
@@ -24,15 +24,15 @@
     view: FleetView,
     scope: Scope,
 ) -> ProposalReport:
-    """Check a file and say what it would change.
+    """Check a file and list the changes that it would make.
 
     Args:
-        text: the proposed file, TOML.
-        view: the version in force.
-        scope: of whoever asks; a team sees the changes of its services.
+        text: text of the proposed file, TOML.
+        view: view with the version in force.
+        scope: scope of the request; a team sees the changes of its services.
 
     Returns:
-        Faults, or changes against the version in force.
+        Faults of the file, or its changes to the version in force.
     """
     mesh = parse_mesh(text, name='proposal')
     if isinstance(mesh, Err):
--- a/wagtaildale/admin/reports.py
+++ b/wagtaildale/admin/reports.py
@@ -1,4 +1,4 @@
-"""Reads a node's parts and reports on them."""
+"""Builds the reports on a node from the state of its parts."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 def report_node(node: Node) -> NodeReport:
     """Report on a node.
 
-    The distribution task's state is read while it works: single fields may
-    be a moment apart, each of them is true.
+    The state of the distribution task is read while the task changes it, so
+    the fields may be from slightly different times; each one is correct.
 
     Args:
-        node: this process's.
+        node: node of this process.
 
     Returns:
-        Its state.
+        State of the node.
     """
     parts = node.parts
     state = node.distribution.state
@@ -65,10 +65,11 @@
     """Report on every class that a node's entry has served.
 
     Args:
-        node: this process's.
+        node: node of this process.
 
     Returns:
-        By name; a class that is in force but unused is there too.
+        Reports sorted by name, with those of classes that are in force but
+        unused.
     """
     parts = node.parts
     classes = _list_classes(parts.view.current)
@@ -84,12 +85,12 @@
     """Explain where a request would go.
 
     Args:
-        node: this process's.
+        node: node of this process.
         method: HTTP method.
-        path: without the query.
+        path: path without the query.
 
     Returns:
-        Its class and upstreams.
+        Class and upstreams of the request.
     """
     view = node.parts.view.current
     match = view.table.find(method, path) if view.table else None
--- a/wagtaildale/admin/scopes.py
+++ b/wagtaildale/admin/scopes.py
@@ -1,4 +1,4 @@
-"""Who may see what: the operators everything, a team its own services."""
+"""Scopes of tokens: operators see everything, a team its own services."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 
 class Scope(Struct, frozen=True, kw_only=True):
-    """What a token opens.
+    """Services that a token gives access to.
 
     Attributes:
-        team: whose services; nothing for those of all.
+        team: team whose services are accessible; None for all services.
     """
 
     team: TeamName | None = None
 
     @property
     def is_unrestricted(self) -> bool:
-        """Whether it opens everything."""
+        """Whether the scope covers everything."""
         return self.team is None
 
     def covers(self, service: str, *, view: FleetView) -> bool:
-        """Tell whether it opens a service.
+        """Check whether the scope covers a service.
 
         Args:
-            service: its name.
-            view: says which team owns it.
+            service: name of the service.
+            view: view of the fleet, with the team that owns the service.
 
         Returns:
-            Whether the service may be seen.
+            Whether access to the service is allowed.
         """
         if self.team is None:
             return True
@@ -53,30 +53,31 @@
 
 
 class TokenAuthenticator:
-    """Finds the scope of a request's token."""
+    """Finds the scope of a request by its token."""
 
     def __init__(self, scopes: dict[str, Scope]) -> None:
-        """Take the tokens.
+        """Create an authenticator.
 
         Args:
-            scopes: by token; none if the API is open.
+            scopes: scopes by token; empty if the API requires no token.
         """
         self._scopes = scopes
 
     def find_scope(self, authorization: str) -> Scope | None:
-        """Find what a request may see.
+        """Find the scope of a request.
 
         Args:
-            authorization: its header, empty if there is none.
+            authorization: Authorization header of the request; empty if it
+                has none.
 
         Returns:
-            The scope, or nothing if the token is missing or wrong.
+            The scope, or None if the token is missing or wrong.
         """
         if not self._scopes:
             return UNRESTRICTED
         found = None
-        # Every token is compared, so that time says nothing of which is
-        # nearly right.
+        # Compares every token, so that the response time does not reveal
+        # which token is similar to the given one.
         for token, scope in self._scopes.items():
             if hmac.compare_digest(authorization, BEARER + token):
                 found = scope
@@ -86,13 +87,13 @@
 def make_authenticator(
     settings: AdminSettings,
 ) -> Result[TokenAuthenticator, Fault]:
-    """Read every token of the settings.
+    """Read all tokens that the settings name and create an authenticator.
 
     Args:
-        settings: where the tokens are found.
+        settings: settings that name the sources of the tokens.
 
     Returns:
-        The doorkeeper, or the first fault.
+        The authenticator, or the fault of the first unreadable token.
     """
     sources: list[tuple[AdminSettings | TeamToken, Scope]] = [
         (settings, UNRESTRICTED),
--- a/wagtaildale/admin/server.py
+++ b/wagtaildale/admin/server.py
@@ -1,4 +1,4 @@
-"""The administration API: HTTP and JSON by werkzeug, on its own address."""
+"""HTTP server of the administration API, based on werkzeug, with JSON."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class AdminServer:
-    """Serves the API from one task and its request threads."""
+    """Serves the API from one task, with a thread for each request."""
 
     def __init__(
         self,
@@ -59,12 +59,12 @@
         authenticator: TokenAuthenticator,
         listener: socket.socket,
     ) -> None:
-        """Prepare.
+        """Create a server; ``run`` serves requests.
 
         Args:
-            node: that is administered.
-            authenticator: knows who may see what.
-            listener: the open port.
+            node: node that is administered.
+            authenticator: finds the scope of each request.
+            listener: listening socket.
         """
         logging.getLogger('werkzeug').setLevel(logging.ERROR)
         self._node = node
@@ -88,11 +88,11 @@
         """Answer one request (WSGI).
 
         Args:
-            environ: the request.
-            start_response: takes status and headers.
+            environ: WSGI environment of the request.
+            start_response: function that receives status and headers.
 
         Returns:
-            The body.
+            Body of the response.
         """
         request = Request(environ)
         try:
@@ -102,16 +102,16 @@
         return response(environ, start_response)
 
     def run(self) -> None:
-        """Serve until stopped."""
+        """Serve requests until ``stop`` is called."""
         self._server.serve_forever()
 
     def stop(self) -> None:
-        """End ``run`` at its server's next look; waits for nobody.
+        """Make ``run`` return at its next poll, without waiting for it.
 
-        Failure guarded here: a process is killed while it ends. The server
-        looks twice a second whether to go on, and whoever waits for the look
-        spends most of the time that is left once a planned stop has passed
-        its bound. The process ends without it: nothing here needs closing.
+        The server polls for a shutdown twice a second. Waiting for this would
+        use up most of the time that remains when a planned stop has reached
+        its limit, and the process would be killed while it ends. The process
+        can end without the server, which holds nothing that must be closed.
         """
         threading.Thread(target=self._server.shutdown, daemon=True).start()
 
@@ -159,7 +159,7 @@
         code=Code.admin_unauthorised if is_denied else Code.admin_not_found,
         where='admin API',
         got=error.name,
-        expected='a page of docs/openapi.json, with a token that opens it',
+        expected='a path of docs/openapi.json and a token that allows it',
     )
     return Response(
         json.encode(fault),
--- a/wagtaildale/admin/suspects.py
+++ b/wagtaildale/admin/suspects.py
@@ -1,4 +1,4 @@
-"""Pages on requests under which servers have ended."""
+"""Reports on requests during which backend servers have ended."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 
 
 def report_suspects(node: Node) -> SuspectsReport:
-    """Report the requests under which servers have ended.
+    """Report the requests during which backend servers have ended.
 
     Args:
-        node: that is asked.
+        node: node of this process.
 
     Returns:
-        What it knows of each, the gravest first.
+        State of each request, sorted by the number of ended servers, the
+        largest first.
     """
     now = read_clock()
     records = node.parts.suspects.current.records
@@ -38,17 +39,17 @@
 
 
 def clear_suspect(node: Node, fingerprint_text: str) -> SuspectsReport:
-    """Let a request run again, at all nodes, whoever sends it.
+    """Let a request run again on all nodes and for all callers.
 
     Args:
-        node: that is told, and tells the others.
-        fingerprint_text: fingerprint, hexadecimal.
+        node: node of this process, which sends the change to the others.
+        fingerprint_text: fingerprint of the request, hexadecimal.
 
     Returns:
-        What was known of it.
+        State of the request before it was cleared.
 
     Raises:
-        NotFound: where this node suspects no such request.
+        NotFound: if this node suspects no such request.
     """
     now = read_clock()
     cleared = {
--- a/wagtaildale/admin/tests/test_endpoints.py
+++ b/wagtaildale/admin/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API's parts that need no running fleet."""
+"""Tests of the parts of the administration API that need no running fleet."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     return holder
 
 
-def test_openapi_page_is_in_step() -> None:
+def test_openapi_file_is_current() -> None:
     assert (ROOT / 'docs' / 'openapi.json').read_bytes() == write_api()
 
 
@@ -47,12 +47,12 @@
         ('', None),
     ],
 )
-def test_token_opens_its_scope(header: str, scope: Scope | None) -> None:
+def test_token_has_its_scope(header: str, scope: Scope | None) -> None:
     authenticator = TokenAuthenticator({'all': UNRESTRICTED, 'mine': FIELD})
     assert authenticator.find_scope(header) == scope
 
 
-def test_api_without_tokens_is_open() -> None:
+def test_api_without_tokens_is_unrestricted() -> None:
     assert TokenAuthenticator({}).find_scope('') is UNRESTRICTED
 
 
@@ -77,7 +77,7 @@
     assert authenticator.find_scope(f'{BEARER}t') == FIELD
 
 
-def test_proposal_says_what_changes() -> None:
+def test_proposal_lists_changes() -> None:
     view = build_view().current
     report = check_proposal(MESH_TEXT, view=view, scope=UNRESTRICTED)
     subjects = {change.subject for change in report.changes}
@@ -86,7 +86,7 @@
     assert not hidden.changes
 
 
-def test_bad_proposal_names_its_faults() -> None:
+def test_invalid_proposal_lists_its_faults() -> None:
     view = build_view().current
     text = MESH_TEXT.replace('true', '1')
     report = check_proposal(text, view=view, scope=UNRESTRICTED)
--- a/wagtaildale/admin/tests/test_server.py
+++ b/wagtaildale/admin/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the administration API's own life, apart from its pages."""
+"""Tests of the start, stop and loading of the administration API's server."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def admin() -> AdminPort:
-    """The administration API of a node, its port open, its task not begun."""
+    """Administration API with an open port, whose task has not started."""
     settings = structs.replace(build_settings(), host=HOST)
     node = Node(settings, recorder=build_recorder(), sockets=NodeSockets())
     server = AdminPort(node)
@@ -44,24 +44,23 @@
     return not worker.is_alive()
 
 
-def test_stop_waits_for_no_look_of_the_server(admin: AdminPort) -> None:
-    """A process is killed at the end of its planned stop, nearly done.
+def test_stop_does_not_wait_for_the_server(admin: AdminPort) -> None:
+    """Prevents a process from being killed at the end of a planned stop.
 
-    Its work has taken until the bound. Then the administration API is
-    stopped, whose server looks for that twice a second at the most, and
-    whoever stops it waited for the look. Here no look ever comes, since the
-    server's task has not begun.
+    When the calls have taken until the limit of the stop, little time remains
+    to stop the administration API, whose server polls for that only twice a
+    second. Here it never polls, because the server's task has not started.
     """
     assert returns_in_time(admin.stop)
     assert returns_in_time(admin.run)
 
 
-def test_first_request_finds_the_port_open_and_is_answered(
+def test_first_request_is_answered(
     admin: AdminPort,
 ) -> None:
-    """Somebody asks a node that nobody has asked before.
+    """The first request waits until the server is loaded.
 
-    What answers is loaded then; the request waits for it and is not refused.
+    Without the port that is open from the start, it would be refused.
     """
     worker = threading.Thread(target=admin.run, daemon=True)
     worker.start()
@@ -78,18 +77,19 @@
     assert not worker.is_alive()
 
 
-def test_address_that_is_taken_is_a_fault(admin: AdminPort) -> None:
+def test_address_in_use_is_a_fault(admin: AdminPort) -> None:
     settings = structs.replace(build_settings(), host=HOST)
     node = Node(settings, recorder=build_recorder(), sockets=NodeSockets())
     fault = AdminPort(node).bind().unwrap_err()
     assert fault.code is Code.address_in_use
 
 
-def test_node_loads_no_server_before_it_is_asked() -> None:
-    """A whole data centre gets its power back, and callers wait.
+def test_node_starts_without_loading_the_server() -> None:
+    """Prevents a slow start when a whole data centre regains power.
 
-    Each node imports a server for HTTP and the metrics, that nobody asks
-    for, before it asks for the configuration.
+    Callers wait for the nodes then. Importing the HTTP server and the
+    metrics, which no request needs yet, would delay the reading of the
+    configuration.
     """
     code = (
         'import sys, wagtaildale.platform.__main__; '
--- a/wagtaildale/cli/errors.py
+++ b/wagtaildale/cli/errors.py
@@ -1,4 +1,4 @@
-"""``wagtaildale errors``: what each numbered code means."""
+"""``wagtaildale errors``: prints the meaning of the result codes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def show_errors(
     number: int | None, *, markdown: bool, form: OutputFormat
 ) -> None:
-    """Explain result codes, all of them or the one with NUMBER.
+    """Explain all result codes, or the one with NUMBER.
 
     \b
     Example:
@@ -37,13 +37,13 @@
     \f
 
     Args:
-        number: which code.
-        markdown: print the docs' table.
-        form: how to print.
+        number: code to explain; all codes if it is missing.
+        markdown: whether to print the page of the documentation.
+        form: output format.
     """
     known = [code for code in Code if number in {None, code.value}]
     if not known:
-        raise click.BadParameter(f'got {number}, expected a code of the table')
+        raise click.BadParameter(f'got {number}, expected a result code')
     if markdown:
         click.echo(write_markdown(), nl=False)
     elif form is OutputFormat.json:
@@ -53,10 +53,10 @@
 
 
 def write_markdown() -> str:
-    """Write the table of ``docs/errors.md``.
+    """Write the page ``docs/errors.md``.
 
     Returns:
-        The whole page.
+        Text of the page.
     """
     rows = ''.join(
         '| {0} | {1} | {2} |\n'.format(*_describe(code)) for code in Code
--- a/wagtaildale/cli/explain.py
+++ b/wagtaildale/cli/explain.py
@@ -1,4 +1,4 @@
-"""``wagtaildale explain``: where a request would go, or why one ended so."""
+"""``wagtaildale explain``: where a request would go, or why one failed."""
 
 from __future__ import annotations
 
@@ -54,10 +54,11 @@
 ) -> None:
     """Explain where a request would go, or how one ended.
 
-    With a method and a path, a node is asked where such a request would go.
-    With a request's id and the logs of the nodes, the request's story is
-    told: each decision on it with what decided it, what the nodes had last
-    learned, and the code at its end. FILE may be - for standard input.
+    With a method and a path, the command asks a node where such a request
+    would go. With a request's id and the logs of the nodes, it prints the
+    history of the request: each decision on it with the values that led to
+    it, the last state changes of the nodes, and the code at its end. FILE may
+    be - for standard input.
 
     \b
     Examples:
@@ -66,11 +67,11 @@
     \f
 
     Args:
-        subject: HTTP method, or a request's id.
-        rest: the path, or files.
-        node: admin address, for a method and a path.
+        subject: HTTP method, or id of a request.
+        rest: path, or names of log files.
+        node: administration address; required with a method and a path.
         token_file: file with the token.
-        form: how to print.
+        form: output format.
     """
     if subject not in METHODS:
         _explain_ended(subject, rest, form)
@@ -139,7 +140,7 @@
     end = history.end
     if end is None:
         click.echo(
-            'end: not written; the entry died, or its lines were left out',
+            'end: not written; the entry ended, or its lines were left out',
         )
         return
     click.echo(f'end: {end.kind.value}, {describe_code(end.code)}')
--- a/wagtaildale/cli/files.py
+++ b/wagtaildale/cli/files.py
@@ -1,4 +1,4 @@
-"""Commands on operators' files: check, compile, diff."""
+"""Commands for operators' files: check, compile and diff."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 @click.option('--against', type=click.Path(), help='Show what would change.')
 @output_option
 def check(mesh_file: str, against: str | None, form: OutputFormat) -> None:
-    """Check an operators' FILE and list every fault of it.
+    """Check an operators' FILE and list all its faults.
 
     \b
     Examples:
@@ -41,8 +41,8 @@
 
     Args:
         mesh_file: path of the file.
-        against: path of the file in force.
-        form: how to print.
+        against: path of the file in force, to print the changes to it.
+        form: output format.
     """
     mesh = _unwrap(read_mesh(mesh_file), form)
     if against is not None:
@@ -71,7 +71,7 @@
 def compile_file(
     mesh_file: str, version: int, out: Path, form: OutputFormat
 ) -> None:
-    """Compile an operators' FILE to what is published.
+    """Compile an operators' FILE to the manifest and parts to publish.
 
     Publish every file of OUT/parts first and OUT/manifest.json last.
 
@@ -82,9 +82,9 @@
 
     Args:
         mesh_file: path of the file.
-        version: of the manifest.
-        out: folder.
-        form: how to print.
+        version: version of the manifest.
+        out: folder for the manifest and the parts.
+        form: output format.
     """
     mesh = _unwrap(read_mesh(mesh_file), form)
     compiled = _unwrap(compile_mesh(mesh, version=version), form)
@@ -97,7 +97,7 @@
 @click.argument('new', type=click.Path())
 @output_option
 def diff(old: str, new: str, form: OutputFormat) -> None:
-    """Show what changes from the file OLD to the file NEW.
+    """Show the changes from the file OLD to the file NEW.
 
     \b
     Example:
@@ -107,7 +107,7 @@
     Args:
         old: path of the file in force.
         new: path of the proposed file.
-        form: how to print.
+        form: output format.
     """
     before = _unwrap(read_mesh(old), form)
     after = _unwrap(read_mesh(new), form)
--- a/wagtaildale/cli/keys.py
+++ b/wagtaildale/cli/keys.py
@@ -1,4 +1,4 @@
-"""``wagtaildale keys``: keys for the connections between nodes."""
+"""``wagtaildale keys``: creates keys for the connections between nodes."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @click.group()
 def keys() -> None:
-    """Make the fleet's keys."""
+    """Create the keys of the fleet."""
 
 
 @keys.command()
 @click.argument('path', type=click.Path(path_type=Path))
 @output_option
 def new(path: Path, form: OutputFormat) -> None:
-    """Make a key pair and write its secret to the new file PATH.
+    """Create a key pair and write its secret key to the new file PATH.
 
     Give the file to every node and name it in [keys] of their settings.
 
@@ -31,8 +31,8 @@
     \f
 
     Args:
-        path: of the file.
-        form: how to print.
+        path: path of the new file.
+        form: output format.
     """
     pair = write_new_pair(path)
     if isinstance(pair, Err):
--- a/wagtaildale/cli/main.py
+++ b/wagtaildale/cli/main.py
@@ -1,4 +1,4 @@
-"""``wagtaildale``: the command line of the operators."""
+"""``wagtaildale``: the command line for operators."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 @click.group(context_settings={'max_content_width': 100})
 @click.version_option(package_name='wagtaildale', prog_name='wagtaildale')
 def main() -> None:
-    """Check and compile operators' files, and watch the fleet.
+    """Check and compile operators' files, and monitor the fleet.
 
     \b
     Examples:
--- a/wagtaildale/cli/nodes.py
+++ b/wagtaildale/cli/nodes.py
@@ -1,4 +1,4 @@
-"""Commands that act on one node."""
+"""``wagtaildale drain``: starts the planned stop of a node."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 @node_options
 @output_option
 def drain(node: str, token_file: Path | None, form: OutputFormat) -> None:
-    """Begin the planned stop of a node, as SIGTERM does.
+    """Start the planned stop of a node, as SIGTERM does.
 
     \b
     Example:
@@ -32,9 +32,9 @@
     \f
 
     Args:
-        node: admin address.
+        node: administration address of the node.
         token_file: file with the token.
-        form: how to print.
+        form: output format.
     """
     client = make_client(node, token_file, form)
     found = client.send('/v1/drain', document_type=DrainReport)
--- a/wagtaildale/cli/options.py
+++ b/wagtaildale/cli/options.py
@@ -23,30 +23,30 @@
     'form',
     type=click.Choice(OutputFormat),
     default=OutputFormat.text,
-    help='How to print.',
+    help='Output format.',
 )
 
 
 def node_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that name a node and its token.
+    """Add the options for the address and the token of a node.
 
     Args:
-        command: a click command's function.
+        command: function of a click command.
 
     Returns:
-        The function with the options.
+        Function with the options.
     """
     return _add_node(command, required=True)
 
 
 def optional_node_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the same options, for a command that can do without a node.
+    """Add the same options to a command that does not always need a node.
 
     Args:
-        command: a click command's function.
+        command: function of a click command.
 
     Returns:
-        The function with the options.
+        Function with the options.
     """
     return _add_node(command, required=False)
 
@@ -54,15 +54,16 @@
 def make_client(
     node: str, token_file: Path | None, form: OutputFormat
 ) -> AdminClient:
-    """Make a client from the options.
+    """Create a client from the options.
 
     Args:
-        node: host and port.
-        token_file: file that holds the token, if given.
-        form: how a fault is printed.
+        node: host and port of the node's administration API.
+        token_file: file with the token; if None, the token comes from the
+            environment variable.
+        form: output format of a fault.
 
     Returns:
-        The client.
+        Client of the node.
     """
     if token_file is None:
         return AdminClient(address=node, token=_read_variable())
--- a/wagtaildale/cli/output.py
+++ b/wagtaildale/cli/output.py
@@ -1,4 +1,4 @@
-"""How the command line prints: for people, or as JSON for programs."""
+"""Output of the commands, as text for people or as JSON for programs."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @final
 class OutputFormat(Enum):
-    """How results are printed."""
+    """Format of the printed results."""
 
     text = 'text'
     json = 'json'
 
 
 def print_json(document: Any) -> None:
-    """Print a document for programs.
+    """Print a document as JSON.
 
     Args:
-        document: anything that msgspec encodes.
+        document: value that msgspec can encode.
     """
     click.echo(json.format(json.encode(document)).decode())
 
@@ -39,11 +39,11 @@
 def print_table(
     header: Sequence[str], *, rows: Iterable[Sequence[str]]
 ) -> None:
-    """Print rows under a head, each column as wide as it must be.
+    """Print a table whose columns are as wide as their longest cell.
 
     Args:
         header: names of the columns.
-        rows: texts, as many as the head has.
+        rows: rows with one text for each column.
     """
     lines = [tuple(header), *(tuple(row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
@@ -63,9 +63,9 @@
     """Print faults and end the program.
 
     Args:
-        faults: what is wrong.
-        form: how to print.
-        exit_code: for scripts.
+        faults: faults to print.
+        form: output format.
+        exit_code: exit code of the program.
     """
     listed = list(faults)
     if form is OutputFormat.json:
--- a/wagtaildale/cli/status.py
+++ b/wagtaildale/cli/status.py
@@ -1,4 +1,4 @@
-"""``wagtaildale status``: is each class in its target, fleet-wide?"""
+"""``wagtaildale status``: shows whether each class meets its target."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @click.command()
-@click.option('--watch', is_flag=True, help='Print anew every 2 s.')
+@click.option('--watch', is_flag=True, help='Print again every 2 s.')
 @node_options
 @output_option
 def status(
@@ -44,9 +44,9 @@
     watch: bool,
     form: OutputFormat,
 ) -> None:
-    """Show whether each class is in its target, and which version is where.
+    """Show whether each class meets its target, and the versions in force.
 
-    Any node answers for the whole fleet.
+    Any node reports on the whole fleet.
 
     \b
     Examples:
@@ -55,10 +55,10 @@
     \f
 
     Args:
-        node: admin address.
+        node: administration address of any node.
         token_file: file with the token.
-        watch: print anew.
-        form: how to print.
+        watch: whether to print again until interrupted.
+        form: output format.
     """
     client = make_client(node, token_file, form)
     _show(client, form)
@@ -69,13 +69,13 @@
 
 
 def sum_classes(reports: Iterable[NodeReport]) -> list[ClassState]:
-    """Add up every class over nodes.
+    """Add up the counts of each class over all nodes.
 
     Args:
-        reports: of nodes.
+        reports: reports of nodes.
 
     Returns:
-        One for each class, by name.
+        Counts of each class, sorted by name.
     """
     totals: dict[str, ClassState] = {}
     for report in reports:
@@ -103,11 +103,11 @@
     oldest = max((part.age_ms for part in fleet.parts), default=0)
     click.echo(
         f'{len(reports)} nodes known to {fleet.asked}: {listed}; '
-        f'oldest news {oldest} ms',
+        f'oldest report {oldest} ms',
     )
     missing = _list_missing(fleet)
     if missing:
-        click.echo(f'not reached of late: {_join_names(missing)}')
+        click.echo(f'not reached recently: {_join_names(missing)}')
     _print_versions(reports)
     click.echo()
     print_table(
@@ -134,7 +134,7 @@
     for node_report in reports:
         document = node_report.documents[CONFIGURATION]
         if document.version < latest:
-            reason = document.refused.get(str(latest), 'has not come yet')
+            reason = document.refused.get(str(latest), 'not received yet')
             click.echo(
                 f'behind: {node_report.instance} holds {document.version}; '
                 f'{latest}: {reason}',
--- a/wagtaildale/cli/suspects.py
+++ b/wagtaildale/cli/suspects.py
@@ -1,4 +1,4 @@
-"""``wagtaildale suspects``: requests under which servers have ended."""
+"""``wagtaildale suspects``: lists or clears requests that end servers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 @click.option(
     '--clear',
     metavar='FINGERPRINT',
-    help='Let such a request run again, at all nodes.',
+    help='Let such a request run again, on all nodes.',
 )
 @node_options
 @output_option
@@ -36,7 +36,7 @@
     token_file: Path | None,
     form: OutputFormat,
 ) -> None:
-    """Show requests that end servers, or let one run again.
+    """Show requests during which servers ended, or let one run again.
 
     \b
     Examples:
@@ -46,10 +46,10 @@
     \f
 
     Args:
-        clear: fingerprint of the request that is to run again.
-        node: admin address.
+        clear: fingerprint of the request that may run again.
+        node: administration address of any node.
         token_file: file with the token.
-        form: how to print.
+        form: output format.
     """
     client = make_client(node, token_file, form)
     if clear is None:
--- a/wagtaildale/cli/tests/test_explain.py
+++ b/wagtaildale/cli/tests/test_explain.py
@@ -33,7 +33,7 @@
 """
 
 
-def test_story_of_a_refused_request(tmp_path: Path) -> None:
+def test_history_of_a_refused_request(tmp_path: Path) -> None:
     path = tmp_path / 'fleet.log'
     path.write_text(LOG_TEXT)
     outcome = CliRunner().invoke(main, ['explain', 'r1', str(path)])
@@ -41,7 +41,7 @@
     assert outcome.output == EXPECTED_OUTPUT
 
 
-def test_request_that_no_log_names(tmp_path: Path) -> None:
+def test_request_that_is_in_no_log(tmp_path: Path) -> None:
     path = tmp_path / 'fleet.log'
     path.write_text(LOG_TEXT)
     outcome = CliRunner().invoke(main, ['explain', 'r2', str(path)])
@@ -49,7 +49,7 @@
     assert 'no line names request r2' in outcome.output
 
 
-def test_method_without_a_node() -> None:
+def test_method_requires_a_node() -> None:
     outcome = CliRunner().invoke(main, ['explain', 'GET', '/files/7'])
     assert outcome.exit_code == 2
     assert 'expected the node to ask' in outcome.output
--- a/wagtaildale/cli/tests/test_fleet.py
+++ b/wagtaildale/cli/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the commands that ask nodes, against one real node."""
+"""Tests of the commands that query nodes, on a fleet of two nodes."""
 
 from __future__ import annotations
 
@@ -82,21 +82,21 @@
     assert '<svg' in page.read_text()
 
 
-def test_log_is_one_line_of_pairs_an_event(fleet: Fleet) -> None:
-    # Lines are written in batches, so the last ones come a moment later.
+def test_log_has_one_line_of_pairs_per_event(fleet: Fleet) -> None:
+    # Lines are written in batches, so the last ones appear after a delay.
     wait_for_line(fleet.nodes[0], 'kind=node-ready')
     lines = fleet.nodes[0].log.read_text().splitlines()
     assert all(line.startswith('at_ms=') for line in lines)
 
 
-def test_hup_changes_nothing_and_is_noted(fleet: Fleet) -> None:
+def test_hup_changes_nothing_and_is_logged(fleet: Fleet) -> None:
     node = fleet.nodes[0]
     node.signal(signal.SIGHUP)
     wait_for_line(node, 'settings-kept')
     assert node.is_running()
 
 
-def test_drain_ends_the_node_in_order(fleet: Fleet) -> None:
+def test_drain_ends_the_node_cleanly(fleet: Fleet) -> None:
     node = fleet.nodes[1]
     address = f'{node.record.host}:{node.record.admin_port}'
     outcome = CliRunner().invoke(main, ['drain', '--node', address])
@@ -104,7 +104,7 @@
     assert node.wait() == 0
 
 
-def test_bad_settings_end_the_daemon_with_a_code(tmp_path: Path) -> None:
+def test_invalid_settings_end_the_daemon_with_a_code(tmp_path: Path) -> None:
     path = tmp_path / 'bad.toml'
     path.write_text(MESH_TEXT)
     outcome = subprocess.run(
--- a/wagtaildale/cli/tests/test_main.py
+++ b/wagtaildale/cli/tests/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the command line as a script would use it."""
+"""Tests of the command line as scripts use it."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize('name', ['hailmark', 'puertas'])
-def test_examples_are_good(name: str) -> None:
+def test_examples_are_valid(name: str) -> None:
     outcome = run('check', str(ROOT / 'examples' / f'{name}.toml'))
     assert outcome.exit_code == 0, outcome.output
 
 
-def test_check_names_file_line_and_way_out(mesh_file: Path) -> None:
+def test_check_prints_file_line_and_remedy(mesh_file: Path) -> None:
     mesh_file.write_text(MESH_TEXT.replace('idempotent', 'weight'))
     outcome = run('check', str(mesh_file))
     assert outcome.exit_code == 1
@@ -45,7 +45,7 @@
     assert 'state a class and its target instead' in outcome.stderr
 
 
-def test_check_as_json(mesh_file: Path) -> None:
+def test_check_prints_json(mesh_file: Path) -> None:
     mesh_file.write_text('name = 7')
     outcome = run('check', str(mesh_file), '--output', 'json')
     assert outcome.exit_code == 1
@@ -75,7 +75,7 @@
     assert 'E2012' in outcome.stderr
 
 
-def test_diff_says_what_changes(mesh_file: Path, tmp_path: Path) -> None:
+def test_diff_lists_changes(mesh_file: Path, tmp_path: Path) -> None:
     other = tmp_path / 'other.toml'
     other.write_text(MESH_TEXT.replace('within_ms = 150', 'within_ms = 90'))
     outcome = run('diff', str(mesh_file), str(other))
@@ -84,17 +84,17 @@
     assert 'nothing changes' in run('diff', *2 * [str(other)]).stdout
 
 
-def test_unreachable_node() -> None:
+def test_unreachable_node_has_its_exit_code() -> None:
     outcome = run('status', '--node', '127.0.0.1:1')
     assert outcome.exit_code == 3
     assert 'E6002' in outcome.stderr
 
 
-def test_errors() -> None:
+def test_errors_prints_known_codes_only() -> None:
     assert 'outcome_unknown' in run('errors', '4012').stdout
     assert run('errors', '1').exit_code == 2
 
 
-def test_errors_page_is_in_step() -> None:
+def test_errors_page_is_current() -> None:
     page = (ROOT / 'docs' / 'errors.md').read_text()
     assert page == write_markdown()
--- a/wagtaildale/cli/timeline.py
+++ b/wagtaildale/cli/timeline.py
@@ -1,4 +1,4 @@
-"""``wagtaildale timeline``: events of all nodes in causal order."""
+"""``wagtaildale timeline``: shows events of all nodes in causal order."""
 
 from __future__ import annotations
 
@@ -34,12 +34,13 @@
 
 
 class EventFilter(Struct, frozen=True, kw_only=True):
-    """Which events are wanted; empty fields let all pass.
+    """Filter of events; a field that is None matches all events.
 
     Attributes:
-        about: version, or text of the subject: request, class or peer.
-        kind: of event.
-        instance: the node's.
+        about: text that must be part of the version, the subject (class or
+            peer) or the detail.
+        kind: kind of the event.
+        instance: instance of the node.
     """
 
     about: str | None = None
@@ -47,10 +48,10 @@
     instance: str | None = None
 
     def matches(self, event: Event) -> bool:
-        """Tell whether an event is wanted.
+        """Check whether an event passes the filter.
 
         Args:
-            event: any.
+            event: event to check.
 
         Returns:
             Whether every field that is set matches.
@@ -67,11 +68,11 @@
 @click.option('--about', help='Version, request, class or peer.')
 @click.option('--kind', help='Kind of event, such as version-applied.')
 @click.option('--instance', help='Events of this node only.')
-@click.option('--follow', is_flag=True, help='Go on printing new events.')
+@click.option('--follow', is_flag=True, help='Keep printing new events.')
 @click.option(
     '--page',
     type=click.Path(dir_okay=False, path_type=Path),
-    help='Write a page with a plot to this file.',
+    help='Write an HTML page with a plot to this file.',
 )
 @node_options
 @output_option
@@ -84,7 +85,7 @@
     page: Path | None,
     **filters: str | None,
 ) -> None:
-    """Gather the events of all nodes and merge them in causal order.
+    """Collect the events of all nodes and merge them in causal order.
 
     \b
     Examples:
@@ -93,12 +94,12 @@
     \f
 
     Args:
-        node: admin address of any node.
+        node: administration address of any node.
         token_file: file with the token.
-        form: how to print.
-        follow: go on.
-        page: file for the plot.
-        filters: the filter's fields.
+        form: output format.
+        follow: whether to keep printing new events.
+        page: file for the page with the plot.
+        filters: fields of the event filter.
     """
     client = make_client(node, token_file, form)
     event_filter = EventFilter(**filters)
@@ -122,14 +123,14 @@
     *,
     since: int,
 ) -> list[Event]:
-    """Gather events from nodes and merge them.
+    """Collect events from nodes and merge them.
 
     Args:
-        clients: one for each node; those that do not answer are left out.
+        clients: clients of the nodes; nodes that do not answer are skipped.
         since: stamp of the last event already known.
 
     Returns:
-        By stamp: causal order.
+        Events sorted by stamp, which is causal order.
     """
     query = {'since': str(since)}
     with ThreadPoolExecutor(WORKER_COUNT) as executor:
--- a/wagtaildale/reactor/stream.py
+++ b/wagtaildale/reactor/stream.py
@@ -190,12 +190,14 @@
         if self._is_reading:
             self._read()
         elif events & HANGUP_EVENTS:
-            self._lose(OSError(errno.ECONNRESET, 'the other side hung up'))
+            self._lose(
+                OSError(errno.ECONNRESET, 'the peer closed the connection')
+            )
 
     def _finish_connecting(self) -> None:
         error_number = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error_number:
-            self._lose(OSError(error_number, 'connecting failed'))
+            self._lose(OSError(error_number, 'could not connect'))
             return
         if not self._is_connected():
             # The event belongs to an earlier descriptor with the same number,
