--- a/wagtaildale/admin/endpoints.py
+++ b/wagtaildale/admin/endpoints.py
@@ -162,7 +162,7 @@
 
 
 def drain_node(context: RequestContext) -> DrainReport:
-    """Begin this node's planned stop, as SIGTERM does.
+    """Start this node's planned stop, as SIGTERM does.
 
     Args:
         context: context of the request.
--- a/wagtaildale/admin/suspects.py
+++ b/wagtaildale/admin/suspects.py
@@ -61,8 +61,8 @@
     }
     if not cleared:
         raise NotFound
-    for same_subject in cleared:
-        node.parts.inbox.put(RequestAnswered(same_subject))
+    for cleared_fingerprint in cleared:
+        node.parts.inbox.put(RequestAnswered(cleared_fingerprint))
     states = [_describe(*pair, now) for pair in cleared.items()]
     return SuspectsReport(suspects=tuple(states))
 
--- a/wagtaildale/cli/timeline.py
+++ b/wagtaildale/cli/timeline.py
@@ -104,7 +104,7 @@
     client = make_client(node, token_file, form)
     event_filter = EventFilter(**filters)
     clients = _find_clients(client, form)
-    events = gather_events(clients, since=0)
+    events = collect_events(clients, since=0)
     matching = [event for event in events if event_filter.matches(event)]
     if page is not None:
         page.write_text(write_page(matching), encoding='utf-8')
@@ -114,11 +114,11 @@
     while follow:
         time.sleep(FOLLOW_INTERVAL_SECONDS)
         since = max((event.stamp for event in events), default=0)
-        events = gather_events(clients, since=since) or events
+        events = collect_events(clients, since=since) or events
         _print([each for each in events if each.stamp > since], form)
 
 
-def gather_events(
+def collect_events(
     clients: Iterable[AdminClient],
     *,
     since: int,
--- a/wagtaildale/telemetry/log_lines.py
+++ b/wagtaildale/telemetry/log_lines.py
@@ -92,11 +92,11 @@
     """
     parsed_log = ParsedLog()
     for text in texts:
-        first = text.find(FIRST_KEY)
-        if first < 0:
+        line_start = text.find(FIRST_KEY)
+        if line_start < 0:
             parsed_log.foreign += bool(text.strip())
             continue
-        line = _read_line(text[first:])
+        line = _read_line(text[line_start:])
         if line is None:
             parsed_log.torn += 1
         else:
