--- a/wagtaildale/admin/client.py
+++ b/wagtaildale/admin/client.py
@@ -1,4 +1,4 @@
-"""Asks a node's administration API, by pycurl."""
+"""Client of a node's administration API, based on pycurl."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 
-Shape = TypeVar('Shape')
+Document = TypeVar('Document')
 
-CONNECT_MS: Final = 1000
-ANSWER_MS: Final = 10_000
+CONNECT_TIMEOUT_MS: Final = 1000
+RESPONSE_TIMEOUT_MS: Final = 10_000
 STATUS_OK: Final = 200
 STATUS_UNAUTHORISED: Final = 401
-STATUS_UNKNOWN: Final = 404
+STATUS_NOT_FOUND: Final = 404
 
 
 class AdminClient(Struct, frozen=True, kw_only=True):
-    """Where a node's API is, and the token for it.
+    """Client of the administration API of one node.
 
     Attributes:
-        address: host and port.
-        token: nothing if none is set there.
+        address: host and port of the API.
+        token: token that is sent; None if the node requires none.
     """
 
     address: str
@@ -37,51 +37,51 @@
         self,
         path: str,
         *,
-        shape: type[Shape],
+        document_type: type[Document],
         query: dict[str, str] | None = None,
-    ) -> Result[Shape, Fault]:
-        """Read one document.
+    ) -> Result[Document, Fault]:
+        """Read one document by GET.
 
         Args:
-            path: of the API.
-            shape: what it becomes.
-            query: parameters.
+            path: path of the API.
+            document_type: type that the response is decoded to.
+            query: query parameters.
 
         Returns:
             The document, or the fault.
         """
         curl = self._prepare(f'{path}?{urlencode(query or {})}')
-        return self._perform(curl, shape)
+        return self._perform(curl, document_type)
 
     def send(
         self,
         path: str,
         *,
-        shape: type[Shape],
+        document_type: type[Document],
         body: bytes = b'',
-    ) -> Result[Shape, Fault]:
-        """Send something by POST.
+    ) -> Result[Document, Fault]:
+        """Send a request by POST.
 
         Args:
-            path: of the API.
-            shape: what the answer becomes.
-            body: what is sent.
+            path: path of the API.
+            document_type: type that the response is decoded to.
+            body: body of the request.
 
         Returns:
-            The answer, or the fault.
+            The decoded response, or the fault.
         """
         curl = self._prepare(path)
-        # libcurl repeats a request on a reused connection that dies; this
-        # handle has a connection of its own.
+        # libcurl retries a request when a reused connection fails, so a POST
+        # uses a new connection.
         curl.setopt(pycurl.FRESH_CONNECT, 1)
         curl.setopt(pycurl.POSTFIELDS, body)
-        return self._perform(curl, shape)
+        return self._perform(curl, document_type)
 
     def _perform(
         self,
         curl: pycurl.Curl,
-        shape: type[Shape],
-    ) -> Result[Shape, Fault]:
+        document_type: type[Document],
+    ) -> Result[Document, Fault]:
         body = BytesIO()
         curl.setopt(pycurl.WRITEDATA, body)
         try:
@@ -92,33 +92,35 @@
         curl.close()
         if status != STATUS_OK:
             return Err(self._describe_status(status))
-        return self._decode(body.getvalue(), shape)
+        return self._decode(body.getvalue(), document_type)
 
     def _prepare(self, target: str) -> pycurl.Curl:
         curl = pycurl.Curl()
         curl.setopt(pycurl.URL, f'http://{self.address}{target}')
         curl.setopt(pycurl.NOSIGNAL, 1)
         curl.setopt(pycurl.PROXY, '')
-        curl.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_MS)
-        curl.setopt(pycurl.TIMEOUT_MS, ANSWER_MS)
+        curl.setopt(pycurl.CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS)
+        curl.setopt(pycurl.TIMEOUT_MS, RESPONSE_TIMEOUT_MS)
         if self.token is not None:
             authorization = f'Authorization: Bearer {self.token}'
             curl.setopt(pycurl.HTTPHEADER, [authorization])
         return curl
 
-    def _decode(self, body: bytes, shape: type[Shape]) -> Result[Shape, Fault]:
+    def _decode(
+        self, body: bytes, document_type: type[Document]
+    ) -> Result[Document, Fault]:
         try:
-            return Ok(json.decode(body, type=shape))
+            return Ok(json.decode(body, type=document_type))
         except MsgspecError as error:
             return Err(self._describe(str(error)))
 
     def _describe_status(self, status: int) -> Fault:
-        if status == STATUS_UNKNOWN:
+        if status == STATUS_NOT_FOUND:
             return Fault(
                 code=Code.admin_not_found,
                 where=self.address,
                 got=f'status {status}',
-                expected='something that this node knows',
+                expected='a path or a fingerprint that this node knows',
             )
         if status != STATUS_UNAUTHORISED:
             return self._describe(f'status {status}')
--- a/wagtaildale/admin/pages.py
+++ b/wagtaildale/admin/endpoints.py
@@ -1,6 +1,7 @@
-"""The pages of the administration API: one function for each.
+"""Endpoints of the administration API, with a function for each.
 
-A page is found by its path; ``openapi`` describes the same table.
+The server routes requests by the table ``ENDPOINTS``, and the OpenAPI
+description is generated from it.
 """
 
 from __future__ import annotations
@@ -34,12 +35,12 @@
     from wagtaildale.admin.fleet import FleetReporter
     from wagtaildale.node import Node
 
-LARGEST_PROPOSAL: Final = 1_000_000
-LARGEST_FINGERPRINT: Final = 256
+MAX_PROPOSAL_BYTES: Final = 1_000_000
+MAX_FINGERPRINT_BYTES: Final = 256
 
 
-class Context(Struct, frozen=True, kw_only=True):
-    """What a page is made from."""
+class RequestContext(Struct, frozen=True, kw_only=True):
+    """Data that an endpoint uses to answer a request."""
 
     node: Any
     fleet: Any
@@ -47,27 +48,27 @@
     scope: Scope
 
 
-def show_node(context: Context) -> NodeReport:
+def show_node(context: RequestContext) -> NodeReport:
     """Show this node's state.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The report, with the classes that the token opens.
+        Report with the classes that the token's scope allows.
     """
     node: Node = context.node
-    return _narrow(report_node(node), context)
+    return _restrict_classes(report_node(node), context)
 
 
-def show_fleet(context: Context) -> FleetReport:
-    """Show the fleet as far as this node can find out.
+def show_fleet(context: RequestContext) -> FleetReport:
+    """Show the state of the fleet as known to this node.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The report.
+        Report on the fleet.
     """
     fleet: FleetReporter = context.fleet
     request: Request = context.request
@@ -75,30 +76,33 @@
     return fleet.report(token=header.removeprefix(BEARER) or None)
 
 
-def show_timeline(context: Context) -> Timeline:
+def show_timeline(context: RequestContext) -> Timeline:
     """Show this node's events after a stamp.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The events; operators only.
+        The events; only for operators.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     node: Node = context.node
     since = context.request.args.get('since', 0, type=int)
     events = node.parts.recorder.read_since(since)
     return Timeline(events=tuple(events))
 
 
-def show_explanation(context: Context) -> Explanation:
+def show_explanation(context: RequestContext) -> Explanation:
     """Explain where a request would go.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The explanation; none for another team's service.
+        The explanation.
+
+    Raises:
+        Forbidden: if the service belongs to another team.
     """
     node: Node = context.node
     arguments = context.request.args
@@ -114,11 +118,11 @@
     return explanation
 
 
-def show_instances(context: Context) -> InstanceAddresses:
-    """List where all nodes are administered.
+def show_instances(context: RequestContext) -> InstanceAddresses:
+    """List the administration addresses of all nodes.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
         The addresses.
@@ -136,108 +140,116 @@
     )
 
 
-def check_file(context: Context) -> ProposalReport:
-    """Check a proposed file, sent as the body.
+def check_file(context: RequestContext) -> ProposalReport:
+    """Check a proposed file that is sent as the body.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        Faults or changes.
+        Faults of the file, or the changes that it would make.
+
+    Raises:
+        RequestEntityTooLarge: if the body is over ``MAX_PROPOSAL_BYTES``.
     """
     node: Node = context.node
     request: Request = context.request
-    if (request.content_length or 0) > LARGEST_PROPOSAL:
+    if (request.content_length or 0) > MAX_PROPOSAL_BYTES:
         raise RequestEntityTooLarge
     text = request.get_data().decode('utf-8', errors='replace')
     view = node.parts.view.current
     return check_proposal(text, view=view, scope=context.scope)
 
 
-def drain_node(context: Context) -> DrainReport:
-    """Begin this node's planned stop, as SIGTERM does.
+def drain_node(context: RequestContext) -> DrainReport:
+    """Start this node's planned stop, as SIGTERM does.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        What is in flight; operators only.
+        Number of requests in flight; only for operators.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     node: Node = context.node
     node.drain_requested.set()
     return DrainReport(in_flight=node.stop.count_in_flight())
 
 
-def show_ready(context: Context) -> ReadyReport:
+def show_ready(context: RequestContext) -> ReadyReport:
     """Show whether this node is ready; needs no token.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        Its state.
+        State of the node.
     """
     node: Node = context.node
     return ReadyReport(state=node.parts.states[-1].value)
 
 
-def show_suspects(context: Context) -> SuspectsReport:
-    """Show the requests under which servers have ended.
+def show_suspects(context: RequestContext) -> SuspectsReport:
+    """Show the requests during which backend servers have ended.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        The report; operators only.
+        The report; only for operators.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     return report_suspects(context.node)
 
 
-def clear_request(context: Context) -> SuspectsReport:
+def clear_request(context: RequestContext) -> SuspectsReport:
     """Let the request run again whose fingerprint is sent as the body.
 
     Args:
-        context: of the request.
+        context: context of the request.
 
     Returns:
-        What was known of it; operators only.
+        State of the request before it was cleared; only for operators.
+
+    Raises:
+        RequestEntityTooLarge: if the body is over ``MAX_FINGERPRINT_BYTES``.
     """
-    _check_whole(context)
+    _require_unrestricted(context)
     request: Request = context.request
-    if (request.content_length or 0) > LARGEST_FINGERPRINT:
+    if (request.content_length or 0) > MAX_FINGERPRINT_BYTES:
         raise RequestEntityTooLarge
-    named = request.get_data().decode('latin-1').strip()
-    return clear_suspect(context.node, named)
+    fingerprint_text = request.get_data().decode('latin-1').strip()
+    return clear_suspect(context.node, fingerprint_text)
 
 
-class Page(Struct, frozen=True, kw_only=True):
-    """One page of the API.
+class Endpoint(Struct, frozen=True, kw_only=True):
+    """One endpoint of the API.
 
     Attributes:
         method: HTTP method.
-        path: of the page.
-        make: makes its document.
-        shape: of the document.
-        summary: for people.
-        query: names of its parameters.
+        path: path of the endpoint.
+        build_document: function that builds the document of the response.
+        document_type: type of that document.
+        summary: description for readers.
+        query: names of the query parameters.
     """
 
     method: str
     path: str
-    make: Callable[[Context], Struct]
-    shape: type[Struct]
+    build_document: Callable[[RequestContext], Struct]
+    document_type: type[Struct]
     summary: str
     query: tuple[str, ...] = ()
 
 
-def _check_whole(context: Context) -> None:
-    if not context.scope.is_whole:
+def _require_unrestricted(context: RequestContext) -> None:
+    if not context.scope.is_unrestricted:
         raise Forbidden
 
 
-def _narrow(report: NodeReport, context: Context) -> NodeReport:
+def _restrict_classes(
+    report: NodeReport, context: RequestContext
+) -> NodeReport:
     view = context.node.parts.view.current
     classes = tuple(
         state
@@ -247,77 +259,77 @@
     return structs.replace(report, classes=classes)
 
 
-PAGES: Final = (
-    Page(
+ENDPOINTS: Final = (
+    Endpoint(
         method='GET',
         path='/v1/node',
-        make=show_node,
-        shape=NodeReport,
+        build_document=show_node,
+        document_type=NodeReport,
         summary='State of this node',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/fleet',
-        make=show_fleet,
-        shape=FleetReport,
+        build_document=show_fleet,
+        document_type=FleetReport,
         summary='State of the fleet, each part with its age',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/timeline',
-        make=show_timeline,
-        shape=Timeline,
+        build_document=show_timeline,
+        document_type=Timeline,
         summary='Events of this node after a stamp',
         query=('since',),
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/explain',
-        make=show_explanation,
-        shape=Explanation,
+        build_document=show_explanation,
+        document_type=Explanation,
         summary='Class and upstreams of a request',
         query=('method', 'path'),
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/instances',
-        make=show_instances,
-        shape=InstanceAddresses,
-        summary='Where every node is administered',
+        build_document=show_instances,
+        document_type=InstanceAddresses,
+        summary='Administration addresses of all nodes',
     ),
-    Page(
+    Endpoint(
         method='POST',
         path='/v1/check',
-        make=check_file,
-        shape=ProposalReport,
+        build_document=check_file,
+        document_type=ProposalReport,
         summary='Faults of a proposed file, or what it would change',
     ),
-    Page(
+    Endpoint(
         method='POST',
         path='/v1/drain',
-        make=drain_node,
-        shape=DrainReport,
+        build_document=drain_node,
+        document_type=DrainReport,
         summary='Begin the planned stop of this node',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/suspects',
-        make=show_suspects,
-        shape=SuspectsReport,
-        summary='Requests under which servers have ended',
+        build_document=show_suspects,
+        document_type=SuspectsReport,
+        summary='Requests during which backend servers have ended',
     ),
-    Page(
+    Endpoint(
         method='POST',
         path='/v1/suspects/clear',
-        make=clear_request,
-        shape=SuspectsReport,
+        build_document=clear_request,
+        document_type=SuspectsReport,
         summary='Let the request with the fingerprint in the body run again',
     ),
-    Page(
+    Endpoint(
         method='GET',
         path='/v1/ready',
-        make=show_ready,
-        shape=ReadyReport,
+        build_document=show_ready,
+        document_type=ReadyReport,
         summary='Whether this node is ready',
     ),
 )
--- a/wagtaildale/admin/reports.py
+++ b/wagtaildale/admin/reports.py
@@ -1,4 +1,4 @@
-"""Reads a node's parts and reports on them."""
+"""Builds the reports on a node from the state of its parts."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     from wagtaildale.routing.view import FleetView
     from wagtaildale.telemetry.tallies import ClassTally
 
-STATUS_FILE: Final = '/proc/self/statm'
+MEMORY_FILE: Final = '/proc/self/statm'
 
 
 def report_node(node: Node) -> NodeReport:
     """Report on a node.
 
-    The distribution task's state is read while it works: single fields may
-    be a moment apart, each of them is true.
+    The state of the distribution task is read while the task changes it, so
+    the fields may be from slightly different times; each one is correct.
 
     Args:
-        node: this process's.
+        node: node of this process.
 
     Returns:
-        Its state.
+        State of the node.
     """
     parts = node.parts
     state = node.distribution.state
@@ -59,7 +59,7 @@
         backend=_report_backend(node),
         invariants_broken=parts.invariants.broken,
         cpu_seconds=time.process_time(),
-        resident_bytes=_read_resident(),
+        resident_bytes=_read_resident_bytes(),
     )
 
 
@@ -67,10 +67,11 @@
     """Report on every class that a node's entry has served.
 
     Args:
-        node: this process's.
+        node: node of this process.
 
     Returns:
-        By name; a class that is in force but unused is there too.
+        Reports sorted by name, with those of classes that are in force but
+        unused.
     """
     parts = node.parts
     classes = _list_classes(parts.view.current)
@@ -86,12 +87,12 @@
     """Explain where a request would go.
 
     Args:
-        node: this process's.
+        node: node of this process.
         method: HTTP method.
-        path: without the query.
+        path: path without the query.
 
     Returns:
-        Its class and upstreams.
+        Class and upstreams of the request.
     """
     view = node.parts.view.current
     match = view.table.find(method, path) if view.table else None
@@ -129,21 +130,21 @@
     now = read_clock()
     placement = node.calls.entry.parts.placement
     upstream = placement.statistics.find(record.instance, now=now)
-    near = record.data_centre == node.parts.settings.data_centre
-    place = 'own data centre' if near else record.data_centre
+    is_local = record.data_centre == node.parts.settings.data_centre
+    location = 'own data centre' if is_local else record.data_centre
     load = round(upstream.measure_load(now) * 100)
     slowness = round(upstream.speed.find_slowness(now), 1)
     return ', '.join(
         (
-            f'{record.instance}: {place}',
-            _describe_work(node, view, record),
+            f'{record.instance}: {location}',
+            _describe_availability(node, view, record),
             f'{load}% of its limit',
             f'{slowness} times the usual time',
         ),
     )
 
 
-def _describe_work(
+def _describe_availability(
     node: Node,
     view: FleetView,
     record: InstanceRecord,
@@ -236,7 +237,7 @@
     )
 
 
-def _read_resident() -> int:
-    with open(STATUS_FILE, encoding='ascii') as status:
+def _read_resident_bytes() -> int:
+    with open(MEMORY_FILE, encoding='ascii') as status:
         pages = int(status.read().split()[1])
     return pages * resource.getpagesize()
--- a/wagtaildale/admin/server.py
+++ b/wagtaildale/admin/server.py
@@ -1,4 +1,4 @@
-"""The administration API: HTTP and JSON by werkzeug, on its own address."""
+"""HTTP server of the administration API, based on werkzeug, with JSON."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from wagtaildale.admin.fleet import FleetReporter
 from wagtaildale.admin.model import ReadyReport
 from wagtaildale.admin.openapi import write_api
-from wagtaildale.admin.pages import PAGES, Context, show_ready
-from wagtaildale.admin.scopes import Doorkeeper, Scope
+from wagtaildale.admin.endpoints import ENDPOINTS, RequestContext, show_ready
+from wagtaildale.admin.scopes import TokenAuthenticator, Scope
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 from wagtaildale.telemetry.gauges import make_metrics
@@ -40,8 +40,8 @@
 ROUTES: Final = Map(
     [
         *(
-            Rule(page.path, endpoint=page, methods=[page.method])
-            for page in PAGES
+            Rule(endpoint.path, endpoint=endpoint, methods=[endpoint.method])
+            for endpoint in ENDPOINTS
         ),
         Rule('/metrics', endpoint=METRICS, methods=['GET']),
         Rule('/v1/openapi.json', endpoint=OPENAPI, methods=['GET']),
@@ -50,27 +50,27 @@
 
 
 class AdminServer:
-    """Serves the API from one task and its request threads."""
+    """Serves the API from one task, with a thread for each request."""
 
     def __init__(
         self,
         node: Node,
         *,
-        doorkeeper: Doorkeeper,
+        authenticator: TokenAuthenticator,
         listener: socket.socket,
     ) -> None:
-        """Prepare.
+        """Create a server; ``run`` serves requests.
 
         Args:
-            node: that is administered.
-            doorkeeper: knows who may see what.
-            listener: the open port.
+            node: node that is administered.
+            authenticator: finds the scope of each request.
+            listener: listening socket.
         """
         logging.getLogger('werkzeug').setLevel(logging.ERROR)
         self._node = node
         self._metrics = make_metrics(node)
         self._fleet = FleetReporter(node)
-        self._doorkeeper = doorkeeper
+        self._authenticator = authenticator
         host, port = listener.getsockname()
         self._server = make_server(
             host,
@@ -88,75 +88,78 @@
         """Answer one request (WSGI).
 
         Args:
-            environ: the request.
-            start_response: takes status and headers.
+            environ: WSGI environment of the request.
+            start_response: function that receives status and headers.
 
         Returns:
-            The body.
+            Body of the response.
         """
         request = Request(environ)
         try:
-            response = self._answer(request)
+            response = self._respond(request)
         except HTTPException as error:
-            response = _write_error(error)
+            response = _make_error_response(error)
         return response(environ, start_response)
 
     def run(self) -> None:
-        """Serve until stopped."""
+        """Serve requests until ``stop`` is called."""
         self._server.serve_forever()
 
     def stop(self) -> None:
-        """End ``run`` at its server's next look; waits for nobody.
+        """Make ``run`` return at its next poll, without waiting for it.
 
-        Failure guarded here: a process is killed while it ends. The server
-        looks twice a second whether to go on, and whoever waits for the look
-        spends most of the time that is left once a planned stop has passed
-        its bound. The process ends without it: nothing here needs closing.
+        The server polls for a shutdown twice a second. Waiting for this would
+        use up most of the time that remains when a planned stop has reached
+        its limit, and the process would be killed while it ends. The process
+        can end without the server, which holds nothing that must be closed.
         """
         threading.Thread(target=self._server.shutdown, daemon=True).start()
 
-    def _answer(self, request: Request) -> Response:
+    def _respond(self, request: Request) -> Response:
         adapter = ROUTES.bind_to_environ(request.environ)
-        page = adapter.match()[0]
+        endpoint = adapter.match()[0]
         scope = self._find_scope(request)
-        needs_token = page == METRICS or getattr(page, 'make', 0) != show_ready
+        needs_token = (
+            endpoint == METRICS
+            or getattr(endpoint, 'build_document', 0) != show_ready
+        )
         if scope is None and needs_token:
             raise Unauthorized
-        if page == METRICS:
+        if endpoint == METRICS:
             body = self._metrics.write_page()
             return Response(body, content_type=METRICS_TYPE)
-        if page == OPENAPI:
+        if endpoint == OPENAPI:
             return Response(write_api(), mimetype=JSON)
-        context = Context(
+        context = RequestContext(
             node=self._node,
             fleet=self._fleet,
             request=request,
             scope=scope or Scope(),
         )
-        return self._write(page.make(context))
+        return self._make_response(endpoint.build_document(context))
 
     def _find_scope(self, request: Request) -> Scope | None:
         header = request.headers.get('Authorization', '')
-        return self._doorkeeper.find_scope(header)
+        return self._authenticator.find_scope(header)
 
-    def _write(self, document: Struct) -> Response:
+    def _make_response(self, document: Struct) -> Response:
         states = self._node.parts.states
-        unready = states[-1] is not NodeState.ready
-        asks_ready = isinstance(document, ReadyReport)
+        is_unready = states[-1] is not NodeState.ready
+        is_ready_report = isinstance(document, ReadyReport)
         return Response(
             json.encode(document),
-            status=UNREADY_STATUS if unready and asks_ready else OK,
+            status=UNREADY_STATUS if is_unready and is_ready_report else OK,
             mimetype=JSON,
         )
 
 
-def _write_error(error: HTTPException) -> Response:
-    closed = isinstance(error, Unauthorized | Forbidden)
+def _make_error_response(error: HTTPException) -> Response:
+    is_denied = isinstance(error, Unauthorized | Forbidden)
     fault = Fault(
-        code=Code.admin_unauthorised if closed else Code.admin_not_found,
+        code=Code.admin_unauthorised if is_denied else Code.admin_not_found,
         where='admin API',
         got=error.name,
-        expected='a page of docs/openapi.json, with a token that opens it',
+        expected='a path of docs/openapi.json and a token that allows it',
     )
     return Response(
         json.encode(fault),
--- a/wagtaildale/admin/suspects.py
+++ b/wagtaildale/admin/suspects.py
@@ -1,4 +1,4 @@
-"""Pages on requests under which servers have ended."""
+"""Reports on requests during which backend servers have ended."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 
 
 def report_suspects(node: Node) -> SuspectsReport:
-    """Report the requests under which servers have ended.
+    """Report the requests during which backend servers have ended.
 
     Args:
-        node: that is asked.
+        node: node of this process.
 
     Returns:
-        What it knows of each, the gravest first.
+        State of each request, sorted by the number of ended servers, the
+        largest first.
     """
     now = read_clock()
     records = node.parts.suspects.current.records
@@ -37,36 +38,40 @@
     return SuspectsReport(suspects=tuple(states))
 
 
-def clear_suspect(node: Node, named: str) -> SuspectsReport:
-    """Let a request run again, at all nodes, whoever sends it.
+def clear_suspect(node: Node, fingerprint_text: str) -> SuspectsReport:
+    """Let a request run again on all nodes and for all callers.
 
     Args:
-        node: that is told, and tells the others.
-        named: fingerprint, hexadecimal.
+        node: node of this process, which sends the change to the others.
+        fingerprint_text: fingerprint of the request, hexadecimal.
 
     Returns:
-        What was known of it.
+        State of the request before it was cleared.
 
     Raises:
-        NotFound: where this node suspects no such request.
+        NotFound: if this node suspects no such request.
     """
     now = read_clock()
     cleared = {
         fingerprint: record
-        for fingerprint, record in _find_alike(node, named).items()
+        for fingerprint, record in _find_same_subject(
+            node, fingerprint_text
+        ).items()
         if record.ends
     }
     if not cleared:
         raise NotFound
-    for alike in cleared:
-        node.parts.inbox.put(RequestAnswered(alike))
+    for cleared_fingerprint in cleared:
+        node.parts.inbox.put(RequestAnswered(cleared_fingerprint))
     states = [_describe(*pair, now) for pair in cleared.items()]
     return SuspectsReport(suspects=tuple(states))
 
 
-def _find_alike(node: Node, named: str) -> dict[Fingerprint, Record]:
+def _find_same_subject(
+    node: Node, fingerprint_text: str
+) -> dict[Fingerprint, Record]:
     try:
-        fingerprint = Fingerprint(bytes.fromhex(named))
+        fingerprint = Fingerprint(bytes.fromhex(fingerprint_text))
     except ValueError:
         return {}
     return node.parts.suspects.current.list_same_subject(fingerprint)
--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -315,7 +315,7 @@
         # A connection that has delivered a stray response, or has not sent a
         # whole request, is not reused: what follows on it is undefined.
         is_in_sync = self._stray is None and not self._parser.has_more()
-        is_fully_sent = not request.more and not self._stream.unsent
+        is_fully_sent = not request.more and not self._stream.unsent_bytes
         if message.keep_alive and is_in_sync and is_fully_sent:
             self.used_at = read_clock()
             self.idle_until = self.used_at + _read_idle_seconds(message)
--- a/wagtaildale/cli/errors.py
+++ b/wagtaildale/cli/errors.py
@@ -1,4 +1,4 @@
-"""``wagtaildale errors``: what each numbered code means."""
+"""``wagtaildale errors``: prints the meaning of the result codes."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import click
 
 from wagtaildale.cli.options import output_option
-from wagtaildale.cli.output import Form, print_json, print_table
+from wagtaildale.cli.output import OutputFormat, print_json, print_table
 from wagtaildale.errors.codes import MEANINGS, Code
 
 
-PAGE_HEAD: Final = """# Result codes
+MARKDOWN_HEADER: Final = """# Result codes
 
 The thousands name the duty that reports a code: 1 settings, 2 operators'
 files, 3 distribution, 4 calls, 5 lifecycle, 6 administration. This page is
@@ -26,8 +26,10 @@
 @click.argument('number', type=int, required=False)
 @click.option('--markdown', is_flag=True, help='Print docs/errors.md.')
 @output_option
-def show_errors(number: int | None, *, markdown: bool, form: Form) -> None:
-    """Explain result codes, all of them or the one with NUMBER.
+def show_errors(
+    number: int | None, *, markdown: bool, form: OutputFormat
+) -> None:
+    """Explain all result codes, or the one with NUMBER.
 
     \b
     Example:
@@ -35,31 +37,31 @@
     \f
 
     Args:
-        number: which code.
-        markdown: print the docs' table.
-        form: how to print.
+        number: code to explain; all codes if it is missing.
+        markdown: whether to print the page of the documentation.
+        form: output format.
     """
     known = [code for code in Code if number in {None, code.value}]
     if not known:
-        raise click.BadParameter(f'got {number}, expected a code of the table')
+        raise click.BadParameter(f'got {number}, expected a result code')
     if markdown:
         click.echo(write_markdown(), nl=False)
-    elif form is Form.json:
+    elif form is OutputFormat.json:
         print_json([_describe(code) for code in known])
     else:
         print_table(('code', 'name', 'meaning'), rows=map(_describe, known))
 
 
 def write_markdown() -> str:
-    """Write the table of ``docs/errors.md``.
+    """Write the page ``docs/errors.md``.
 
     Returns:
-        The whole page.
+        Text of the page.
     """
     rows = ''.join(
         '| {0} | {1} | {2} |\n'.format(*_describe(code)) for code in Code
     )
-    return PAGE_HEAD + rows
+    return MARKDOWN_HEADER + rows
 
 
 def _describe(code: Code) -> tuple[str, str, str]:
--- a/wagtaildale/cli/nodes.py
+++ b/wagtaildale/cli/nodes.py
@@ -1,4 +1,4 @@
-"""Commands that act on one node."""
+"""``wagtaildale drain``: starts the planned stop of a node."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from wagtaildale.cli.options import make_client, node_options, output_option
 from wagtaildale.cli.output import (
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
 )
@@ -23,8 +23,8 @@
 @click.command()
 @node_options
 @output_option
-def drain(node: str, token_file: Path | None, form: Form) -> None:
-    """Begin the planned stop of a node, as SIGTERM does.
+def drain(node: str, token_file: Path | None, form: OutputFormat) -> None:
+    """Start the planned stop of a node, as SIGTERM does.
 
     \b
     Example:
@@ -32,15 +32,15 @@
     \f
 
     Args:
-        node: admin address.
+        node: administration address of the node.
         token_file: file with the token.
-        form: how to print.
+        form: output format.
     """
     client = make_client(node, token_file, form)
-    found = client.send('/v1/drain', shape=DrainReport)
+    found = client.send('/v1/drain', document_type=DrainReport)
     if isinstance(found, Err):
         fail((found.err_value,), form=form, exit_code=EXIT_UNREACHABLE)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(found.ok_value)
     else:
         click.echo(f'leaving; {found.ok_value.in_flight} requests in flight')
--- a/wagtaildale/cli/output.py
+++ b/wagtaildale/cli/output.py
@@ -1,4 +1,4 @@
-"""How the command line prints: for people, or as JSON for programs."""
+"""Output of the commands, as text for people or as JSON for programs."""
 
 from __future__ import annotations
 
@@ -16,57 +16,59 @@
 
 EXIT_FAULTS: Final = 1
 EXIT_UNREACHABLE: Final = 3
-GAP: Final = '  '
+COLUMN_GAP: Final = '  '
 
 
 @final
-class Form(Enum):
-    """How results are printed."""
+class OutputFormat(Enum):
+    """Format of the printed results."""
 
     text = 'text'
     json = 'json'
 
 
 def print_json(document: Any) -> None:
-    """Print a document for programs.
+    """Print a document as JSON.
 
     Args:
-        document: anything that msgspec encodes.
+        document: value that msgspec can encode.
     """
     click.echo(json.format(json.encode(document)).decode())
 
 
-def print_table(head: Sequence[str], *, rows: Iterable[Sequence[str]]) -> None:
-    """Print rows under a head, each column as wide as it must be.
+def print_table(
+    header: Sequence[str], *, rows: Iterable[Sequence[str]]
+) -> None:
+    """Print a table whose columns are as wide as their longest cell.
 
     Args:
-        head: names of the columns.
-        rows: texts, as many as the head has.
+        header: names of the columns.
+        rows: rows with one text for each column.
     """
-    lines = [tuple(head), *(tuple(row) for row in rows)]
+    lines = [tuple(header), *(tuple(row) for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = (
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         )
-        click.echo(GAP.join(cells).rstrip())
+        click.echo(COLUMN_GAP.join(cells).rstrip())
 
 
 def fail(
     faults: Iterable[Fault],
     *,
-    form: Form,
+    form: OutputFormat,
     exit_code: int = EXIT_FAULTS,
 ) -> NoReturn:
     """Print faults and end the program.
 
     Args:
-        faults: what is wrong.
-        form: how to print.
-        exit_code: for scripts.
+        faults: faults to print.
+        form: output format.
+        exit_code: exit code of the program.
     """
     listed = list(faults)
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json({'faults': listed})
     else:
         for fault in listed:
--- a/wagtaildale/cli/suspects.py
+++ b/wagtaildale/cli/suspects.py
@@ -1,4 +1,4 @@
-"""``wagtaildale suspects``: requests under which servers have ended."""
+"""``wagtaildale suspects``: lists or clears requests that end servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from wagtaildale.cli.output import (
     EXIT_FAULTS,
     EXIT_UNREACHABLE,
-    Form,
+    OutputFormat,
     fail,
     print_json,
 )
@@ -26,7 +26,7 @@
 @click.option(
     '--clear',
     metavar='FINGERPRINT',
-    help='Let such a request run again, at all nodes.',
+    help='Let such a request run again, on all nodes.',
 )
 @node_options
 @output_option
@@ -34,9 +34,9 @@
     clear: str | None,
     node: str,
     token_file: Path | None,
-    form: Form,
+    form: OutputFormat,
 ) -> None:
-    """Show requests that end servers, or let one run again.
+    """Show requests during which servers ended, or let one run again.
 
     \b
     Examples:
@@ -46,18 +46,18 @@
     \f
 
     Args:
-        clear: fingerprint of the request that is to run again.
-        node: admin address.
+        clear: fingerprint of the request that may run again.
+        node: administration address of any node.
         token_file: file with the token.
-        form: how to print.
+        form: output format.
     """
     client = make_client(node, token_file, form)
     if clear is None:
-        found = client.read('/v1/suspects', shape=SuspectsReport)
+        found = client.read('/v1/suspects', document_type=SuspectsReport)
     else:
         found = client.send(
             '/v1/suspects/clear',
-            shape=SuspectsReport,
+            document_type=SuspectsReport,
             body=clear.encode(),
         )
     if isinstance(found, Err):
@@ -68,7 +68,7 @@
             form=form,
             exit_code=EXIT_FAULTS if unknown else EXIT_UNREACHABLE,
         )
-    if form is Form.json:
+    if form is OutputFormat.json:
         print_json(found.ok_value)
     else:
         _print(found.ok_value, cleared=clear is not None)
