--- a/benchmarks/hops.py
+++ b/benchmarks/hops.py
@@ -48,7 +48,7 @@
 MEDIAN: Final = 50
 BODY: Final = b'x' * 64
 FIELD: Final = (b'wagtaildale-call', b'0' * 90)
-LIMITS: Final = CallerLimits(head_bytes=4096, body_bytes=4096)
+LIMITS: Final = CallerLimits(max_head_bytes=4096, max_body_bytes=4096)
 REQUEST: Final = encode_frame(
     Run(
         CallNumber(1),
--- a/properties/test_attempts.py
+++ b/properties/test_attempts.py
@@ -17,7 +17,7 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.table import DEFAULT_RETRIES
-from wagtaildale.testing.builders import build_retry_share
+from wagtaildale.testing.builders import build_retry_limits
 from wagtaildale.types import InstanceId, Outcome
 
 DEADLINE = 10
@@ -55,7 +55,7 @@
         failure = CallFailed(code, outcome=outcome)
         self.may_have_run = self.may_have_run or ran
         self.attempts.tried.append(InstanceId(str(self.sent_attempts)))
-        if self.attempts.take_retry(
+        if self.attempts.try_retry(
             failure,
             now=self.now,
             replayable=replayable,
@@ -70,7 +70,7 @@
     @precondition(lambda self: self.final is None)
     @rule()
     def hedge(self) -> None:
-        if self.attempts.take_hedge(now=self.now):
+        if self.attempts.try_hedge(now=self.now):
             assert self.now < DEADLINE
             self._send()
 
@@ -91,7 +91,7 @@
         return Attempts(
             idempotent=idempotent,
             deadline=DEADLINE,
-            budget=RetryBudget(build_retry_share(slack=tokens), now=0),
+            budget=RetryBudget(build_retry_limits(slack=tokens), now=0),
         )
 
 
--- a/properties/test_inputs.py
+++ b/properties/test_inputs.py
@@ -98,7 +98,7 @@
     of_requests=st.booleans(),
 )
 def test_http(chunks: list[bytes], of_requests: bool) -> None:
-    parser = MessageParser(of_requests=of_requests, head_bytes=200)
+    parser = MessageParser(parses_requests=of_requests, max_head_bytes=200)
     try:
         for chunk in chunks:
             parser.feed(chunk)
--- a/wagtaildale/assembly.py
+++ b/wagtaildale/assembly.py
@@ -176,9 +176,9 @@
             backend_address=Address(backend.host, backend.port),
             slots=backend.slots if settings.calls.admits else MOST_SLOTS,
             limits=CallerLimits(
-                head_bytes=limits.head_bytes,
-                body_bytes=limits.body_bytes,
-                connections=limits.connections,
+                max_head_bytes=limits.head_bytes,
+                max_body_bytes=limits.body_bytes,
+                max_connections=limits.connections,
             ),
             bounds=settings.bounds,
             chooser=make_chooser(settings.calls.choice),
--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -29,7 +29,7 @@
     from wagtaildale.calls.fields import AnswerFields, CallFields
     from wagtaildale.calls.frames import HeaderPairs, ToEntry
     from wagtaildale.calls.peers import Peer
-    from wagtaildale.calls.targets import Target
+    from wagtaildale.calls.targets import AttemptTarget
 
 MILLISECONDS: Final = 1000
 
@@ -137,14 +137,14 @@
         state: stage of the attempt.
         started_at: start time, seconds on the monotonic clock.
         is_run_sent: whether the run message was sent.
-        is_silent: whether the owner has sent nothing for a while.
+        was_silent: whether the owner has sent nothing for a while.
     """
 
     def __init__(
         self,
         call: AttemptReceiver,
         *,
-        target: Target,
+        target: AttemptTarget,
         peer: Peer,
     ) -> None:
         """Open a call to the owner; ``start`` sends the first message.
@@ -158,7 +158,7 @@
         self.state = AttemptState.running
         self.started_at = read_clock()
         self.is_run_sent = False
-        self.is_silent = False
+        self.was_silent = False
         self._call = call
         self._peer = peer
         self._number = peer.open_call(self)
@@ -246,9 +246,9 @@
             outcome=answer.outcome,
             detail=frame.detail,
             retry_after=answer.retry_ms / MILLISECONDS,
-            has_arrived=answer.has_arrived,
+            was_rejected_by_server=answer.has_arrived,
         )
-        failure.ends = answer.ends
+        failure.crash_count = answer.ends
         self._fail(failure, cancelled=False)
 
     def on_answered(self, frame: Answered) -> None:
@@ -305,7 +305,7 @@
             failure.outcome = Outcome.not_run
             self._fail(failure, cancelled=True)
         elif self.state is AttemptState.running:
-            self.is_silent = True
+            self.was_silent = True
             self._call.on_attempt_silent(self, failure)
         elif read_clock() >= self._call.deadline:
             # The call's own timeout no longer applies once a response has
--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -18,7 +18,7 @@
 
 # Upstreams that may reject a call before it waits at one of them. Attempts go
 # to the least loaded upstream first, so a third one rarely has a free slot.
-MAX_REFUSALS: Final = 2
+MAX_REJECTIONS: Final = 2
 # Failures that also occur in a healthy service; the call is redirected to
 # another upstream.
 REDIRECTED_CODES: Final = frozenset(
@@ -73,15 +73,15 @@
         budget: retry budget of the service.
         retries_left: attempts beyond the first that are left to the call and
             to the calls that it causes downstream.
-        refusals_left: number of upstreams that may still reject the call
+        rejections_left: number of upstreams that may still reject the call
             before it waits at one of them.
         tried: upstreams that attempts were sent to, in order.
-        busy: upstreams of these that rejected the call because they were
+        overloaded: upstreams of these that rejected the call because they were
             overloaded.
         was_limited: whether an upstream rejected the call because of its
             server's rate limit.
         obstacle: reason why the last failure was not retried.
-        ends: number of servers that crashed in succession while running the
+        crash_count: number of servers that crashed in succession while running the
             request.
     """
 
@@ -89,14 +89,14 @@
     deadline: float
     budget: RetryBudget
     retries_left: int = DEFAULT_RETRIES
-    refusals_left: int = MAX_REFUSALS
+    rejections_left: int = MAX_REJECTIONS
     tried: list[InstanceId] = field(default_factory=list)
-    busy: list[InstanceId] = field(default_factory=list)
+    overloaded: list[InstanceId] = field(default_factory=list)
     was_limited: bool = False
     obstacle: Obstacle = Obstacle.none
-    ends: int = 0
+    crash_count: int = 0
 
-    def note_refusal(self, instance: InstanceId, code: Code) -> None:
+    def note_rejection(self, instance: InstanceId, code: Code) -> None:
         """Record whether an upstream was overloaded or rate limited.
 
         Args:
@@ -104,7 +104,7 @@
             code: result code of the attempt.
         """
         if code is Code.overloaded:
-            self.busy.append(instance)
+            self.overloaded.append(instance)
         elif code is Code.rate_limited:
             self.was_limited = True
 
@@ -115,11 +115,11 @@
             Upstreams already tried. Once no refusals are left, overloaded
             ones are allowed again: the request then waits at one of them.
         """
-        if self.refusals_left:
+        if self.rejections_left:
             return frozenset(self.tried)
-        return frozenset(self.tried).difference(self.busy)
+        return frozenset(self.tried).difference(self.overloaded)
 
-    def take_retry(
+    def try_retry(
         self,
         failure: CallFailed,
         *,
@@ -151,7 +151,7 @@
         self.retries_left -= 1
         return True
 
-    def take_redirect(self, failure: CallFailed, *, now: float) -> bool:
+    def try_redirect(self, failure: CallFailed, *, now: float) -> bool:
         """Use up a refusal after an owner rejected the call, if allowed.
 
         If no backend server received the request, sending it to another
@@ -173,9 +173,9 @@
             return False
         # Replaced servers reject requests that name their predecessors.
         # Redirecting those would send each request to all of them.
-        if failure.has_arrived or not self.refusals_left:
+        if failure.was_rejected_by_server or not self.rejections_left:
             return False
-        self.refusals_left -= 1
+        self.rejections_left -= 1
         return True
 
     def may_hedge(self, at: float) -> bool:
@@ -188,10 +188,10 @@
             Whether the request may run twice, a retry is left and the hedge
             would start before the deadline.
         """
-        left = self.retries_left > 0 and not self.ends
+        left = self.retries_left > 0 and not self.crash_count
         return self.idempotent and left and at < self.deadline
 
-    def take_hedge(self, *, now: float) -> bool:
+    def try_hedge(self, *, now: float) -> bool:
         """Spend a retry and a budget token on a hedge, if one is allowed.
 
         Args:
@@ -224,7 +224,7 @@
             (ran and not self.idempotent, Obstacle.may_have_run),
             # Keeps a request that crashes every server that runs it from
             # being sent to the next one before other nodes know of it.
-            (self.ends >= TRIAL_ENDS, Obstacle.ends_servers),
+            (self.crash_count >= TRIAL_ENDS, Obstacle.ends_servers),
             (not self.retries_left, Obstacle.no_retries_left),
         )
         found = (obstacle for applies, obstacle in checks if applies)
@@ -236,7 +236,7 @@
     # and operators count the retry against their limits.
     never_ran = failure.outcome is Outcome.not_run
     return (
-        failure.has_arrived
+        failure.was_rejected_by_server
         or not never_ran
         or failure.code not in REDIRECTED_CODES
     )
--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -112,8 +112,8 @@
         self.used_at = read_clock()
         self._pool = pool
         self._parser = MessageParser(
-            of_requests=False,
-            head_bytes=MAX_HEAD_BYTES,
+            parses_requests=False,
+            max_head_bytes=MAX_HEAD_BYTES,
         )
         self._request: BackendRequest | None = None
         self._receiver: BackendReceiver | None = None
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -204,10 +204,10 @@
         )
         if failure.code is Code.backend_cut:
             owner = self._owner
-            owner.trials.ends.hold(
+            owner.trials.end_detector.hold(
                 InterruptedRun(
                     instance=self._target,
-                    fingerprint=owner.trials.find_fingerprint(self._run),
+                    fingerprint=owner.trials.compute_run_fingerprint(self._run),
                     ends=self._known_ends,
                     is_leaving=owner.server.leaving.is_leaving(self._target),
                     on_resolved=partial(self._on_cut_resolved, failure),
@@ -241,7 +241,7 @@
         ends = self._owner.trials.admit(
             self._run,
             up_seconds=self._owner.pool.watch.up_seconds,
-            on_turn=self.begin,
+            on_retry=self.begin,
         )
         if ends is None:
             return False
@@ -252,7 +252,7 @@
     def _on_cut_resolved(self, failure: CallFailed, ends: int) -> None:
         if ends:
             failure.code = Code.backend_ended
-            failure.ends = ends
+            failure.crash_count = ends
         self._call.on_run_failed(failure)
 
     def _abort(self, failure: CallFailed) -> None:
@@ -292,7 +292,7 @@
             instance=self._target,
         )
         if not self._known_ends:
-            self._owner.trials.note_begun(self._run, give_up=self._abort)
+            self._owner.trials.note_begun(self._run, abandon=self._abort)
         self._connection = self._owner.pool.send_request(request, self)
 
     def _forward(self) -> None:
@@ -346,6 +346,6 @@
         failure = CallFailed(
             code,
             detail=f'status {message.status}',
-            has_arrived=True,
+            was_rejected_by_server=True,
         )
         self._call.on_run_failed(failure)
--- a/wagtaildale/calls/budgets.py
+++ b/wagtaildale/calls/budgets.py
@@ -31,7 +31,7 @@
 SLACK_USED: Final = 0.3
 
 
-class RetryShare(Struct, frozen=True, kw_only=True):
+class RetryLimits(Struct, frozen=True, kw_only=True):
     """Retries and hedges that one entry may send to a service.
 
     Attributes:
@@ -48,7 +48,7 @@
     slack_period_seconds: float
 
 
-def compute_retry_share(bounds: BoundSettings, *, entries: int) -> RetryShare:
+def compute_retry_limits(bounds: BoundSettings, *, entries: int) -> RetryLimits:
     """Compute one entry's share of the retries that operators allow.
 
     Args:
@@ -58,7 +58,7 @@
     Returns:
         The share of one entry.
     """
-    return RetryShare(
+    return RetryLimits(
         tokens_per_request=SHARE_USED * bounds.retry_share,
         token_lifetime_seconds=TOKEN_LIFETIME_SHARE
         * bounds.retry_window_seconds,
@@ -79,19 +79,19 @@
     entries together get what they are allowed.
 
     Attributes:
-        share: limits of this entry; may be replaced at any time.
+        limits: limits of this entry; may be replaced at any time.
     """
 
-    __slots__ = ('_expiries', '_fraction', '_slack', '_slack_until', 'share')
+    __slots__ = ('_expiries', '_fraction', '_slack', '_slack_until', 'limits')
 
-    def __init__(self, share: RetryShare, *, now: float) -> None:
+    def __init__(self, limits: RetryLimits, *, now: float) -> None:
         """Create a budget with the slack of one period.
 
         Args:
-            share: limits of this entry.
+            limits: limits of this entry.
             now: current time, seconds.
         """
-        self.share = share
+        self.limits = limits
         self._expiries: deque[float] = deque()
         self._fraction = random.random()
         self._slack = 0
@@ -110,10 +110,10 @@
             now: current time, seconds.
         """
         self._expire_tokens(now)
-        self._fraction += self.share.tokens_per_request
+        self._fraction += self.limits.tokens_per_request
         if self._fraction >= 1:
             self._fraction -= 1
-            self._expiries.append(now + self.share.token_lifetime_seconds)
+            self._expiries.append(now + self.limits.token_lifetime_seconds)
 
     def spend(self, *, now: float) -> bool:
         """Spend a token on a retry or hedge.
@@ -137,5 +137,5 @@
         while self._expiries and self._expiries[0] < now:
             self._expiries.popleft()
         if self._slack_until <= now:
-            self._slack_until = now + self.share.slack_period_seconds
-            self._slack = int(self.share.slack + random.random())
+            self._slack_until = now + self.limits.slack_period_seconds
+            self._slack = int(self.limits.slack + random.random())
--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -123,7 +123,9 @@
     # Under overload, every slow answer would get a second attempt, which
     # would queue for a slot that a first attempt needs. A spare attempt, or
     # one past its target time, therefore runs only if a slot is free at once.
-    target_seconds = 0 if options.spare else max(0, routed.due - now)
+    target_seconds = (
+        0 if options.spare else max(0, routed.latency_target_at - now)
+    )
     remaining = routed.deadline - now
     if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
         # The owner's deadline is slightly earlier than the entry's. With equal
@@ -141,7 +143,7 @@
         incarnation=ANY_INCARNATION,
         depth=routed.depth,
         retries=attempts.retries_left,
-        ends=attempts.ends,
+        ends=attempts.crash_count,
         rate_milli=encode_rate(options.rate),
         pass_rank=options.pass_rank,
         passed_parts=round(options.share * PARTS_PER_WHOLE),
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -40,18 +40,18 @@
     """Limits on what callers send and on how long they take.
 
     Attributes:
-        head_bytes: largest request head.
-        body_bytes: largest request body.
-        head_seconds: longest time from the first byte of a head to its last.
-        idle_seconds: how long a connection may stay open without a request.
-        connections: largest number of open connections.
+        max_head_bytes: largest request head.
+        max_body_bytes: largest request body.
+        head_timeout_seconds: longest time from the first byte of a head to its last.
+        idle_timeout_seconds: how long a connection may stay open without a request.
+        max_connections: largest number of open connections.
     """
 
-    head_bytes: int
-    body_bytes: int
-    head_seconds: float = 10.0
-    idle_seconds: float = 60.0
-    connections: int = 512
+    max_head_bytes: int
+    max_body_bytes: int
+    head_timeout_seconds: float = 10.0
+    idle_timeout_seconds: float = 60.0
+    max_connections: int = 512
 
 
 class CallerPort:
@@ -61,7 +61,7 @@
         loop: event loop of the connections.
         request_handler: answers the requests.
         read_limits: returns the limits that are in force.
-        draining: whether connections close once their requests are answered.
+        is_draining: whether connections close once their requests are answered.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self.loop = loop
         self.request_handler = request_handler
         self.read_limits = read_limits
-        self.draining = False
+        self.is_draining = False
         self._connections: set[CallerConnection] = set()
         self._acceptor = Acceptor(loop, on_accept=self._accept)
 
@@ -122,7 +122,7 @@
         New connections are still accepted: a caller that does not know yet that
         the node leaves gets an answer, and is told to close the connection.
         """
-        self.draining = True
+        self.is_draining = True
 
     def close_port(self) -> None:
         """Accept no more connections; open ones stay open."""
@@ -155,7 +155,7 @@
     def _accept(self, sock: socket.socket) -> None:
         connection = CallerConnection(self, sock)
         self._connections.add(connection)
-        if len(self._connections) > self.read_limits().connections:
+        if len(self._connections) > self.read_limits().max_connections:
             connection.refuse(
                 CallFailed(Code.overloaded, detail='too many connections'),
             )
@@ -184,8 +184,8 @@
         self._port = port
         self._stream = Stream(port.loop, sock, self)
         self._parser = MessageParser(
-            of_requests=True,
-            head_bytes=port.read_limits().head_bytes,
+            parses_requests=True,
+            max_head_bytes=port.read_limits().max_head_bytes,
         )
         self._exchanges: deque[Exchange] = deque()
         self._incoming: Exchange | None = None
@@ -222,7 +222,7 @@
             Whether the response tells the caller that the connection closes.
         """
         message = exchange.message
-        closing = self._port.draining or not message.keep_alive
+        closing = self._port.is_draining or not message.keep_alive
         return self._exchanges[-1] is exchange and (
             closing or not message.is_complete or self._failure is not None
         )
@@ -285,9 +285,9 @@
             return
         limits = self._port.read_limits()
         if self._parser.has_more():
-            if now - self._last_activity_at > limits.head_seconds:
+            if now - self._last_activity_at > limits.head_timeout_seconds:
                 self.refuse(CallFailed(Code.head_timed_out))
-        elif now - self._last_activity_at > limits.idle_seconds:
+        elif now - self._last_activity_at > limits.idle_timeout_seconds:
             self._finish_unless_input_pending()
 
     def close_idle(self) -> None:
@@ -383,7 +383,7 @@
 
     def _continue_idle(self) -> None:
         # Pipelined requests are not started while the node stops.
-        if self._port.draining and self._parser.has_more():
+        if self._port.is_draining and self._parser.has_more():
             self._finish()
         else:
             self._resume_parsing()
@@ -414,14 +414,14 @@
             return False
         last = self._exchanges[-1]
         return (
-            self._port.draining
+            self._port.is_draining
             or last.announces_close
             or not last.message.keep_alive
         )
 
     def _send_failure(self, failure: CallFailed) -> None:
         head, body = build_error_response(failure)
-        writer = ResponseWriter(b'GET', closing=True)
+        writer = ResponseWriter(b'GET', closes_connection=True)
         self._stream.send(writer.begin(head, body=body, more=False))
         self._finish()
 
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -71,16 +71,16 @@
                 ): self.targets.is_in_other_data_centre(
                     record,
                 )
-                for record in self.targets.list_subset()
+                for record in self.targets.list_connected_upstreams()
                 if self._is_wanted(record, now)
             },
         )
-        share = self.parts.read_retry_share()
+        limits = self.parts.read_retry_limits()
         for budget in self._budgets.values():
-            budget.share = share
+            budget.limits = limits
         self.parts.loop.alarms.set(REFRESH_SECONDS, self.refresh)
 
-    def find_budget(self, service: ServiceName) -> RetryBudget:
+    def find_or_create_budget(self, service: ServiceName) -> RetryBudget:
         """Return the retry budget of a service, created on first use.
 
         Args:
@@ -92,7 +92,7 @@
         budget = self._budgets.get(service)
         if budget is None:
             budget = RetryBudget(
-                self.parts.read_retry_share(),
+                self.parts.read_retry_limits(),
                 now=read_clock(),
             )
             self._budgets[service] = budget
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -12,7 +12,7 @@
 from wagtaildale.calls.report import CallReport
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.calls.routed_call import RoutedCall, route_call
-from wagtaildale.calls.suspected_call import check_suspect, mark_harmful
+from wagtaildale.calls.suspected_call import find_suspect, mark_harmful
 from wagtaildale.errors.codes import Code
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import Outcome
@@ -135,7 +135,7 @@
                 attempt.target.address,
                 answer.leaving,
             )
-        self.attempts.ends = max(self.attempts.ends, answer.ends)
+        self.attempts.crash_count = max(self.attempts.crash_count, answer.ends)
 
     def on_answer(self, attempt: Attempt, frame: Answered) -> None:
         """Handle an upstream's response; see ``AttemptReceiver``.
@@ -147,7 +147,7 @@
         if self._is_over:
             return
         self._drop(attempt)
-        hedge_delay = self._entry.hedge_delays.find(
+        hedge_delay = self._entry.hedge_delays.find_or_create(
             attempt.target.fields.work_class,
         )
         hedge_delay.add_sample(read_clock() - attempt.started_at)
@@ -181,9 +181,11 @@
         """
         if self._is_over or self._running != [attempt]:
             return
-        if not self._entry.targets.has_untried(self.routed, self.attempts):
+        if not self._entry.targets.has_untried_upstream(
+            self.routed, self.attempts
+        ):
             return
-        if self._take_retry(failure):
+        if self._try_retry(failure):
             self._report.note_retry(failure)
             self._start_attempt()
 
@@ -200,14 +202,14 @@
         self._drop(attempt)
         if attempt.is_run_sent and failure.outcome is not Outcome.not_run:
             self._has_run = True
-        if self._exchange.is_begun:
+        if self._exchange.has_response_begun:
             # The connection closes before the end of the body. HTTP treats
             # that as an error, so the caller never takes a truncated
             # response for a complete one.
             self._end()
             self._report.note_failure(failure)
             self._exchange.abort()
-        elif all(other.is_silent for other in self._running):
+        elif all(other.was_silent for other in self._running):
             self._retry(attempt, failure)
 
     # Routing and attempts
@@ -219,7 +221,7 @@
         self._routed = routed
         self._report.note_routed(routed)
         self.deadline = routed.deadline
-        budget = self._entry.find_budget(routed.service)
+        budget = self._entry.find_or_create_budget(routed.service)
         budget.earn(now=read_clock())
         work_class = routed.match.work_class
         self._attempts = Attempts(
@@ -232,7 +234,9 @@
             method=exchange.message.method,
             target=exchange.message.target,
             headers=routed.headers,
-            body=RequestBody(exchange, limit=parts.read_limits().body_bytes),
+            body=RequestBody(
+                exchange, limit=parts.read_limits().max_body_bytes
+            ),
             reserves=parts.reserves and not work_class.idempotent,
         )
 
@@ -259,7 +263,7 @@
             self.routed,
             self.attempts,
             spare=spare,
-            suspect=check_suspect(
+            suspect=find_suspect(
                 self._entry.parts,
                 self.routed,
                 self.request,
@@ -272,11 +276,11 @@
         now = read_clock()
         replayable = self.request.body.is_replayable
         attempts = self.attempts
-        attempts.note_refusal(attempt.target.fields.instance, failure.code)
-        if attempts.take_redirect(failure, now=now) and replayable:
-            self._report.note_refusal(failure)
+        attempts.note_rejection(attempt.target.fields.instance, failure.code)
+        if attempts.try_redirect(failure, now=now) and replayable:
+            self._report.note_redirect(failure)
             self._start_attempt()
-        elif self._take_retry(failure):
+        elif self._try_retry(failure):
             self._report.note_retry(failure)
             self._start_attempt()
         else:
@@ -286,8 +290,8 @@
             mark_harmful(failure, attempts)
             self._fail_if_last(failure)
 
-    def _take_retry(self, failure: CallFailed) -> bool:
-        return self.attempts.take_retry(
+    def _try_retry(self, failure: CallFailed) -> bool:
+        return self.attempts.try_retry(
             failure,
             now=read_clock(),
             replayable=self.request.body.is_replayable,
@@ -297,7 +301,7 @@
         """Retry at another upstream if the response is a server error."""
         if frame.status < SERVER_ERROR_STATUS or frame.more:
             return False
-        if any(not other.is_silent for other in self._running):
+        if any(not other.was_silent for other in self._running):
             return False
         shed = frame.status == SHED_STATUS
         failure = CallFailed(
@@ -306,7 +310,7 @@
             detail=f'status {frame.status}',
         )
         self._entry.targets.note_failure(attempt.target, failure)
-        if not self._take_retry(failure):
+        if not self._try_retry(failure):
             return False
         self._report.note_retry(failure)
         # The caller gets this response if no other attempt succeeds.
@@ -317,7 +321,7 @@
     def _plan_hedge(self, attempt: Attempt) -> None:
         if not self._entry.parts.hedges or len(self._running) > 1:
             return
-        hedge_delay = self._entry.hedge_delays.find(
+        hedge_delay = self._entry.hedge_delays.find_or_create(
             attempt.target.fields.work_class,
         )
         within_ms = self.routed.match.work_class.within_ms
@@ -334,9 +338,11 @@
             return
         if not self.request.body.is_replayable:
             return
-        if not self._entry.targets.has_untried(self.routed, self.attempts):
+        if not self._entry.targets.has_untried_upstream(
+            self.routed, self.attempts
+        ):
             return
-        if not self.attempts.take_hedge(now=read_clock()):
+        if not self.attempts.try_hedge(now=read_clock()):
             return
         self._report.note_hedge()
         self._start_attempt(spare=True)
@@ -377,7 +383,7 @@
             Code.timed_out,
             outcome=Outcome.unknown if is_run_sent else Outcome.not_run,
         )
-        if self._exchange.is_begun:
+        if self._exchange.has_response_begun:
             return
         for attempt in self._running:
             self._entry.targets.note_failure(attempt.target, failure)
--- a/wagtaildale/calls/exchanges.py
+++ b/wagtaildale/calls/exchanges.py
@@ -47,7 +47,7 @@
     Attributes:
         message: the request; its body may be incomplete.
         receiver: receives further events of the request.
-        is_begun: whether a part of the response was written.
+        has_response_begun: whether a part of the response was written.
         is_done: whether all of the response was written.
         is_aborted: whether the connection must close after what was written.
         announces_close: whether the response tells the caller that the
@@ -68,7 +68,7 @@
         """
         self.message = message
         self.receiver: ExchangeReceiver | None = None
-        self.is_begun = False
+        self.has_response_begun = False
         self.is_done = False
         self.is_aborted = False
         self.announces_close = False
@@ -95,12 +95,12 @@
             body: the whole body, or its beginning.
             more: whether more of the body follows.
         """
-        self.is_begun = True
+        self.has_response_begun = True
         self.is_done = not more
         self.announces_close = self._connection.closes_after(self)
         self._writer = ResponseWriter(
             self.message.method,
-            closing=self.announces_close,
+            closes_connection=self.announces_close,
         )
         self._send(self._writer.begin(head, body=body, more=more))
 
--- a/wagtaildale/calls/failures.py
+++ b/wagtaildale/calls/failures.py
@@ -24,9 +24,9 @@
         outcome: whether the request ran, as far as is known.
         detail: further explanation for operators.
         retry_after: seconds after which a retry may succeed; 0 if unknown.
-        has_arrived: whether a backend server received the request and
+        was_rejected_by_server: whether a backend server received the request and
             rejected it.
-        ends: number of servers that crashed in succession while running the
+        crash_count: number of servers that crashed in succession while running the
             request.
     """
 
@@ -37,7 +37,7 @@
         outcome: Outcome = Outcome.not_run,
         detail: str = '',
         retry_after: float = 0,
-        has_arrived: bool = False,
+        was_rejected_by_server: bool = False,
     ) -> None:
         """Create a failure.
 
@@ -47,7 +47,7 @@
             detail: further explanation for operators.
             retry_after: seconds after which a retry may succeed; 0 if
                 unknown.
-            has_arrived: whether a backend server received the request and
+            was_rejected_by_server: whether a backend server received the request and
                 rejected it.
         """
         super().__init__(code.name)
@@ -55,14 +55,14 @@
         self.outcome = outcome
         self.detail = detail
         self.retry_after = retry_after
-        self.has_arrived = has_arrived
-        self.ends = 0
+        self.was_rejected_by_server = was_rejected_by_server
+        self.crash_count = 0
 
-    def describe_ends(self) -> Inputs:
+    def describe_crashes(self) -> Inputs:
         """Return the number of servers that crashed, as event inputs.
 
         Returns:
             Inputs with the key ``ends``; empty if no server crashed while
             running the request.
         """
-        return {'ends': self.ends} if self.ends else {}
+        return {'ends': self.crash_count} if self.crash_count else {}
--- a/wagtaildale/calls/hedges.py
+++ b/wagtaildale/calls/hedges.py
@@ -80,7 +80,7 @@
         """Create a collection without estimators."""
         self._delays: dict[str, HedgeDelay] = {}
 
-    def find(self, work_class: str) -> HedgeDelay:
+    def find_or_create(self, work_class: str) -> HedgeDelay:
         """Return the estimator of a class, created on first use.
 
         Args:
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -130,8 +130,8 @@
         self.server.leaving.listeners.append(self.load_notifier.notify_leaving)
         self.pool.watch.listeners.append(self._on_watch_changed)
         self.trials = trials
-        trials.ends.listeners.append(self.server.feedback.note_started)
-        trials.ends.listeners.append(self.pool.watch.note_down)
+        trials.end_detector.listeners.append(self.server.feedback.note_started)
+        trials.end_detector.listeners.append(self.pool.watch.note_down)
         self._find_record = find_record
         self._recorder = recorder
 
--- a/wagtaildale/calls/owner_call.py
+++ b/wagtaildale/calls/owner_call.py
@@ -339,7 +339,7 @@
             self.fields,
             inputs={
                 'outcome': failure.outcome.value,
-                **failure.describe_ends(),
+                **failure.describe_crashes(),
                 **self._times.describe_wait(has_run=has_run),
                 **self._times.describe_run(has_run=has_run),
             },
--- a/wagtaildale/calls/parsing.py
+++ b/wagtaildale/calls/parsing.py
@@ -99,20 +99,20 @@
     The methods whose names begin with ``on_`` are called by httptools.
     """
 
-    def __init__(self, *, of_requests: bool, head_bytes: int) -> None:
+    def __init__(self, *, parses_requests: bool, max_head_bytes: int) -> None:
         """Start at the beginning of a connection.
 
         Args:
-            of_requests: whether the messages are requests, not responses.
-            head_bytes: largest head.
+            parses_requests: whether the messages are requests, not responses.
+            max_head_bytes: largest head.
         """
         self._messages: deque[Message] = deque()
-        self._of_requests = of_requests
-        self._head_bytes = head_bytes
+        self._of_requests = parses_requests
+        self._max_head_bytes = max_head_bytes
         self._pending_head_bytes = 0
         self._parser: Any = (
             httptools.HttpRequestParser(self)
-            if of_requests
+            if parses_requests
             else httptools.HttpResponseParser(self)
         )
 
@@ -222,10 +222,13 @@
             # The callbacks do not count a header that is still incomplete; the
             # number of bytes read limits it.
             self._pending_head_bytes += size
-        if max(self._pending_head_bytes, latest.head_bytes) > self._head_bytes:
+        if (
+            max(self._pending_head_bytes, latest.head_bytes)
+            > self._max_head_bytes
+        ):
             # Earlier messages are complete and stay.
             self._messages.pop()
             raise CallFailed(
                 Code.request_too_large,
-                detail=f'head exceeds the limit of {self._head_bytes} bytes',
+                detail=f'head exceeds the limit of {self._max_head_bytes} bytes',
             )
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -168,8 +168,8 @@
             outcome=failure.outcome,
             owner_seconds=self._times.measure_elapsed(),
             retry_ms=round(failure.retry_after * MILLISECONDS),
-            has_arrived=failure.has_arrived,
+            has_arrived=failure.was_rejected_by_server,
         )
-        if failure.ends:
-            answer = structs.replace(answer, ends=failure.ends)
+        if failure.crash_count:
+            answer = structs.replace(answer, ends=failure.crash_count)
         self._channel.reply(Failed(self._number, answer, failure.detail))
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -17,7 +17,7 @@
     from wagtaildale.calls.fields import AnswerFields
     from wagtaildale.calls.parsing import Header
     from wagtaildale.calls.routed_call import RoutedCall
-    from wagtaildale.calls.targets import Target
+    from wagtaildale.calls.targets import AttemptTarget
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.telemetry.tallies import Tallies
 
@@ -45,7 +45,7 @@
         self._version = NO_VERSION
         self._target_seconds = float(0)
         self._retries = 0
-        self._refusals = 0
+        self._redirects = 0
         self._attempts: list[str] = []
         self._hedges = 0
         self._code = Code.ok
@@ -73,16 +73,16 @@
         self._retries += 1
         self._record(EventKind.call_retried, failure)
 
-    def note_refusal(self, failure: CallFailed) -> None:
+    def note_redirect(self, failure: CallFailed) -> None:
         """Record that an owner rejected the call and it is redirected.
 
         Args:
             failure: failure of the rejected attempt.
         """
-        self._refusals += 1
+        self._redirects += 1
         self._record(EventKind.call_redirected, failure)
 
-    def note_attempt(self, target: Target) -> None:
+    def note_attempt(self, target: AttemptTarget) -> None:
         """Record the start of an attempt.
 
         Args:
@@ -223,7 +223,7 @@
                 'took_ms': self._measure_elapsed_ms(),
                 'retry_ms': round(failure.retry_after * MILLISECONDS),
                 'not_retried': obstacle.value,
-                **failure.describe_ends(),
+                **failure.describe_crashes(),
             },
         )
 
--- a/wagtaildale/calls/responses.py
+++ b/wagtaildale/calls/responses.py
@@ -39,21 +39,21 @@
     """Writes one response, piece by piece.
 
     Example:
-        >>> writer = ResponseWriter(b'GET', closing=False)
+        >>> writer = ResponseWriter(b'GET', closes_connection=False)
         >>> head = ResponseHead(status=200, headers=())
         >>> writer.begin(head, body=b'hi', more=False).split()[-1]
         b'hi'
     """
 
-    def __init__(self, method: bytes, *, closing: bool) -> None:
+    def __init__(self, method: bytes, *, closes_connection: bool) -> None:
         """Start a response.
 
         Args:
             method: HTTP method of the request; HEAD gets no body.
-            closing: whether the connection closes after the response.
+            closes_connection: whether the connection closes after the response.
         """
         self._has_body = method != b'HEAD'
-        self._closes_connection = closing
+        self._closes_connection = closes_connection
         self._is_chunked = False
 
     def begin(self, head: ResponseHead, *, body: bytes, more: bool) -> bytes:
--- a/wagtaildale/calls/routed_call.py
+++ b/wagtaildale/calls/routed_call.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from wagtaildale.calls.budgets import RetryShare
+from wagtaildale.calls.budgets import RetryLimits
 from wagtaildale.calls.caller_timeouts import CallerTimeouts
 from wagtaildale.calls.callers import CallerLimits
 from wagtaildale.calls.dialect import Dialect
@@ -58,7 +58,7 @@
         data_centre: data centre of the node.
         loop: event loop that runs the calls.
         owner: owner of the backend server beside the node.
-        local: in-process connection to that owner.
+        local_peer: in-process connection to that owner.
         peers: connections to the other owners.
         listener: receiver of the state that owners report.
         view: configuration and instance list that calls are routed by.
@@ -69,7 +69,7 @@
         caller_timeouts: longest timeouts that callers send.
         suspects: requests that servers crashed under.
         read_limits: function that returns the limits on requests.
-        read_retry_share: function that returns the entry's share of retries.
+        read_retry_limits: function that returns the entry's share of retries.
         reserves: whether a non-idempotent request reserves a slot first.
         hedges: whether slow idempotent requests are hedged.
     """
@@ -79,7 +79,7 @@
     data_centre: DataCentre
     loop: Loop
     owner: Owner
-    local: LocalPeer
+    local_peer: LocalPeer
     peers: PeerPool
     listener: OwnerListener
     view: ViewHolder
@@ -90,7 +90,7 @@
     caller_timeouts: CallerTimeouts
     suspects: SuspectsHolder
     read_limits: Callable[[], CallerLimits]
-    read_retry_share: Callable[[], RetryShare]
+    read_retry_limits: Callable[[], RetryLimits]
     reserves: bool = True
     hedges: bool = True
 
@@ -106,7 +106,7 @@
         headers: request headers that are forwarded.
         deadline: time at which the call fails, seconds on the monotonic
             clock.
-        due: time at which the latency target is missed, seconds on the
+        latency_target_at: time at which the latency target is missed, seconds on the
             monotonic clock.
         idempotency_key: key that the caller sent with a non-idempotent
             request; empty if none.
@@ -121,7 +121,7 @@
     request_id: RequestId
     headers: HeaderPairs
     deadline: float
-    due: float
+    latency_target_at: float
     idempotency_key: str = ''
     depth: int = 0
     retries: int = DEFAULT_RETRIES
@@ -165,7 +165,7 @@
         headers=_write_headers(parts, message),
         deadline=now
         + min(given_ms, match.work_class.deadline_ms) / MILLISECONDS,
-        due=now + target_ms / MILLISECONDS,
+        latency_target_at=now + target_ms / MILLISECONDS,
         idempotency_key=_find_key(message, match),
         depth=_find_depth(message, parts.dialect),
         retries=_find_number(
--- a/wagtaildale/calls/serial_runs.py
+++ b/wagtaildale/calls/serial_runs.py
@@ -32,14 +32,14 @@
         subject: Subject,
         run: Run,
         *,
-        on_turn: RetryCallback,
+        on_retry: RetryCallback,
     ) -> bool:
         """Start a run, or wait until the current one is over.
 
         Args:
             subject: identifies the request.
             run: run that wants to start.
-            on_turn: called to try again when the current run is over.
+            on_retry: called to try again when the current run is over.
 
         Returns:
             Whether the run may start now.
@@ -47,7 +47,7 @@
         if subject not in self._running:
             self._running[subject] = run
             return True
-        self._waiting.setdefault(subject, deque()).append(on_turn)
+        self._waiting.setdefault(subject, deque()).append(on_retry)
         return False
 
     def is_full(self, subject: Subject) -> bool:
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -175,7 +175,7 @@
         for call in tuple(self._calls.values()):
             call.cancel()
 
-    def enable_drain_notice(self) -> None:
+    def on_drain_notice_supported(self) -> None:
         """Note that the entry understands ``DrainNotice``.
 
         Sends the notice if the owner already drains. Also sends the load
@@ -306,7 +306,7 @@
 def _handle_ping(frame: Ping, calls: CallTable) -> None:
     calls.reply(Pong())
     if frame.accepts_drain_notice:
-        calls.enable_drain_notice()
+        calls.on_drain_notice_supported()
 
 
 @dispatch_frame.register
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -51,14 +51,14 @@
     requests run at one server at the same time.
 
     Attributes:
-        board: known crashes by request.
-        ends: detection of server crashes and the requests that ran then.
+        suspects: known crashes by request.
+        end_detector: detection of server crashes and the requests that ran then.
         answered: requests that the server has recently answered.
     """
 
     def __init__(
         self,
-        board: SuspectsHolder,
+        suspects: SuspectsHolder,
         *,
         node: InstanceId,
         dialect: Dialect,
@@ -68,18 +68,18 @@
         """Create an instance without a request on trial.
 
         Args:
-            board: known crashes by request.
+            suspects: known crashes by request.
             node: node beside the server.
             dialect: names of the header fields, for the caller's service.
             view: instance list, to find the servers that run trials.
             recorder: recorder of events, for crashes of the server.
         """
-        self.board = board
+        self.suspects = suspects
         self._node = node
         self._dialect = dialect
         self.answered = RecentAnswers()
-        self.ends = ServerEndDetector(
-            board,
+        self.end_detector = ServerEndDetector(
+            suspects,
             node=node,
             answered=self.answered,
             recorder=recorder,
@@ -100,23 +100,25 @@
         """
         if run.fields.ends:
             return True
-        if not self.board.current.records:
+        if not self.suspects.current.records:
             return False
-        return bool(self.board.current.find(self.find_fingerprint(run)).ends)
+        return bool(
+            self.suspects.current.find(self.compute_run_fingerprint(run)).ends
+        )
 
     def admit(
         self,
         run: Run,
         *,
         up_seconds: float,
-        on_turn: Callable[[], None],
+        on_retry: Callable[[], None],
     ) -> int | None:
         """Admit a request to the server, queue it, or reject it.
 
         Args:
             run: the request.
             up_seconds: uptime of the server, seconds.
-            on_turn: callback for a queued request, called when the one
+            on_retry: callback for a queued request, called when the one
                 before it has ended; it calls ``admit`` again.
 
         Returns:
@@ -127,10 +129,12 @@
             CallFailed: if the request may not run here, or not now.
         """
         reported_ends = run.fields.ends
-        if not reported_ends and not self.board.current.records:
+        if not reported_ends and not self.suspects.current.records:
             return 0
-        fingerprint = self.find_fingerprint(run)
-        judgement = self.board.judge(fingerprint, reported_ends=reported_ends)
+        fingerprint = self.compute_run_fingerprint(run)
+        judgement = self.suspects.judge(
+            fingerprint, reported_ends=reported_ends
+        )
         ends = judgement.ends
         if judgement.standing is Standing.harmful:
             raise build_suspect_refusal(
@@ -144,7 +148,7 @@
             self._begin_trial(run, fingerprint, ends, up_seconds)
         elif judgement.is_confined:
             self._check_place(run, fingerprint, judgement)
-            if not self._take_turn(run, fingerprint, ends, on_turn):
+            if not self._take_turn(run, fingerprint, ends, on_retry):
                 return None
         return ends
 
@@ -152,7 +156,7 @@
         self,
         run: Run,
         *,
-        give_up: Callable[[CallFailed], None],
+        abandon: Callable[[CallFailed], None],
     ) -> None:
         """Register a run that goes to the server.
 
@@ -163,17 +167,17 @@
 
         Args:
             run: the request.
-            give_up: callback that abandons the run, called if another server
+            abandon: callback that abandons the run, called if another server
                 has crashed while running the same request.
         """
         if run.fields.idempotent:
-            self._started_runs[id(run)] = (run, give_up)
+            self._started_runs[id(run)] = (run, abandon)
 
     def abandon_suspected_runs(self) -> None:
         """Abandon runs of requests that other servers crashed under."""
-        known = self.board.current
-        for run, give_up in tuple(self._started_runs.values()):
-            fingerprint = self.find_fingerprint(run)
+        known = self.suspects.current
+        for run, abandon in tuple(self._started_runs.values()):
+            fingerprint = self.compute_run_fingerprint(run)
             record = known.find(fingerprint)
             if record.nodes and not self.answered.has(fingerprint):
                 failure = build_suspect_refusal(
@@ -182,7 +186,7 @@
                     ends=record.ends,
                 )
                 failure.outcome = Outcome.unknown
-                give_up(failure)
+                abandon(failure)
 
     def release(self, run: Run) -> None:
         """Free the trial or turn that a finished request held.
@@ -201,12 +205,12 @@
         Args:
             run: the request.
         """
-        fingerprint = self.find_fingerprint(run)
+        fingerprint = self.compute_run_fingerprint(run)
         self.answered.note(fingerprint)
-        if self.board.current.records:
-            self.board.note_answered(fingerprint)
+        if self.suspects.current.records:
+            self.suspects.note_answered(fingerprint)
 
-    def find_fingerprint(self, run: Run) -> Fingerprint:
+    def compute_run_fingerprint(self, run: Run) -> Fingerprint:
         """Compute the fingerprint of a request.
 
         Args:
@@ -255,14 +259,14 @@
         run: Run,
         fingerprint: Fingerprint,
         ends: int,
-        on_turn: Callable[[], None],
+        on_retry: Callable[[], None],
     ) -> bool:
         subject = find_subject(fingerprint)
         if self._turns.is_full(subject):
             raise build_suspect_refusal(
                 Code.request_on_trial, fingerprint, ends=ends
             )
-        return self._turns.acquire(subject, run, on_turn=on_turn)
+        return self._turns.acquire(subject, run, on_retry=on_retry)
 
     def _begin_trial(
         self,
@@ -311,5 +315,5 @@
         detail=fingerprint.hex(),
         retry_after=wait_seconds,
     )
-    failure.ends = ends
+    failure.crash_count = ends
     return failure
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -50,7 +50,7 @@
     judgement: Judgement
 
 
-def check_suspect(
+def find_suspect(
     parts: EntryParts,
     routed: RoutedCall,
     request: OutgoingRequest,
@@ -72,7 +72,7 @@
     Raises:
         CallFailed: if the request may not run now, with outcome ``not_run``.
     """
-    if not parts.suspects.current.records and not attempts.ends:
+    if not parts.suspects.current.records and not attempts.crash_count:
         return None
     fingerprint = compute_fingerprint(
         FingerprintInput(
@@ -84,8 +84,10 @@
         headers=request.headers,
         caller_field=parts.dialect.caller_service,
     )
-    judgement = parts.suspects.judge(fingerprint, reported_ends=attempts.ends)
-    attempts.ends = judgement.ends
+    judgement = parts.suspects.judge(
+        fingerprint, reported_ends=attempts.crash_count
+    )
+    attempts.crash_count = judgement.ends
     if judgement.standing is Standing.harmful:
         raise build_suspect_refusal(
             Code.request_harmful,
@@ -154,7 +156,7 @@
         raise build_suspect_refusal(
             Code.request_on_trial,
             suspect.fingerprint,
-            ends=attempts.ends,
+            ends=attempts.crash_count,
             wait_seconds=RESTART_SECONDS,
         )
     return ChosenUpstream(record=(up or untried)[0], is_only_candidate=True)
@@ -179,8 +181,8 @@
         attempts: attempts of the call.
     """
     has_crashed = failure.code in {Code.backend_ended, Code.outcome_unknown}
-    if has_crashed and attempts.ends >= HARMFUL_ENDS:
+    if has_crashed and attempts.crash_count >= HARMFUL_ENDS:
         failure.code = Code.request_harmful
         failure.retry_after = min(
-            find_trial_delay(attempts.ends), MAX_RETRY_AFTER_SECONDS
+            find_trial_delay(attempts.crash_count), MAX_RETRY_AFTER_SECONDS
         )
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -38,10 +38,10 @@
 
 # A service without an upstream gets one only when the instance list changes;
 # retrying within a few milliseconds would use up the caller's retries.
-NO_UPSTREAM_SECONDS: Final = 0.25
+NO_UPSTREAM_RETRY_SECONDS: Final = 0.25
 
 
-class Target(Struct, frozen=True, kw_only=True):
+class AttemptTarget(Struct, frozen=True, kw_only=True):
     """Upstream of one attempt.
 
     Attributes:
@@ -78,7 +78,7 @@
         *,
         spare: bool = False,
         suspect: Suspect | None = None,
-    ) -> Target:
+    ) -> AttemptTarget:
         """Choose the target of the next attempt and mark it as tried.
 
         Args:
@@ -100,7 +100,7 @@
             # Wait at an upstream instead of trying further ones. Otherwise,
             # if a service is overloaded everywhere, each request is sent to
             # all data centres and rejected in each.
-            attempts.refusals_left = 0
+            attempts.rejections_left = 0
             placed = self._place(routed, attempts, suspect, spare=spare)
         if isinstance(placed, Throttled):
             raise CallFailed(
@@ -113,11 +113,11 @@
             raise CallFailed(
                 Code.no_upstream,
                 detail=detail,
-                retry_after=NO_UPSTREAM_SECONDS,
+                retry_after=NO_UPSTREAM_RETRY_SECONDS,
             )
         record = placed.record
         patient = (
-            not attempts.refusals_left
+            not attempts.rejections_left
             or record.instance in attempts.tried
             or placed.is_only_candidate
         )
@@ -126,7 +126,7 @@
             record.instance,
             now=read_clock(),
         )
-        return Target(
+        return AttemptTarget(
             address=Address(record.host, record.owner_port),
             is_local=record.host == self._parts.own_host,
             is_in_other_data_centre=self.is_in_other_data_centre(record),
@@ -145,7 +145,7 @@
             upstream=upstream,
         )
 
-    def list_subset(self) -> Iterator[InstanceRecord]:
+    def list_connected_upstreams(self) -> Iterator[InstanceRecord]:
         """List the upstreams that the entry keeps connections to.
 
         Yields:
@@ -159,7 +159,9 @@
                 now=read_clock(),
             )
 
-    def has_untried(self, routed: RoutedCall, attempts: Attempts) -> bool:
+    def has_untried_upstream(
+        self, routed: RoutedCall, attempts: Attempts
+    ) -> bool:
         """Check whether a further attempt would go to another upstream.
 
         Upstreams that are ejected or have a rate limit do not count.
@@ -187,7 +189,7 @@
             for record in candidates
         )
 
-    def find_peer(self, target: Target) -> Peer:
+    def find_peer(self, target: AttemptTarget) -> Peer:
         """Find the connection to the owner at a target.
 
         Args:
@@ -197,7 +199,7 @@
             The connection, in-process for the owner of this node.
         """
         if target.is_local:
-            return self._parts.local
+            return self._parts.local_peer
         return self._parts.peers.find(
             target.address,
             compressed=target.is_in_other_data_centre,
@@ -216,7 +218,7 @@
         """
         return record.data_centre != self._parts.data_centre
 
-    def note_answer(self, target: Target, answer: AnswerFields) -> None:
+    def note_answer(self, target: AttemptTarget, answer: AnswerFields) -> None:
         """Update the statistics from an answer of a target's owner.
 
         Args:
@@ -242,7 +244,7 @@
                 subject=target.fields.instance,
             )
 
-    def note_overtaken(self, target: Target, *, since: float) -> None:
+    def note_overtaken(self, target: AttemptTarget, *, since: float) -> None:
         """Update the statistics of a target that another one overtook.
 
         Args:
@@ -258,7 +260,7 @@
             now=now,
         )
 
-    def note_failure(self, target: Target, failure: CallFailed) -> None:
+    def note_failure(self, target: AttemptTarget, failure: CallFailed) -> None:
         """Count a failed attempt, if the upstream caused the failure.
 
         Args:
@@ -314,8 +316,8 @@
             request=RequestContext(
                 data_centre=parts.data_centre,
                 work_class=format_class_name(routed),
-                slack_seconds=routed.due - now,
-                may_wait=bool(attempts.busy and attempts.refusals_left),
+                slack_seconds=routed.latency_target_at - now,
+                may_wait=bool(attempts.overloaded and attempts.rejections_left),
                 pass_rank=_find_need_rank(routed, self._statistics),
                 is_hedge=spare,
                 was_limited=attempts.was_limited,
@@ -328,6 +330,6 @@
     return find_request_rank(
         routed.match.work_class.rank,
         work_class=format_class_name(routed),
-        slack_seconds=routed.due - read_clock(),
+        slack_seconds=routed.latency_target_at - read_clock(),
         statistics=statistics,
     )
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -12,7 +12,7 @@
 from wagtaildale.admission.server_messages import SlotsPublished
 from wagtaildale.admission.state import make_admission
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.budgets import RetryShare, compute_retry_share
+from wagtaildale.calls.budgets import RetryLimits, compute_retry_limits
 from wagtaildale.calls.callers import CallerLimits, CallerPort
 from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
@@ -58,9 +58,9 @@
 READY_HEAD_BYTES: Final = 8192
 READY_CONNECTIONS: Final = 64
 READY_LIMITS: Final = CallerLimits(
-    head_bytes=READY_HEAD_BYTES,
-    body_bytes=0,
-    connections=READY_CONNECTIONS,
+    max_head_bytes=READY_HEAD_BYTES,
+    max_body_bytes=0,
+    max_connections=READY_CONNECTIONS,
 )
 
 
@@ -269,11 +269,11 @@
         if published is None:
             return defaults
         return CallerLimits(
-            head_bytes=published.head_bytes,
-            body_bytes=min(published.body_bytes, defaults.body_bytes),
-            head_seconds=published.head_ms / MILLISECONDS,
-            idle_seconds=published.idle_ms / MILLISECONDS,
-            connections=defaults.connections,
+            max_head_bytes=published.head_bytes,
+            max_body_bytes=min(published.body_bytes, defaults.max_body_bytes),
+            head_timeout_seconds=published.head_ms / MILLISECONDS,
+            idle_timeout_seconds=published.idle_ms / MILLISECONDS,
+            max_connections=defaults.max_connections,
         )
 
     def _run_in_loop(self, work: Callable[[], None]) -> None:
@@ -338,7 +338,7 @@
             data_centre=settings.data_centre,
             loop=self.loop,
             owner=self.owner,
-            local=self.local,
+            local_peer=self.local,
             peers=PeerPool(
                 self.loop,
                 listener=listener,
@@ -358,19 +358,19 @@
             caller_timeouts=CallerTimeouts(),
             suspects=dependencies.suspects,
             read_limits=self.read_limits,
-            read_retry_share=self._share_retries,
+            read_retry_limits=self._share_retries,
             reserves=settings.reserves,
             hedges=settings.hedges,
         )
 
-    def _share_retries(self) -> RetryShare:
-        return compute_retry_share(
+    def _share_retries(self) -> RetryLimits:
+        return compute_retry_limits(
             self._settings.bounds,
             entries=self._dependencies.view.current.count_nodes(),
         )
 
     def _read_state(self) -> NodeState:
-        if self.caller_port.draining:
+        if self.caller_port.is_draining:
             return NodeState.leaving
         return self._dependencies.states[-1]
 
--- a/wagtaildale/calls/tests/crashing_servers.py
+++ b/wagtaildale/calls/tests/crashing_servers.py
@@ -27,17 +27,17 @@
     Attributes:
         fatal_paths: paths of the requests that end the server.
         arrivals: paths of the requests that arrived since the last start.
-        has_ended: whether the server has ended.
-        released: event that is set while the server answers; requests wait
+        has_crashed: whether the server has ended.
+        may_answer: event that is set while the server answers; requests wait
             for it.
     """
 
     def __init__(self, host: str, *, fatal_paths: Iterable[str]) -> None:
         self.fatal_paths = frozenset(fatal_paths)
         self.arrivals: list[str] = []
-        self.has_ended = False
-        self.released = threading.Event()
-        self.released.set()
+        self.has_crashed = False
+        self.may_answer = threading.Event()
+        self.may_answer.set()
         super().__init__((host, BACKEND_PORT))
 
     def answer(self, sock: socket.socket) -> None:
@@ -47,9 +47,9 @@
         path = head.split(b' ', 2)[1].decode()
         self.arrivals.append(path)
         if path in self.fatal_paths:
-            self.end()
-        self.released.wait(TIMEOUT_SECONDS)
-        if self.has_ended:
+            self.crash()
+        self.may_answer.wait(TIMEOUT_SECONDS)
+        if self.has_crashed:
             return
         request_id = b''.join(REQUEST_ID_PATTERN.findall(head))
         sock.sendall(
@@ -57,20 +57,20 @@
             b'content-length: 0\r\nconnection: close\r\n\r\n' % request_id,
         )
 
-    def end(self) -> None:
+    def crash(self) -> None:
         """End the server with all requests that run on it."""
-        self.has_ended = True
+        self.has_crashed = True
         # Closes the port first, so that it is closed for a node that sees a
         # connection end.
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
-        self.released.set()
+        self.may_answer.set()
 
     def close(self) -> None:
-        if self.has_ended:
+        if self.has_crashed:
             self._thread.join(TIMEOUT_SECONDS)
         else:
-            self.released.set()
+            self.may_answer.set()
             super().close()
 
 
@@ -87,59 +87,59 @@
         super().__init__(upstreams, entries=entries)
         self._fatal_paths = frozenset(fatal_paths)
         self._earlier_arrivals: list[str] = []
-        self._earlier_ends = 0
+        self._earlier_crash_count = 0
         self.backends = [self._start(record.host) for record in self.records]
 
     @property
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Number of server ends so far."""
-        return self._earlier_ends + sum(
-            each.has_ended for each in self.backends
+        return self._earlier_crash_count + sum(
+            each.has_crashed for each in self.backends
         )
 
     def change_fatal_paths(self, *paths: str) -> None:
         """Set the requests that end servers started from now on."""
         self._fatal_paths = frozenset(paths)
 
-    def restart_ended(self) -> None:
+    def restart_crashed(self) -> None:
         """Restart every server that has ended."""
         for number, backend in enumerate(self.backends):
-            if backend.has_ended:
+            if backend.has_crashed:
                 backend.close()
-                self._earlier_ends += 1
+                self._earlier_crash_count += 1
                 self._earlier_arrivals.extend(backend.arrivals)
                 host = self.records[number].host
                 self.backends[number] = self._start(host)
 
-    def end_all(self, path: str, *, requests: int) -> list[bytes]:
+    def crash_all(self, path: str, *, requests: int) -> list[bytes]:
         """End all servers at once while they run a request of many callers.
 
         Returns:
             The answers to the callers.
         """
         for backend in self.backends:
-            backend.released.clear()
+            backend.may_answer.clear()
         before = self.count_arrivals(path)
         with ThreadPoolExecutor(requests) as callers:
             asked = [callers.submit(self.ask, path) for _ in range(requests)]
             wait_until(lambda: self.count_arrivals(path) > before)
             for backend in self.backends:
-                backend.end()
+                backend.crash()
             return [each.result() for each in asked]
 
-    def end_one(self, path: str) -> None:
+    def crash_one(self, path: str) -> None:
         """End the server that runs a request."""
         for backend in self.backends:
-            backend.released.clear()
+            backend.may_answer.clear()
         before = [len(backend.arrivals) for backend in self.backends]
         with ThreadPoolExecutor(1) as callers:
             asked = callers.submit(self.ask, path)
             wait_until(lambda: self._find_running_server(before) is not None)
             running_server = self._find_running_server(before)
             assert running_server is not None
-            running_server.end()
+            running_server.crash()
             for backend in self.backends:
-                backend.released.set()
+                backend.may_answer.set()
             asked.result()
 
     def count_arrivals(self, path: str) -> int:
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -44,13 +44,13 @@
             port=BACKEND_PORT,
             entry_port=far_record.entry_port,
         )
-        self.near = MeshNode(near_record)
-        self.far = MeshNode(far_record)
-        self.near.show(far_record)
+        self.entry_node = MeshNode(near_record)
+        self.owner_node = MeshNode(far_record)
+        self.entry_node.show(far_record)
 
     def close(self) -> None:
-        self.near.close()
-        self.far.close()
+        self.entry_node.close()
+        self.owner_node.close()
         self.backend.close()
 
     def ask(
@@ -60,7 +60,9 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[HTTPResponse, bytes]:
-        connection = HTTPConnection(*self.near.entry, timeout=TIMEOUT_SECONDS)
+        connection = HTTPConnection(
+            *self.entry_node.entry, timeout=TIMEOUT_SECONDS
+        )
         connection.request(method, path, body, headers or {})
         response = connection.getresponse()
         text = response.read()
@@ -69,7 +71,7 @@
 
     def send_to_owner(self, frame: Frame) -> Frame:
         """Send one message to the owner as an entry would."""
-        record = self.far.record
+        record = self.owner_node.record
         address = (record.host, record.owner_port)
         reader = FrameReader()
         frames: list[Frame] = []
@@ -80,7 +82,7 @@
         return frames[0]
 
     def send_raw_request(self, request: bytes) -> bytes:
-        return send_raw_request(self.near.entry, request)
+        return send_raw_request(self.entry_node.entry, request)
 
 
 def send_raw_request(address: tuple[str, int], request: bytes) -> bytes:
--- a/wagtaildale/calls/tests/test_budgets.py
+++ b/wagtaildale/calls/tests/test_budgets.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wagtaildale.calls.budgets import RetryBudget, compute_retry_share
+from wagtaildale.calls.budgets import RetryBudget, compute_retry_limits
 from wagtaildale.settings.model import BoundSettings
 
 BOUNDS = BoundSettings(
@@ -23,7 +23,7 @@
 ) -> list[int]:
     """Request a retry for every request; return the retries of each step."""
     random.seed(SEED)
-    share = compute_retry_share(BOUNDS, entries=entries)
+    share = compute_retry_limits(BOUNDS, entries=entries)
     budgets = [RetryBudget(share, now=0) for _entry in range(entries)]
     requests_per_step = requests_per_second * STEP_SECONDS / entries
     pending_requests = float(0)
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -49,9 +49,9 @@
         self.body = b'hi'
         self.answered_requests = 0
         limits = CallerLimits(
-            head_bytes=8192,
-            body_bytes=8192,
-            idle_seconds=idle_seconds,
+            max_head_bytes=8192,
+            max_body_bytes=8192,
+            idle_timeout_seconds=idle_seconds,
         )
         self.port = CallerPort(
             self.loop,
--- a/wagtaildale/calls/tests/test_crashing_servers.py
+++ b/wagtaildale/calls/tests/test_crashing_servers.py
@@ -49,9 +49,9 @@
 
 
 def end_servers(fleet: CrashingFleet, count: int) -> None:
-    while fleet.ends < count:
+    while fleet.crash_count < count:
         fleet.ask(FATAL)
-        fleet.restart_ended()
+        fleet.restart_crashed()
 
 
 def test_request_that_ends_servers_is_not_forwarded_for_ever(
@@ -62,7 +62,7 @@
     before = fleet.count_arrivals(FATAL)
     for _time in range(REPEATS):
         fleet.ask(FATAL)
-        fleet.restart_ended()
+        fleet.restart_crashed()
     assert fleet.count_arrivals(FATAL) - before <= ALLOWED_RETRIES
     assert fleet.ask(HARMLESS).startswith(ANSWERED)
 
@@ -76,8 +76,8 @@
     end_servers(fleet, ALLOWED_ENDS)
     for time in range(REPEATS):
         fleet.ask(FATAL, entry=time % ENTRIES)
-        fleet.restart_ended()
-    assert fleet.ends <= ALLOWED_ENDS + len(NO_BACKOFF_SECONDS)
+        fleet.restart_crashed()
+    assert fleet.crash_count <= ALLOWED_ENDS + len(NO_BACKOFF_SECONDS)
 
 
 @pytest.mark.parametrize('method', ['GET', 'POST'])
@@ -91,13 +91,13 @@
     path = FATAL if method == 'GET' else '/bookings'
     fleet.change_fatal_paths(path)
     for backend in fleet.backends:
-        backend.end()
-    fleet.restart_ended()
+        backend.crash()
+    fleet.restart_crashed()
     while not fleet.suspects.table.list_restricted():
         assert fleet.ask(path, method=method).startswith(MAY_HAVE_RUN)
-        fleet.restart_ended()
+        fleet.restart_crashed()
     fleet.ask(path, method=method)
-    fleet.restart_ended()
+    fleet.restart_crashed()
     answer = fleet.ask(path, method=method)
     assert answer.startswith(NOT_RUN)
     assert b'"code":4026' in answer
@@ -117,8 +117,8 @@
 ) -> None:
     """A popular lookup is refused because many servers ended running it."""
     fleet.change_fatal_paths()
-    fleet.end_all(POPULAR, requests=2 * UPSTREAMS)
-    fleet.restart_ended()
+    fleet.crash_all(POPULAR, requests=2 * UPSTREAMS)
+    fleet.restart_crashed()
     assert fleet.suspects.table.records
     answers = [
         fleet.ask(POPULAR, entry=time % ENTRIES)
@@ -133,8 +133,8 @@
     """A popular lookup is refused because servers end repeatedly."""
     fleet.change_fatal_paths()
     for _time in range(2 * ALLOWED_ENDS):
-        fleet.end_all(POPULAR, requests=UPSTREAMS)
-        fleet.restart_ended()
+        fleet.crash_all(POPULAR, requests=UPSTREAMS)
+        fleet.restart_crashed()
         assert fleet.ask(POPULAR).startswith(ANSWERED)
 
 
@@ -149,10 +149,10 @@
     monkeypatch.setattr(records, 'TRIAL_DELAYS_SECONDS', NO_BACKOFF_SECONDS)
     fleet.change_fatal_paths()
     while not fleet.suspects.table.list_restricted():
-        fleet.end_all(POPULAR, requests=1)
-        fleet.restart_ended()
-    fleet.end_all(POPULAR, requests=1)
-    fleet.restart_ended()
+        fleet.crash_all(POPULAR, requests=1)
+        fleet.restart_crashed()
+    fleet.crash_all(POPULAR, requests=1)
+    fleet.restart_crashed()
     assert fleet.ask(POPULAR).startswith(ANSWERED)
     wait_until(lambda: not fleet.suspects.table.list_restricted())
     assert EventKind.server_ended in list_kinds(fleet)
--- a/wagtaildale/calls/tests/test_entry.py
+++ b/wagtaildale/calls/tests/test_entry.py
@@ -29,8 +29,8 @@
 
 
 def test_response_from_own_backend_server(pair: Pair) -> None:
-    pair.far.show(pair.far.record)
-    connection = HTTPConnection(*pair.far.entry, timeout=TIMEOUT_SECONDS)
+    pair.owner_node.show(pair.owner_node.record)
+    connection = HTTPConnection(*pair.owner_node.entry, timeout=TIMEOUT_SECONDS)
     connection.request('GET', '/files/7')
     assert connection.getresponse().status == 200
     connection.close()
@@ -178,7 +178,7 @@
 
 def test_refused_connection_is_not_run(pair: Pair) -> None:
     """The only owner is gone: nothing was sent, and the outcome says so."""
-    pair.far.close()
+    pair.owner_node.close()
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.backend_unreachable
     assert response.headers[OUTCOME_HEADER].startswith('not-run')
@@ -191,12 +191,12 @@
     goes through both nodes to the backend server, which stops the work.
     """
     pair.backend.faults.service_ms = 60_000
-    sock = socket.create_connection(pair.near.entry, TIMEOUT_SECONDS)
+    sock = socket.create_connection(pair.entry_node.entry, TIMEOUT_SECONDS)
     sock.sendall(b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n')
     wait_until(lambda: pair.backend.counts.runs == 1)
     sock.close()
     wait_until(lambda: pair.backend.counts.cancelled == 1)
-    gate = pair.far.owner.gate
+    gate = pair.owner_node.owner.gate
     wait_until(lambda: not gate.state.running)
 
 
@@ -207,8 +207,8 @@
     old one. The call names the instance that it is meant for, so the new
     one rejects it.
     """
-    old = structs.replace(pair.far.record, instance=InstanceId('gone'))
-    pair.near.show(old)
+    old = structs.replace(pair.owner_node.record, instance=InstanceId('gone'))
+    pair.entry_node.show(old)
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.wrong_instance
     assert response.headers[OUTCOME_HEADER].startswith('not-run')
@@ -216,7 +216,7 @@
 
 
 def test_draining_owner_rejects_calls(pair: Pair) -> None:
-    pair.far.drain()
+    pair.owner_node.drain()
     response, text = pair.ask('GET', '/files/1')
     assert read_code(text) is Code.draining
     assert response.headers['retry-after'] == '1'
@@ -224,7 +224,7 @@
 
 
 def test_draining_entry_asks_its_callers_to_close(pair: Pair) -> None:
-    pair.near.calls.caller_port.drain()
+    pair.entry_node.calls.caller_port.drain()
     response, _text = pair.ask('GET', '/files/1')
     assert response.status == 200
     assert response.headers['connection'] == 'close'
@@ -234,13 +234,13 @@
     pair.backend.faults.service_ms = 30
     pair.backend.faults.slots = 100
     socks = [
-        socket.create_connection(pair.near.entry, TIMEOUT_SECONDS)
+        socket.create_connection(pair.entry_node.entry, TIMEOUT_SECONDS)
         for _number in range(12)
     ]
     for sock in socks:
         sock.sendall(b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n')
     max_running = 0
-    gate = pair.far.owner.gate
+    gate = pair.owner_node.owner.gate
     while pair.backend.counts.runs < 12:
         max_running = max(max_running, len(gate.state.running))
         time.sleep(0.001)
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -78,9 +78,9 @@
 def silent_pair() -> Iterator[Pair]:
     """A pair whose owner is closed, so that an impostor can use its port."""
     made = Pair()
-    made.far.close()
+    made.owner_node.close()
     yield made
-    made.near.close()
+    made.entry_node.close()
     made.backend.close()
 
 
@@ -94,7 +94,7 @@
     An answer that arrives late or at the wrong place names another request,
     or another attempt of this one. Neither is forwarded.
     """
-    record = silent_pair.far.record
+    record = silent_pair.owner_node.record
     impostor = ImpostorOwner(
         (record.host, record.owner_port),
         attempt_off=attempt_off,
@@ -121,7 +121,7 @@
     worker = threading.Thread(target=book)
     worker.start()
     wait_until(lambda: pair.backend.counts.runs == 1)
-    pair.far.close()
+    pair.owner_node.close()
     worker.join()
     assert received[0][0].startswith('unknown')
     assert received[0][1] is Code.outcome_unknown
@@ -130,9 +130,9 @@
 
 def test_owner_dies_while_a_booking_waits(pair: Pair) -> None:
     """The owner is killed before the run message: the booking did not run."""
-    gate = pair.far.gate
+    gate = pair.owner_node.gate
     for _slot in range(4):
-        pair.far.hold_slot()
+        pair.owner_node.hold_slot()
     outcomes: list[str] = []
 
     def book() -> None:
@@ -142,7 +142,7 @@
     worker = threading.Thread(target=book)
     worker.start()
     wait_until(lambda: bool(gate.state.queue))
-    pair.far.close()
+    pair.owner_node.close()
     worker.join()
     assert outcomes[0].startswith('not-run')
     assert pair.backend.counts.runs == 0
@@ -154,7 +154,7 @@
     The deadline is checked immediately before the request is sent, so the
     booking does not run.
     """
-    verdict = pair.far.hold_slot()
+    verdict = pair.owner_node.hold_slot()
     answer = pair.send_to_owner(build_run(lease=verdict.ticket, remaining_ms=0))
     assert isinstance(answer, Failed)
     assert answer.answer.code is Code.past_deadline
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -44,7 +44,7 @@
     """One connection of an entry, which the test drives frame by frame."""
 
     def __init__(self, pair: Pair) -> None:
-        record = pair.far.record
+        record = pair.owner_node.record
         address = (record.host, record.owner_port)
         self.sock = socket.create_connection(address, TIMEOUT_SECONDS)
         self.sock.sendall(PLAIN)
@@ -69,7 +69,7 @@
     entry = EntryConnection(pair)
     entry.send(LEAVING_AWARE_PING)
     assert entry.receive(1) == [Pong()]
-    pair.far.calls.drain()
+    pair.owner_node.calls.drain()
     assert entry.receive(1) == [DrainNotice()]
     entry.send(build_run(idempotent=True))
     failed = entry.receive(1)[0]
@@ -80,7 +80,7 @@
 
 
 def test_entry_that_connects_to_a_leaving_owner_is_notified(pair: Pair) -> None:
-    pair.far.calls.drain()
+    pair.owner_node.calls.drain()
     entry = EntryConnection(pair)
     entry.send(LEAVING_AWARE_PING)
     assert entry.receive(2) == [Pong(), DrainNotice()]
@@ -97,7 +97,7 @@
     entry = EntryConnection(pair)
     entry.send(Ping())
     assert entry.receive(1) == [Pong()]
-    pair.far.calls.drain()
+    pair.owner_node.calls.drain()
     entry.send(build_run(idempotent=True))
     entry.send(Ping())
     failed, pong = entry.receive(2)
@@ -123,18 +123,18 @@
     The owner is still listed, and entries connect to every listed owner.
     """
     monkeypatch.setattr('wagtaildale.routing.ejection.LEAVING_SECONDS', 1e9)
-    calls = pair.near.calls
+    calls = pair.entry_node.calls
     pair.ask('GET', '/files/1')
-    assert pair.far.calls.peer_port.open_connections == 1
-    pair.far.calls.drain()
-    wait_until(lambda: not pair.far.calls.peer_port.open_connections)
+    assert pair.owner_node.calls.peer_port.open_connections == 1
+    pair.owner_node.calls.drain()
+    wait_until(lambda: not pair.owner_node.calls.peer_port.open_connections)
     calls.loop.submit(calls.entry.refresh).result(TIMEOUT_SECONDS)
     # The owner accepts connections in order, so an earlier one would count
     # by now.
     entry = EntryConnection(pair)
     entry.send(Ping())
     assert entry.receive(1) == [Pong()]
-    assert pair.far.calls.peer_port.open_connections == 1
+    assert pair.owner_node.calls.peer_port.open_connections == 1
     entry.sock.close()
 
 
@@ -144,7 +144,7 @@
     The entry has no other upstream, so it connects and gets "not run".
     """
     pair.ask('GET', '/files/1')
-    pair.far.calls.drain()
+    pair.owner_node.calls.drain()
     response, _text = pair.ask('GET', '/files/2')
     assert response.status == 503
     assert response.headers[OUTCOME_HEADER].startswith('not-run')
@@ -157,8 +157,8 @@
     with ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/files/1')
         wait_until(lambda: pair.backend.counts.runs == 1)
-        pair.far.calls.drain()
+        pair.owner_node.calls.drain()
         response, _text = asked.result(TIMEOUT_SECONDS)
     assert response.status == 200
-    wait_until(lambda: not pair.far.calls.peer_port.open_connections)
+    wait_until(lambda: not pair.owner_node.calls.peer_port.open_connections)
     assert pair.backend.counts.cancelled == 0
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -30,7 +30,7 @@
     """A second owner, which rejects every request."""
     node = MeshNode(build_record('c', host='127.0.9.3'))
     node.drain()
-    pair.near.show(pair.far.record, node.record)
+    pair.entry_node.show(pair.owner_node.record, node.record)
     yield node
     node.close()
 
@@ -87,7 +87,7 @@
     Without this, the lookup runs when a slot becomes free, however long
     after later requests are sent elsewhere.
     """
-    far = pair.far
+    far = pair.owner_node
     held = [far.hold_slot().ticket for _slot in range(SLOTS)]
     with ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/files/1')
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -23,7 +23,7 @@
 )
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.table import DEFAULT_RETRIES
-from wagtaildale.testing.builders import build_record, build_retry_share
+from wagtaildale.testing.builders import build_record, build_retry_limits
 from wagtaildale.testing.mesh import BACKEND_PORT, MeshNode
 from wagtaildale.types import DataCentre, Incarnation, Outcome
 
@@ -31,7 +31,7 @@
 
 
 def build_attempts(*, idempotent: bool, tokens: float = 10) -> Attempts:
-    budget = RetryBudget(build_retry_share(slack=tokens), now=0)
+    budget = RetryBudget(build_retry_limits(slack=tokens), now=0)
     return Attempts(idempotent=idempotent, deadline=10, budget=budget)
 
 
@@ -55,16 +55,16 @@
 ) -> None:
     attempts = build_attempts(idempotent=idempotent)
     failure = CallFailed(code, outcome=outcome)
-    assert attempts.take_retry(failure, now=1, replayable=True) is expected
-    assert not attempts.take_retry(failure, now=11, replayable=True)
-    assert not attempts.take_retry(failure, now=1, replayable=False)
+    assert attempts.try_retry(failure, now=1, replayable=True) is expected
+    assert not attempts.try_retry(failure, now=11, replayable=True)
+    assert not attempts.try_retry(failure, now=1, replayable=False)
 
 
 def test_retries_of_a_call_are_limited() -> None:
     attempts = build_attempts(idempotent=True)
     failure = CallFailed(Code.draining)
     granted = [
-        attempts.take_retry(failure, now=1, replayable=True)
+        attempts.try_retry(failure, now=1, replayable=True)
         for _attempt in range(DEFAULT_RETRIES + 1)
     ]
     assert granted == [*(DEFAULT_RETRIES * (True,)), False]
@@ -75,7 +75,7 @@
 
     Retries stay within a fixed share of the calls.
     """
-    budget = RetryBudget(build_retry_share(slack=20), now=0)
+    budget = RetryBudget(build_retry_limits(slack=20), now=0)
     spent = 0
     for _call in range(1000):
         budget.earn(now=0)
@@ -102,20 +102,20 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
-        pair.near.show(pair.far.record, other)
+        pair.entry_node.show(pair.owner_node.record, other)
         backend.faults.service_ms = 40
         while pair.backend.counts.runs < 40:
             pair.ask('GET', '/files/7')
         # On a busy machine a response of the healthy server may be slow enough
         # to be hedged too; only hedges after this point are counted.
-        tally = pair.near.tallies.sum_up()['casefiles/lookup']
+        tally = pair.entry_node.tallies.sum_up()['casefiles/lookup']
         before = tally.hedged
         pair.backend.faults.service_ms = 60_000
         while tally.hedged == before:
             response, text = pair.ask('GET', '/files/7')
             assert response.status == 200
             assert json.decode(text)['by'] == 'c'
-            tally = pair.near.tallies.sum_up()['casefiles/lookup']
+            tally = pair.entry_node.tallies.sum_up()['casefiles/lookup']
         hedged = tally.hedged - before
         wait_until(lambda: pair.backend.counts.cancelled >= hedged)
 
@@ -125,7 +125,7 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
-        pair.near.show(pair.far.record, other)
+        pair.entry_node.show(pair.owner_node.record, other)
         pair.backend.faults.close_share = 1
         for claim in range(20):
             response, _text = pair.ask('GET', f'/files/{claim}')
@@ -138,7 +138,9 @@
     pair: Pair,
 ) -> None:
     """Entries that die after reserving must not hold every slot for ever."""
-    verdicts = [pair.far.hold_slot(lease_seconds=0) for _slot in range(4)]
+    verdicts = [
+        pair.owner_node.hold_slot(lease_seconds=0) for _slot in range(4)
+    ]
     assert all(isinstance(verdict, Admitted) for verdict in verdicts)
     response, _text = pair.ask('POST', '/bookings', b'x')
     assert response.status == 200
@@ -150,17 +152,17 @@
     When it resumes, the slot belongs to another request. The run is
     rejected, and "not run" is true.
     """
-    verdict = pair.far.hold_slot(lease_seconds=0)
-    rejection = pair.far.redeem(verdict.ticket)
+    verdict = pair.owner_node.hold_slot(lease_seconds=0)
+    rejection = pair.owner_node.redeem(verdict.ticket)
     assert not isinstance(rejection, Admitted)
     assert rejection.code is Code.lease_ended
 
 
 def test_lease_is_redeemed_once(pair: Pair) -> None:
     """The network duplicates a run message."""
-    verdict = pair.far.hold_slot()
-    assert isinstance(pair.far.redeem(verdict.ticket), Admitted)
-    assert not isinstance(pair.far.redeem(verdict.ticket), Admitted)
+    verdict = pair.owner_node.hold_slot()
+    assert isinstance(pair.owner_node.redeem(verdict.ticket), Admitted)
+    assert not isinstance(pair.owner_node.redeem(verdict.ticket), Admitted)
 
 
 def test_booking_that_times_out_in_the_queue_has_not_run(pair: Pair) -> None:
@@ -169,7 +171,7 @@
     Only a reservation was sent, so the outcome is "not run" and the backend
     server never receives the booking.
     """
-    held = [pair.far.hold_slot() for _slot in range(4)]
+    held = [pair.owner_node.hold_slot() for _slot in range(4)]
     response, text = pair.ask(
         'POST',
         '/bookings',
@@ -236,7 +238,7 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other):
-        pair.near.show(pair.far.record, other)
+        pair.entry_node.show(pair.owner_node.record, other)
         pair.backend.faults.draining = True
         statuses = {
             pair.ask('GET', f'/files/{claim}')[0].status for claim in range(10)
@@ -245,7 +247,7 @@
 
 
 def test_limit_shrinks_when_the_backend_server_sheds(pair: Pair) -> None:
-    state = pair.far.owner.gate.state
+    state = pair.owner_node.owner.gate.state
     pair.backend.faults.draining = True
     pair.ask('POST', '/bookings', b'x')
     wait_until(lambda: state.limit < state.slots)
@@ -257,10 +259,10 @@
     No new request arrives that would expire the leases, so the timer must.
     """
     for _slot in range(4):
-        pair.far.hold_slot(lease_seconds=0.2)
+        pair.owner_node.hold_slot(lease_seconds=0.2)
     worker = threading.Thread(target=pair.ask, args=('POST', '/bookings', b'x'))
     worker.start()
-    wait_until(lambda: bool(pair.far.gate.state.queue))
+    wait_until(lambda: bool(pair.owner_node.gate.state.queue))
     worker.join()
     assert pair.backend.counts.runs == 1
 
@@ -271,7 +273,7 @@
     The new process has granted a lease with the same number; only the
     incarnation distinguishes the two.
     """
-    verdict = pair.far.hold_slot()
+    verdict = pair.owner_node.hold_slot()
     answer = pair.send_to_owner(build_run(lease=verdict.ticket, incarnation=99))
     assert isinstance(answer, Failed)
     assert answer.answer.code is Code.wrong_instance
@@ -286,16 +288,16 @@
     call names an incarnation only if it has a lease.
     """
     pair.ask('GET', '/files/1')
-    identity = pair.far.owner.identity
-    pair.far.owner.identity = structs.replace(
+    identity = pair.owner_node.owner.identity
+    pair.owner_node.owner.identity = structs.replace(
         identity,
         incarnation=Incarnation(2),
     )
     pair.ask('GET', '/files/1')
     pair.ask('POST', '/bookings', b'x')
     # A call is counted shortly after its caller gets the response.
-    wait_until(lambda: 'casefiles/booking' in pair.near.tallies.sum_up())
-    tally = pair.near.tallies.sum_up()
+    wait_until(lambda: 'casefiles/booking' in pair.entry_node.tallies.sum_up())
+    tally = pair.entry_node.tallies.sum_up()
     assert tally['casefiles/lookup'].retried == 0
     assert tally['casefiles/booking'].retried == 0
 
@@ -306,11 +308,11 @@
     The rejection is immediate and names the time after which a slot is
     likely to be free.
     """
-    gate = pair.far.gate
+    gate = pair.owner_node.gate
     gate.state.baseline_seconds = 2.5
     gate.state.service_seconds = 2.5
     for _slot in range(4):
-        pair.far.hold_slot()
+        pair.owner_node.hold_slot()
     response, text = pair.ask('GET', '/files/1')
     assert read_code(text) is Code.overloaded
     assert int(response.headers['retry-after']) >= 3
@@ -323,9 +325,9 @@
     The booking keeps its slot and runs, and the stop waits for it. Later
     requests are rejected.
     """
-    verdict = pair.far.hold_slot()
-    pair.far.drain()
-    assert isinstance(pair.far.redeem(verdict.ticket), Admitted)
+    verdict = pair.owner_node.hold_slot()
+    pair.owner_node.drain()
+    assert isinstance(pair.owner_node.redeem(verdict.ticket), Admitted)
     response, text = pair.ask('POST', '/bookings', b'x')
     assert read_code(text) is Code.draining
     assert response.headers[OUTCOME_HEADER].startswith('not-run')
@@ -342,10 +344,10 @@
         for number in range(3)
     ]
     far = structs.replace(
-        pair.far.record,
+        pair.owner_node.record,
         data_centre=DataCentre('coventry'),
     )
-    pair.near.show(*gone, far)
+    pair.entry_node.show(*gone, far)
     statuses = [
         pair.ask('GET', f'/files/{claim}')[0].status for claim in range(30)
     ]
--- a/wagtaildale/calls/tests/test_server_feedback.py
+++ b/wagtaildale/calls/tests/test_server_feedback.py
@@ -25,7 +25,7 @@
 
 
 def build_response(extra: bytes) -> Message:
-    parser = MessageParser(of_requests=False, head_bytes=4096)
+    parser = MessageParser(parses_requests=False, max_head_bytes=4096)
     parser.feed(b'HTTP/1.1 200 OK\r\n%bcontent-length: 0\r\n\r\n' % extra)
     message = parser.peek()
     assert message is not None
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -47,10 +47,10 @@
 def pair_without_owner() -> Iterator[Pair]:
     """A pair whose owner's port is free for a scripted owner."""
     created = Pair()
-    created.far.close()
-    created.near.publish(PATIENT_MESH)
+    created.owner_node.close()
+    created.entry_node.publish(PATIENT_MESH)
     yield created
-    created.near.close()
+    created.entry_node.close()
     created.backend.close()
 
 
@@ -81,7 +81,7 @@
     only_first: bool = False,
     begins: bool = False,
 ) -> SilentOwner:
-    record = pair.far.record
+    record = pair.owner_node.record
     return SilentOwner(
         (record.host, record.owner_port),
         silent_pings=silent_pings,
@@ -102,7 +102,7 @@
     the backend server started it 3.2 s later. Nothing proves that the owner is
     gone, so the call must wait.
     """
-    near = pair_without_owner.near
+    near = pair_without_owner.entry_node
     stop = Stop(calls=near.calls, inbox=Inbox(), recorder=near.recorder)
     with ThreadPoolExecutor() as executor:
         submitted = executor.submit(pair_without_owner.ask, 'GET', '/files/1')
@@ -136,11 +136,11 @@
     """A lookup waits for a silent owner while another one is idle."""
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
-    near = pair_without_owner.near
+    near = pair_without_owner.entry_node
     with backend, MeshNode(other), ThreadPoolExecutor() as executor:
         submitted = executor.submit(pair_without_owner.ask, 'GET', '/files/1')
         assert owner.has_run.wait(TIMEOUT_SECONDS)
-        near.show(pair_without_owner.far.record, other)
+        near.show(pair_without_owner.owner_node.record, other)
         response, text = submitted.result(TIMEOUT_SECONDS)
         assert response.status == 200
         assert json.decode(text)['by'] == 'c'
@@ -165,7 +165,9 @@
                 pair_without_owner.ask, 'GET', '/files/1'
             )
             wait_until(lambda: owner.unanswered_pings >= SILENT_PINGS)
-            pair_without_owner.near.show(pair_without_owner.far.record, other)
+            pair_without_owner.entry_node.show(
+                pair_without_owner.owner_node.record, other
+            )
             response, text = submitted.result(TIMEOUT_SECONDS)
     assert response.status == 200
     assert json.decode(text)['by'] == 'c'
@@ -214,7 +216,7 @@
     and the connection does not break. After the deadline the rest cannot be in
     time any more.
     """
-    pair_without_owner.near.publish(MESH_TEXT)
+    pair_without_owner.entry_node.publish(MESH_TEXT)
     with closing(
         start_owner(pair_without_owner, silent_pings=FOREVER_PINGS, begins=True)
     ):
--- a/wagtaildale/calls/tests/test_slow_servers.py
+++ b/wagtaildale/calls/tests/test_slow_servers.py
@@ -19,14 +19,18 @@
 def find_slowness(node: MeshNode, pair: Pair) -> float:
     now = read_clock()
     placement = node.calls.entry.parts.placement
-    upstream = placement.statistics.find(pair.far.record.instance, now=now)
+    upstream = placement.statistics.find(
+        pair.owner_node.record.instance, now=now
+    )
     return upstream.speed.find_slowness(now)
 
 
 def set_slowness(pair: Pair, ratio: float) -> None:
-    owner = pair.far.owner
+    owner = pair.owner_node.owner
     owner.gate.state.slowness.ratio = ratio
-    pair.far.calls.loop.submit(owner.load_notifier.notify_changes).result()
+    pair.owner_node.calls.loop.submit(
+        owner.load_notifier.notify_changes
+    ).result()
 
 
 def test_entry_learns_that_a_server_slows_down_and_recovers(
@@ -40,15 +44,19 @@
     """
     pair.ask('GET', '/files/7')
     set_slowness(pair, SLOWNESS_RATIO)
-    wait_until(lambda: find_slowness(pair.near, pair) > SLOWNESS_RATIO / 2)
-    pair.far.owner.gate.state.slowness.announced_at = 0
+    wait_until(
+        lambda: find_slowness(pair.entry_node, pair) > SLOWNESS_RATIO / 2
+    )
+    pair.owner_node.owner.gate.state.slowness.announced_at = 0
     set_slowness(pair, 1)
     wait_until(
-        lambda: find_slowness(pair.near, pair) == pytest.approx(1, abs=0.2),
+        lambda: (
+            find_slowness(pair.entry_node, pair) == pytest.approx(1, abs=0.2)
+        ),
     )
 
 
 def test_node_learns_that_its_own_server_slows_down(pair: Pair) -> None:
-    pair.far.show(pair.far.record)
+    pair.owner_node.show(pair.owner_node.record)
     set_slowness(pair, SLOWNESS_RATIO)
-    assert find_slowness(pair.far, pair) > SLOWNESS_RATIO / 2
+    assert find_slowness(pair.owner_node, pair) > SLOWNESS_RATIO / 2
--- a/wagtaildale/calls/tests/test_transit.py
+++ b/wagtaildale/calls/tests/test_transit.py
@@ -38,12 +38,12 @@
 @pytest.fixture
 def proxy(pair: Pair) -> Iterator[PausableProxy]:
     """The proxy between both nodes of the pair."""
-    record = pair.far.record
+    record = pair.owner_node.record
     created = PausableProxy(
         (record.host, PROXY_PORT),
         target=(record.host, record.owner_port),
     )
-    pair.near.show(structs.replace(record, owner_port=PROXY_PORT))
+    pair.entry_node.show(structs.replace(record, owner_port=PROXY_PORT))
     yield created
     created.close()
 
--- a/wagtaildale/lifecycle/tests/test_owner_stop.py
+++ b/wagtaildale/lifecycle/tests/test_owner_stop.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.pair = Pair()
-        far = self.pair.far
+        far = self.pair.owner_node
         self.stop = Stop(
             calls=far.calls,
             inbox=Inbox(),
@@ -60,7 +60,7 @@
         """Stop as the daemon does, and end."""
         self.stop.begin()
         self.stop.wait(seconds=2 * TIMEOUT_SECONDS)
-        self.pair.far.close()
+        self.pair.owner_node.close()
 
 
 @pytest.fixture
@@ -91,19 +91,19 @@
     that nothing ran. The owner has to stay until its entries have closed.
     """
     pair = leaving.pair
-    owner = (pair.far.record.host, pair.far.record.owner_port)
-    relayed = structs.replace(pair.far.record, host=RELAY_HOST)
+    owner = (pair.owner_node.record.host, pair.owner_node.record.owner_port)
+    relayed = structs.replace(pair.owner_node.record, host=RELAY_HOST)
     relay = Relay((relayed.host, relayed.owner_port), owner=owner)
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other), ThreadPoolExecutor(2) as executor:
-        pair.near.show(relayed)
+        pair.entry_node.show(relayed)
         pair.ask('GET', '/files/1')
         returned = relay.returned_bytes
         relay.pause()
         asked = executor.submit(pair.ask, 'GET', '/files/2')
         wait_until(lambda: relay.held_bytes > 0)
-        pair.near.show(relayed, other)
+        pair.entry_node.show(relayed, other)
         ended = executor.submit(leaving.end_process)
         wait_until(lambda: ended.done() or relay.returned_bytes > returned)
         relay.resume()
@@ -112,7 +112,7 @@
     relay.close()
     assert response.status == 200
     assert json.decode(text)['by'] == 'c'
-    tally = pair.near.tallies.sum_up()['casefiles/lookup']
+    tally = pair.entry_node.tallies.sum_up()['casefiles/lookup']
     assert tally.retried == 0
     assert pair.backend.counts.runs == 1
 
@@ -122,10 +122,10 @@
 ) -> None:
     """A stop is over, and entries still send on their open connections."""
     leaving.pair.ask('GET', '/files/1')
-    assert leaving.pair.far.calls.peer_port.open_connections == 1
+    assert leaving.pair.owner_node.calls.peer_port.open_connections == 1
     leaving.stop.begin()
     assert leaving.stop.wait(seconds=TIMEOUT_SECONDS)
-    assert not leaving.pair.far.calls.peer_port.open_connections
+    assert not leaving.pair.owner_node.calls.peer_port.open_connections
 
 
 def test_peer_that_never_closes_does_not_hold_the_stop(
@@ -136,7 +136,7 @@
     It is given a moment to close; then the owner does, and the bytes that
     the entry still sends bring it the end of the line and no reset.
     """
-    record = leaving.pair.far.record
+    record = leaving.pair.owner_node.record
     address = (record.host, record.owner_port)
     with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
         sock.sendall(PLAIN + encode_frame(Ping()))
@@ -157,11 +157,11 @@
     stays open while such runs are under way, and closes then.
     """
     pair = leaving.pair
-    near = pair.near.record
+    near = pair.entry_node.record
     backend = HostedBackend('a', host=near.host, port=BACKEND_PORT)
-    pair.near.publish(CHAIN_MESH)
-    pair.far.publish(CHAIN_MESH)
-    pair.far.show(near)
+    pair.entry_node.publish(CHAIN_MESH)
+    pair.owner_node.publish(CHAIN_MESH)
+    pair.owner_node.show(near)
     pair.backend.faults.service_ms = 300
     with backend, ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/chain/1')
@@ -173,7 +173,7 @@
     assert backend.counts.runs == 1
     assert json.decode(text)['by'] == 'b'
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(pair.far.entry, TIMEOUT_SECONDS)
+        socket.create_connection(pair.owner_node.entry, TIMEOUT_SECONDS)
 
 
 def test_port_is_not_held_open_until_the_bound(leaving: LeavingOwner) -> None:
@@ -181,8 +181,8 @@
 
     One long run kept the port open, and callers kept coming until the end.
     """
-    leaving.pair.far.hold_slot()
+    leaving.pair.owner_node.hold_slot()
     leaving.stop.begin()
     assert not leaving.stop.wait(seconds=2)
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(leaving.pair.far.entry, TIMEOUT_SECONDS)
+        socket.create_connection(leaving.pair.owner_node.entry, TIMEOUT_SECONDS)
--- a/wagtaildale/lifecycle/tests/test_stop.py
+++ b/wagtaildale/lifecycle/tests/test_stop.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.pair = Pair()
         self.inbox: Inbox[object] = Inbox()
-        near = self.pair.near
+        near = self.pair.entry_node
         self.stop = Stop(
             calls=near.calls,
             inbox=self.inbox,
@@ -73,7 +73,7 @@
     While it is open the stop waits, and the next answer says close.
     """
     connection = HTTPConnection(
-        *stopping.pair.near.entry, timeout=TIMEOUT_SECONDS
+        *stopping.pair.entry_node.entry, timeout=TIMEOUT_SECONDS
     )
     connection.request('GET', '/files/1')
     connection.getresponse().read()
@@ -154,7 +154,7 @@
     request = b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
     answers = b''
     with socket.create_connection(
-        stopping.pair.near.entry, TIMEOUT_SECONDS
+        stopping.pair.entry_node.entry, TIMEOUT_SECONDS
     ) as sock:
         sock.sendall(request)
         wait_until(lambda: stopping.pair.backend.counts.runs == 1)
@@ -186,7 +186,7 @@
     order, and asks the task to tell callers; the answer never comes, and the
     platform starts no other process since this one has not ended.
     """
-    near = stopping.pair.near
+    near = stopping.pair.entry_node
     near.calls.stop()
     wait_until(lambda: is_refused(near.entry))
     stopper = threading.Thread(target=stopping.stop.begin, daemon=True)
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -96,7 +96,7 @@
     )
     metrics.add_gauge(
         'wagtaildale.backend.ends',
-        lambda: node.calls.owner.trials.ends.count,
+        lambda: node.calls.owner.trials.end_detector.count,
         unit='{end}',
         description='Times that the backend server ended under requests.',
     )
--- a/wagtaildale/testing/builders.py
+++ b/wagtaildale/testing/builders.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.admission.gate import Gate
 from wagtaildale.admission.state import make_admission
-from wagtaildale.calls.budgets import RetryShare
+from wagtaildale.calls.budgets import RetryLimits
 from wagtaildale.configuration.compiled import Compiled, compile_mesh
 from wagtaildale.configuration.files import parse_mesh
 from wagtaildale.configuration.model import MeshEntry, Part, Route, WorkClass
@@ -213,7 +213,7 @@
     )
 
 
-def build_retry_share(*, slack: float) -> RetryShare:
+def build_retry_limits(*, slack: float) -> RetryLimits:
     """Build an entry's share of repeats.
 
     Args:
@@ -222,7 +222,7 @@
     Returns:
         A share that earns a repeat with every fifth request.
     """
-    return RetryShare(
+    return RetryLimits(
         tokens_per_request=0.2,
         token_lifetime_seconds=10.0,
         slack=slack,
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -206,9 +206,9 @@
         backend_address=Address(record.host, BACKEND_PORT),
         slots=slots,
         limits=CallerLimits(
-            head_bytes=HEAD_BYTES,
-            body_bytes=BODY_BYTES,
-            connections=CONNECTIONS,
+            max_head_bytes=HEAD_BYTES,
+            max_body_bytes=BODY_BYTES,
+            max_connections=CONNECTIONS,
         ),
         chooser=LeastLoaded(),
         dialect=dialect,
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -29,7 +29,7 @@
 NEAR_SECONDS: Final = 0.001
 FAR_SECONDS: Final = 0.002
 # What a caller is told where a service has no upstream.
-NO_UPSTREAM_SECONDS: Final = 0.25
+NO_UPSTREAM_RETRY_SECONDS: Final = 0.25
 
 
 class Sent(Struct, kw_only=True, eq=False):
@@ -93,7 +93,7 @@
         placed = self._place(spare=spare)
         attempts = self._attempts
         if placed is None:
-            attempts.refusals_left = 0
+            attempts.rejections_left = 0
             placed = self._place(spare=spare)
         if isinstance(placed, Throttled):
             failure = CallFailed(
@@ -105,13 +105,13 @@
         if placed is None:
             failure = CallFailed(
                 Code.no_upstream,
-                retry_after=NO_UPSTREAM_SECONDS,
+                retry_after=NO_UPSTREAM_RETRY_SECONDS,
             )
             self._fail_if_last(failure)
             return
         instance = placed.record.instance
         patient = (
-            not attempts.refusals_left
+            not attempts.rejections_left
             or instance in attempts.tried
             or placed.is_only_candidate
         )
@@ -156,7 +156,7 @@
                 data_centre=self._entry.data_centre,
                 work_class=asked.work_class.name,
                 slack_seconds=asked.due - now,
-                may_wait=bool(attempts.busy and attempts.refusals_left),
+                may_wait=bool(attempts.overloaded and attempts.rejections_left),
                 pass_rank=self._find_need_rank(),
                 is_hedge=spare,
                 was_limited=attempts.was_limited,
@@ -215,9 +215,9 @@
         attempts = self._attempts
         now = self._clock.now
         failure = CallFailed(refused.code, retry_after=refused.retry_after)
-        attempts.note_refusal(sent.server.record.instance, refused.code)
-        may_ask = attempts.take_redirect(failure, now=now)
-        if may_ask or attempts.take_retry(failure, now=now, replayable=True):
+        attempts.note_rejection(sent.server.record.instance, refused.code)
+        may_ask = attempts.try_redirect(failure, now=now)
+        if may_ask or attempts.try_retry(failure, now=now, replayable=True):
             self.attempt()
         else:
             self._fail_if_last(failure)
@@ -230,7 +230,9 @@
         work_class = self._asked.work_class.name
         self._note(sent, Code.ok, run_seconds=seconds)
         self._end(sent)
-        entry.hedge_delays.find(work_class).add_sample(now - sent.since)
+        entry.hedge_delays.find_or_create(work_class).add_sample(
+            now - sent.since
+        )
         if not self._is_over:
             self._note_overtaken()
             self._close()
@@ -275,7 +277,9 @@
 
     def _plan_hedge(self, sent: Sent) -> None:
         within = self._asked.work_class.within * MILLISECONDS
-        clock = self._entry.hedge_delays.find(self._asked.work_class.name)
+        clock = self._entry.hedge_delays.find_or_create(
+            self._asked.work_class.name
+        )
         delay = clock.find_delay(within_ms=within)
         if delay is None or len(self._running) > 1:
             return
@@ -285,7 +289,7 @@
     def _hedge(self, sent: Sent) -> None:
         if self._is_over or self._running != [sent]:
             return
-        if self._has_spare() and self._attempts.take_hedge(now=self._clock.now):
+        if self._has_spare() and self._attempts.try_hedge(now=self._clock.now):
             self.attempt(spare=True)
 
     def _has_spare(self) -> bool:
--- a/wagtaildale/testing/replay/entries.py
+++ b/wagtaildale/testing/replay/entries.py
@@ -12,7 +12,7 @@
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.placement import Placement
 from wagtaildale.routing.statistics import FleetStatistics
-from wagtaildale.testing.builders import build_retry_share
+from wagtaildale.testing.builders import build_retry_limits
 from wagtaildale.testing.replay.calls import ReplayCall
 from wagtaildale.testing.replay.load import LoadClass
 from wagtaildale.types import DataCentre, InstanceId
@@ -134,6 +134,6 @@
         return None
 
     def _find_budget(self, service: str) -> RetryBudget:
-        share = build_retry_share(slack=REPEATS_SLACK)
+        share = build_retry_limits(slack=REPEATS_SLACK)
         new = RetryBudget(share, now=self.mesh.clock.now)
         return self._budgets.setdefault(service, new)
