--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -36,7 +36,14 @@
 
 @final
 class AttemptState(Enum):
-    """Stage of an attempt."""
+    """Stage of an attempt.
+
+    Attributes:
+        reserving: a slot was requested; the request is not sent yet.
+        running: the request is sent, or is the first message to be sent.
+        answering: the response head has arrived, but not the whole body.
+        over: the attempt has ended.
+    """
 
     reserving = 'reserving'
     running = 'running'
@@ -53,7 +60,7 @@
     def request(self) -> OutgoingRequest:
         """The request that the attempt sends."""
 
-    def note_answer(self, attempt: Attempt, answer: AnswerFields) -> None:
+    def note_owner_state(self, attempt: Attempt, answer: AnswerFields) -> None:
         """Record the state that an owner reports with an answer.
 
         Args:
@@ -78,7 +85,7 @@
         """
 
     def on_attempt_silent(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Handle the silence of an owner that was sent the request.
+        """Handle an owner that got the request and sends nothing for a while.
 
         Args:
             attempt: the attempt; it continues.
@@ -106,7 +113,7 @@
         target: bytes,
         headers: HeaderPairs,
         body: RequestBody,
-        reserves: bool,
+        needs_reservation: bool,
     ) -> None:
         """Create the request.
 
@@ -115,17 +122,18 @@
             target: path and query as received.
             headers: headers that are forwarded.
             body: request body.
-            reserves: whether a slot is reserved before the request runs.
+            needs_reservation: whether a slot is reserved before the request
+                runs.
         """
         self.method = method
         self.target = target
         self.headers = headers
         self.body = body
-        self.reserves = reserves
+        self.needs_reservation = needs_reservation
 
 
 class Attempt:
-    """Sends one call to one owner; a ``PeerReceiver``.
+    """Sends the request of a call to one owner; acts as ``PeerReceiver``.
 
     While only a reservation is pending, cancelling is safe: the request has
     not run. The run message is sent once. Any end of the attempt after that
@@ -137,7 +145,8 @@
         state: stage of the attempt.
         started_at: start time, seconds on the monotonic clock.
         is_run_sent: whether the run message was sent.
-        was_silent: whether the owner has sent nothing for a while.
+        was_silent: whether the owner has been silent for a while since the
+            run message; stays set when it sends something again.
     """
 
     def __init__(
@@ -163,12 +172,12 @@
         self._peer = peer
         self._number = peer.open_call(self)
         self._window = SendWindow()
-        self._has_sent_all = False
+        self._is_body_sent = False
 
     def start(self) -> None:
         """Send the first message."""
         self.target.upstream.note_begun(read_clock())
-        if self._call.request.reserves:
+        if self._call.request.needs_reservation:
             self.state = AttemptState.reserving
             self._peer.send(Reserve(self._number, self.target.fields))
         else:
@@ -183,13 +192,13 @@
         body = self._call.request.body
         if self.state is not AttemptState.running or body.is_replayable:
             return
-        while self._window.is_open and not self._has_sent_all:
+        while self._window.is_open and not self._is_body_sent:
             piece = body.take()
-            self._has_sent_all = body.is_exhausted
-            if not piece and not self._has_sent_all:
+            self._is_body_sent = body.is_exhausted
+            if not piece and not self._is_body_sent:
                 return
             self._window.note_sent(len(piece))
-            more = not self._has_sent_all
+            more = not self._is_body_sent
             self._peer.send(BodyPiece(self._number, piece, more))
 
     def send_credit(self, size: int) -> None:
@@ -217,9 +226,9 @@
         """
         if self.state is not AttemptState.reserving:
             return
-        if not self._matches_attempt(frame.answer):
+        if not self._accept_answer(frame.answer):
             return
-        self._call.note_answer(self, frame.answer)
+        self._call.note_owner_state(self, frame.answer)
         # A lease is valid only in the process that granted it, so the run
         # message names the incarnation.
         self._run(
@@ -227,7 +236,7 @@
                 self.target.fields,
                 lease=frame.answer.lease,
                 incarnation=frame.answer.incarnation,
-                remaining_ms=self._find_remaining_ms(),
+                remaining_ms=self._compute_remaining_ms(),
             ),
         )
 
@@ -237,10 +246,10 @@
         Args:
             frame: message with the failure and the outcome.
         """
-        if not self._matches_attempt(frame.answer):
+        if not self._accept_answer(frame.answer):
             return
         answer = frame.answer
-        self._call.note_answer(self, answer)
+        self._call.note_owner_state(self, answer)
         failure = CallFailed(
             answer.code,
             outcome=answer.outcome,
@@ -259,9 +268,9 @@
         """
         if self.state is not AttemptState.running:
             return
-        if not self._matches_attempt(frame.answer):
+        if not self._accept_answer(frame.answer):
             return
-        self._call.note_answer(self, frame.answer)
+        self._call.note_owner_state(self, frame.answer)
         self.state = AttemptState.answering
         if not frame.more:
             self._end(cancelled=False)
@@ -279,7 +288,7 @@
             self._end(cancelled=False)
         self._call.on_piece(self, frame)
 
-    def on_taken(self, frame: WindowUpdate) -> None:
+    def on_window_update(self, frame: WindowUpdate) -> None:
         """Send more of the request body.
 
         Args:
@@ -289,7 +298,7 @@
         self._window.add_credit(frame.count)
         self.send_body()
 
-    def on_cut(self) -> None:
+    def on_response_aborted(self) -> None:
         """Fail the attempt: the response ended before it was complete."""
         failure = CallFailed(Code.backend_cut, outcome=Outcome.unknown)
         self._fail(failure, cancelled=False)
@@ -310,7 +319,7 @@
         elif read_clock() >= self._call.deadline:
             # The call's own timeout no longer applies once a response has
             # started. If the owner hangs then, nothing else would end the
-            # call, or a stop of the node that waits for it.
+            # call, and a node that stops would wait for it without limit.
             self._fail(failure, cancelled=True)
 
     def on_peer_lost(self, failure: CallFailed) -> None:
@@ -329,7 +338,7 @@
         self.is_run_sent = True
         body = request.body.take()
         self._window.note_sent(len(body))
-        self._has_sent_all = (
+        self._is_body_sent = (
             request.body.is_replayable or request.body.is_exhausted
         )
         self._peer.send(
@@ -340,13 +349,13 @@
                 request.target,
                 request.headers,
                 body,
-                more=not self._has_sent_all,
+                more=not self._is_body_sent,
                 length=request.body.length,
             ),
         )
         self.send_body()
 
-    def _matches_attempt(self, answer: AnswerFields) -> bool:
+    def _accept_answer(self, answer: AnswerFields) -> bool:
         # Answers may arrive late or mixed up. One is accepted only if it names
         # this request and this attempt, so that no caller gets the response
         # to another caller's request.
@@ -362,7 +371,7 @@
         self._fail(failure, cancelled=True)
         return False
 
-    def _find_remaining_ms(self) -> int:
+    def _compute_remaining_ms(self) -> int:
         remaining = self._call.deadline - read_clock()
         return max(0, int(remaining * MILLISECONDS))
 
@@ -415,10 +424,12 @@
 
 
 @dispatch_frame.register
-def _dispatch_taken(frame: WindowUpdate, attempt: Attempt) -> None:
-    attempt.on_taken(frame)
+def _dispatch_window_update(frame: WindowUpdate, attempt: Attempt) -> None:
+    attempt.on_window_update(frame)
 
 
 @dispatch_frame.register
-def _dispatch_cut(frame: ResponseAborted, attempt: Attempt) -> None:
-    attempt.on_cut()
+def _dispatch_response_aborted(
+    frame: ResponseAborted, attempt: Attempt
+) -> None:
+    attempt.on_response_aborted()
--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -51,7 +51,18 @@
 
 @final
 class Obstacle(Enum):
-    """Reason why a failed call is not retried."""
+    """Reason why a failed call is not retried.
+
+    Attributes:
+        none: the call is retried, or has not failed.
+        body_given: the body was streamed and cannot be sent again.
+        past_deadline: the deadline of the call has passed.
+        final_failure: the result code does not allow a retry.
+        may_have_run: the request is not idempotent and may have run.
+        no_retries_left: the call has used up its retries.
+        budget_spent: the retry budget of the service is used up.
+        ends_servers: several servers crashed while running the request.
+    """
 
     none = ''
     body_given = 'body-given'
@@ -81,8 +92,8 @@
         was_limited: whether an upstream rejected the call because of its
             server's rate limit.
         obstacle: reason why the last failure was not retried.
-        crash_count: number of servers that crashed in succession while running the
-            request.
+        crash_count: number of servers that crashed in succession while
+            running the request.
     """
 
     idempotent: bool
@@ -112,7 +123,7 @@
         """List the upstreams that the next attempt avoids.
 
         Returns:
-            Upstreams already tried. Once no refusals are left, overloaded
+            Upstreams already tried. Once no rejections are left, overloaded
             ones are allowed again: the request then waits at one of them.
         """
         if self.rejections_left:
@@ -145,14 +156,14 @@
         )
         if self.obstacle is not Obstacle.none:
             return False
-        if _has_arrived(failure) and not self.budget.spend(now=now):
+        if _costs_token(failure) and not self.budget.spend(now=now):
             self.obstacle = Obstacle.budget_spent
             return False
         self.retries_left -= 1
         return True
 
     def try_redirect(self, failure: CallFailed, *, now: float) -> bool:
-        """Use up a refusal after an owner rejected the call, if allowed.
+        """Allow one redirect after an owner rejected the call, and count it.
 
         If no backend server received the request, sending it to another
         owner repeats no work and costs no retry.
@@ -171,8 +182,8 @@
             or now >= self.deadline
         ):
             return False
-        # Replaced servers reject requests that name their predecessors.
-        # Redirecting those would send each request to all of them.
+        # A replaced server rejects requests that name the instance before it.
+        # If such requests were redirected, each could visit every upstream.
         if failure.was_rejected_by_server or not self.rejections_left:
             return False
         self.rejections_left -= 1
@@ -185,11 +196,12 @@
             at: time at which the hedge would start, seconds.
 
         Returns:
-            Whether the request may run twice, a retry is left and the hedge
+            Whether the request may run twice, a retry is left, no server is
+            known to have crashed while running the request, and the hedge
             would start before the deadline.
         """
-        left = self.retries_left > 0 and not self.crash_count
-        return self.idempotent and left and at < self.deadline
+        is_allowed = self.retries_left > 0 and not self.crash_count
+        return self.idempotent and is_allowed and at < self.deadline
 
     def try_hedge(self, *, now: float) -> bool:
         """Spend a retry and a budget token on a hedge, if one is allowed.
@@ -215,13 +227,13 @@
         now: float,
         replayable: bool,
     ) -> Obstacle:
-        ran = failure.outcome is not Outcome.not_run
+        may_have_run = failure.outcome is not Outcome.not_run
         checks = (
             (not replayable, Obstacle.body_given),
             (now >= self.deadline, Obstacle.past_deadline),
             (failure.code not in RETRYABLE_CODES, Obstacle.final_failure),
             # A non-idempotent request that may have run is never retried.
-            (ran and not self.idempotent, Obstacle.may_have_run),
+            (may_have_run and not self.idempotent, Obstacle.may_have_run),
             # Keeps a request that crashes every server that runs it from
             # being sent to the next one before other nodes know of it.
             (self.crash_count >= TRIAL_ENDS, Obstacle.ends_servers),
@@ -231,9 +243,9 @@
         return next(found, Obstacle.none)
 
 
-def _has_arrived(failure: CallFailed) -> bool:
+def _costs_token(failure: CallFailed) -> bool:
     # A backend server that received and rejected the request spent work on it,
-    # and operators count the retry against their limits.
+    # so the operators' limit on retries covers the retry.
     never_ran = failure.outcome is Outcome.not_run
     return (
         failure.was_rejected_by_server
@@ -253,7 +265,11 @@
         ``outcome_unknown`` if a non-idempotent request may have run,
         otherwise the code of the failure.
     """
-    lost = (
+    may_have_run = (
         failure.outcome is Outcome.unknown and failure.code in RETRYABLE_CODES
     )
-    return Code.outcome_unknown if lost and not idempotent else failure.code
+    return (
+        Code.outcome_unknown
+        if may_have_run and not idempotent
+        else failure.code
+    )
--- a/wagtaildale/calls/bodies.py
+++ b/wagtaildale/calls/bodies.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, exchange: Exchange, *, limit: int) -> None:
-        """Take what has arrived with the head.
+        """Read the bytes of the body that arrived with the head.
 
         Args:
             exchange: exchange of the request.
@@ -62,11 +62,11 @@
 
     @property
     def length(self) -> int:
-        """Announced length of the body in bytes, or -1."""
+        """Announced length of the body, bytes, or ``UNKNOWN_LENGTH``."""
         return self._exchange.message.length
 
     def read(self) -> None:
-        """Take what has arrived since the last call.
+        """Read the bytes that arrived since the last call.
 
         Raises:
             CallFailed: if the body is above the limit.
@@ -90,10 +90,11 @@
         return bytes(self._buffer[:MAX_PIECE_BYTES])
 
     def take(self) -> bytes:
-        """Return what is to be sent next.
+        """Return the bytes to be sent next.
 
         Returns:
-            The whole body if it can be sent again, otherwise the next piece.
+            The whole body, which is kept, if it can be sent again; otherwise
+            the next piece, which is removed.
         """
         if self.is_replayable:
             return bytes(self._buffer)
--- a/wagtaildale/calls/budgets.py
+++ b/wagtaildale/calls/budgets.py
@@ -18,21 +18,21 @@
 if TYPE_CHECKING:
     from wagtaildale.settings.model import BoundSettings
 
-# Part of the operators' retry share that entries spend. The rest is left for
+# Part of the operators' retry share that entries may spend. The rest is for
 # retries that no entry recognises: if a request is retried, the calls that it
 # makes count as retries too, at each service that it calls.
-SHARE_USED: Final = 0.5
+SPENDABLE_SHARE: Final = 0.5
 # Lifetime of earned tokens, as a part of the window. Tokens that are earned
-# before a window and spent within it then stay within the unused part of the
-# share.
+# before a window and spent within it are then at most a tenth of the share (0.2
+# x 0.5), less than the part that entries leave unspent.
 TOKEN_LIFETIME_SHARE: Final = 0.2
-# Part of the operators' slack that entries spend. The slack is renewed once
+# Part of the operators' slack that entries may spend. The slack is renewed once
 # per window, so it can be spent twice within some windows.
-SLACK_USED: Final = 0.3
+SPENDABLE_SLACK_SHARE: Final = 0.3
 
 
 class RetryLimits(Struct, frozen=True, kw_only=True):
-    """Retries and hedges that one entry may send to a service.
+    """Limits on the retries and hedges that one entry sends to a service.
 
     Attributes:
         tokens_per_request: tokens earned by each request; one token pays for
@@ -49,20 +49,20 @@
 
 
 def compute_retry_limits(bounds: BoundSettings, *, entries: int) -> RetryLimits:
-    """Compute one entry's share of the retries that operators allow.
+    """Compute the limits on one entry from those on all entries.
 
     Args:
         bounds: limits for all entries together.
         entries: number of entries.
 
     Returns:
-        The share of one entry.
+        The limits on one entry.
     """
     return RetryLimits(
-        tokens_per_request=SHARE_USED * bounds.retry_share,
+        tokens_per_request=SPENDABLE_SHARE * bounds.retry_share,
         token_lifetime_seconds=TOKEN_LIFETIME_SHARE
         * bounds.retry_window_seconds,
-        slack=SLACK_USED * bounds.retry_slack / max(1, entries),
+        slack=SPENDABLE_SLACK_SHARE * bounds.retry_slack / max(1, entries),
         slack_period_seconds=bounds.retry_window_seconds,
     )
 
@@ -70,9 +70,9 @@
 class RetryBudget:
     """Token budget for an entry's retries and hedges to one service.
 
-    Keeps retries from amplifying a brownout: calls fail, and their retries
-    would double the load that made them fail. In any window there are never
-    more retries than a share of the requests plus the slack.
+    Limits retries so that they do not add to the overload that made the calls
+    fail; with a retry for each, they would double it. In any window there are
+    never more retries than a share of the requests plus the slack.
 
     The share of one entry may be far less than one token. So the initial
     fraction of a token and the rounding of the slack are random, and all
@@ -96,7 +96,7 @@
         self._fraction = random.random()
         self._slack = 0
         self._slack_until = now
-        self._expire_tokens(now)
+        self._update_tokens(now)
 
     @property
     def tokens(self) -> int:
@@ -109,7 +109,7 @@
         Args:
             now: current time, seconds.
         """
-        self._expire_tokens(now)
+        self._update_tokens(now)
         self._fraction += self.limits.tokens_per_request
         if self._fraction >= 1:
             self._fraction -= 1
@@ -124,7 +124,7 @@
         Returns:
             Whether a token was left.
         """
-        self._expire_tokens(now)
+        self._update_tokens(now)
         if self._expiries:
             self._expiries.popleft()
         elif self._slack:
@@ -133,7 +133,7 @@
             return False
         return True
 
-    def _expire_tokens(self, now: float) -> None:
+    def _update_tokens(self, now: float) -> None:
         while self._expiries and self._expiries[0] < now:
             self._expiries.popleft()
         if self._slack_until <= now:
--- a/wagtaildale/calls/caller_timeouts.py
+++ b/wagtaildale/calls/caller_timeouts.py
@@ -2,17 +2,17 @@
 
 A rejected caller retries with less time left, and the latency target counts
 from its first try. The longest timeout that callers of a class send is taken
-as the timeout of a first try; the difference to it has passed before the
-request arrived.
+as the timeout of a first try; a caller that sends a shorter one has already
+waited for the difference.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-# Tolerates a few milliseconds for callers' clocks and the network path to the
-# entry.
-SLACK_MS: Final = 10
+# Differences up to this are taken as jitter of callers' clocks and of the
+# network path to the entry.
+TOLERANCE_MS: Final = 10
 # Factor by which the longest timeout decays with each request, so that it
 # follows shorter timeouts of a class's callers within a few hundred requests.
 DECAY: Final = 0.999
@@ -33,16 +33,16 @@
         """Create an estimator without observations."""
         self._longest: dict[str, float] = {}
 
-    def estimate_elapsed_ms(self, work_class: str, given_ms: int) -> int:
+    def estimate_elapsed_ms(self, work_class: str, timeout_ms: int) -> int:
         """Estimate the time since the first try of a request's caller.
 
         Args:
             work_class: qualified name of the class, ``service/class``.
-            given_ms: time that the caller still waits, milliseconds.
+            timeout_ms: time that the caller still waits, milliseconds.
 
         Returns:
             Estimated time since the first try, milliseconds.
         """
         longest = self._longest.get(work_class, 0) * DECAY
-        self._longest[work_class] = max(longest, given_ms)
-        return max(0, round(longest) - given_ms - SLACK_MS)
+        self._longest[work_class] = max(longest, timeout_ms)
+        return max(0, round(longest) - timeout_ms - TOLERANCE_MS)
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -42,8 +42,10 @@
     Attributes:
         max_head_bytes: largest request head.
         max_body_bytes: largest request body.
-        head_timeout_seconds: longest time from the first byte of a head to its last.
-        idle_timeout_seconds: how long a connection may stay open without a request.
+        head_timeout_seconds: longest time from the first byte of a head to its
+            last.
+        idle_timeout_seconds: longest time that a connection stays open without
+            a request.
         max_connections: largest number of open connections.
     """
 
@@ -61,7 +63,8 @@
         loop: event loop of the connections.
         request_handler: answers the requests.
         read_limits: returns the limits that are in force.
-        is_draining: whether connections close once their requests are answered.
+        is_draining: whether connections close once their requests are
+            answered.
     """
 
     def __init__(
@@ -92,7 +95,7 @@
 
     @property
     def active_calls(self) -> int:
-        """Number of requests in progress, with unsent answers counted."""
+        """Number of requests in progress, with unsent responses counted."""
         return sum(each.active_calls for each in tuple(self._connections))
 
     @property
@@ -120,7 +123,7 @@
         """Close each connection once its requests are answered.
 
         New connections are still accepted: a caller that does not know yet that
-        the node leaves gets an answer, and is told to close the connection.
+        the node leaves gets a response that asks it to close the connection.
         """
         self.is_draining = True
 
@@ -131,9 +134,9 @@
     def close_idle(self) -> None:
         """Close connections that were answered and have no open request.
 
-        Without this, while the node waits for a long answer to one caller,
-        another one would send a request on its open connection and be cut off
-        when the stop ends.
+        Without this, while the node waits for a long response to one caller,
+        another one would send a request on its open connection, and the
+        connection would close without a response when the stop ends.
         """
         for connection in tuple(self._connections):
             connection.close_idle()
@@ -175,7 +178,7 @@
     """
 
     def __init__(self, port: CallerPort, sock: socket.socket) -> None:
-        """Take over an accepted connection.
+        """Create the connection for an accepted socket.
 
         Args:
             port: port that accepted it.
@@ -200,7 +203,7 @@
         """Number of requests in progress.
 
         Unsent output counts as one request: otherwise the node would consider a
-        long answer to a slow reader done, and end before it is sent.
+        long response to a slow reader done, and end before it is sent.
         """
         return len(self._exchanges) or int(self._stream.unsent > 0)
 
@@ -210,10 +213,10 @@
         return self._stream.is_full
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Tell whether a response is the last one of the connection.
+        """Check whether a response is the last one of the connection.
 
-        The connection stays open for requests that follow: they are in
-        progress, and closing would lose their answers.
+        It is not if later requests are already in progress: closing would lose
+        their responses.
 
         Args:
             exchange: exchange whose response is written.
@@ -222,9 +225,9 @@
             Whether the response tells the caller that the connection closes.
         """
         message = exchange.message
-        closing = self._port.is_draining or not message.keep_alive
+        is_closing = self._port.is_draining or not message.keep_alive
         return self._exchanges[-1] is exchange and (
-            closing or not message.is_complete or self._failure is not None
+            is_closing or not message.is_complete or self._failure is not None
         )
 
     def set_reading(self, *, enabled: bool) -> None:
@@ -279,7 +282,7 @@
         """Refuse a head that takes too long; close an idle connection.
 
         Args:
-            now: time on the clock, in seconds.
+            now: current time, seconds on the monotonic clock.
         """
         if self.active_calls or self._failure is not None:
             return
@@ -293,7 +296,7 @@
     def close_idle(self) -> None:
         """Close if no request is in progress.
 
-        A connection without any answer so far is kept: the caller has just
+        A connection without any response so far is kept: the caller has just
         connected and is about to send its request.
         """
         is_active = self.active_calls or self._failure is not None
@@ -404,7 +407,7 @@
             self._incoming.receiver.on_body()
 
     def _is_ending(self) -> bool:
-        # Requests that follow one that asks to close, or one whose answer has
+        # Requests that follow one that asks to close, or one whose response has
         # announced the close, are ignored. While the node drains, no further
         # pipelined requests are started: a caller that always has another one
         # in progress would never let the node stop.
@@ -436,7 +439,7 @@
         if aborted:
             self._stream.close()
         elif self._stream.unsent:
-            # Closing now would cut off the answer to a slow reader. The
+            # Closing now would cut off the response to a slow reader. The
             # connection closes once all of it is sent.
             self._drop_exchanges()
             return
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -23,7 +23,9 @@
 
 
 class Entry:
-    """Answers callers' requests.
+    """Forwards callers' requests to upstreams.
+
+    Holds the retry budgets and hedge delays that the calls share.
 
     Attributes:
         parts: components of the node that the entry uses.
@@ -72,7 +74,7 @@
                     record,
                 )
                 for record in self.targets.list_connected_upstreams()
-                if self._is_wanted(record, now)
+                if self._needs_connection(record, now)
             },
         )
         limits = self.parts.read_retry_limits()
@@ -98,8 +100,8 @@
             self._budgets[service] = budget
         return budget
 
-    def _is_wanted(self, record: InstanceRecord, now: float) -> bool:
-        # A leaving owner would only close a new connection.
+    def _needs_connection(self, record: InstanceRecord, now: float) -> bool:
+        # A leaving owner would close a new connection at once.
         upstream = self.parts.placement.statistics.find(
             record.instance, now=now
         )
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -30,7 +30,7 @@
 
 
 class EntryCall:
-    """Answers one request by way of its attempts.
+    """Forwards one request in one or more attempts and answers its caller.
 
     Acts as ``ExchangeReceiver`` for the caller and as ``AttemptReceiver``
     for the attempts.
@@ -53,7 +53,7 @@
         self._running: list[Attempt] = []
         self._alarms: list[Alarm] = []
         self._uncredited_bytes = 0
-        self._has_run = False
+        self._may_have_run = False
         self._error_response: tuple[Attempt, Answered] | None = None
         self._status = 0
         self._is_over = False
@@ -117,12 +117,12 @@
         )
 
     def on_writable(self) -> None:
-        """Send credit: the caller accepted what was written."""
+        """Let the upstream send more: the caller has read what was written."""
         if self._uncredited_bytes and self._running:
             self._running[0].send_credit(self._uncredited_bytes)
             self._uncredited_bytes = 0
 
-    def note_answer(self, attempt: Attempt, answer: AnswerFields) -> None:
+    def note_owner_state(self, attempt: Attempt, answer: AnswerFields) -> None:
         """Record the state an owner reports; see ``AttemptReceiver``.
 
         Args:
@@ -151,7 +151,7 @@
             attempt.target.fields.work_class,
         )
         hedge_delay.add_sample(read_clock() - attempt.started_at)
-        self._has_run = True
+        self._may_have_run = True
         if not self._retry_after_error(attempt, frame):
             self._respond(attempt, frame)
 
@@ -168,7 +168,7 @@
         self._credit_or_finish(attempt, len(frame.body), more=frame.more)
 
     def on_attempt_silent(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Start an attempt beside a silent one; see ``AttemptReceiver``.
+        """Start another attempt beside a silent one; see ``AttemptReceiver``.
 
         If no other upstream or no retry is left, the call keeps waiting:
         silence alone does not cancel a request that its server may be
@@ -201,7 +201,7 @@
         self._entry.targets.note_failure(attempt.target, failure)
         self._drop(attempt)
         if attempt.is_run_sent and failure.outcome is not Outcome.not_run:
-            self._has_run = True
+            self._may_have_run = True
         if self._exchange.has_response_begun:
             # The connection closes before the end of the body. HTTP treats
             # that as an error, so the caller never takes a truncated
@@ -210,7 +210,7 @@
             self._report.note_failure(failure)
             self._exchange.abort()
         elif all(other.was_silent for other in self._running):
-            self._retry(attempt, failure)
+            self._redirect_retry_or_fail(attempt, failure)
 
     # Routing and attempts
 
@@ -237,7 +237,7 @@
             body=RequestBody(
                 exchange, limit=parts.read_limits().max_body_bytes
             ),
-            reserves=parts.reserves and not work_class.idempotent,
+            needs_reservation=parts.reserves and not work_class.idempotent,
         )
 
     def _start_if_ready(self) -> None:
@@ -246,23 +246,23 @@
         elif self._exchange.message.find(EXPECT_FIELD) is not None:
             self._exchange.send_continue()
 
-    def _start_attempt(self, *, spare: bool = False) -> None:
+    def _start_attempt(self, *, is_hedge: bool = False) -> None:
         try:
-            attempt = self._make_attempt(spare=spare)
+            attempt = self._make_attempt(is_hedge=is_hedge)
         except CallFailed as failure:
-            self._fail_if_last(failure)
+            self._fail_unless_attempts_run(failure)
             return
         self._running.append(attempt)
         self._report.note_attempt(attempt.target)
         self._plan_hedge(attempt)
         attempt.start()
 
-    def _make_attempt(self, *, spare: bool) -> Attempt:
+    def _make_attempt(self, *, is_hedge: bool) -> Attempt:
         targets = self._entry.targets
         target = targets.choose(
             self.routed,
             self.attempts,
-            spare=spare,
+            is_hedge=is_hedge,
             suspect=find_suspect(
                 self._entry.parts,
                 self.routed,
@@ -272,7 +272,9 @@
         )
         return Attempt(self, target=target, peer=targets.find_peer(target))
 
-    def _retry(self, attempt: Attempt, failure: CallFailed) -> None:
+    def _redirect_retry_or_fail(
+        self, attempt: Attempt, failure: CallFailed
+    ) -> None:
         now = read_clock()
         replayable = self.request.body.is_replayable
         attempts = self.attempts
@@ -288,7 +290,7 @@
                 failure, idempotent=attempts.idempotent
             )
             mark_harmful(failure, attempts)
-            self._fail_if_last(failure)
+            self._fail_unless_attempts_run(failure)
 
     def _try_retry(self, failure: CallFailed) -> bool:
         return self.attempts.try_retry(
@@ -345,7 +347,7 @@
         if not self.attempts.try_hedge(now=read_clock()):
             return
         self._report.note_hedge()
-        self._start_attempt(spare=True)
+        self._start_attempt(is_hedge=True)
 
     def _credit_or_finish(
         self, attempt: Attempt, size: int, *, more: bool
@@ -392,7 +394,7 @@
         )
         self._fail(failure)
 
-    def _fail_if_last(self, failure: CallFailed) -> None:
+    def _fail_unless_attempts_run(self, failure: CallFailed) -> None:
         # An attempt that is still running, even a silent one, may succeed.
         if not self._running:
             self._fail(failure)
@@ -403,7 +405,7 @@
         if self._error_response is not None:
             self._respond(*self._error_response)
             return
-        if self._has_run and failure.outcome is Outcome.not_run:
+        if self._may_have_run and failure.outcome is Outcome.not_run:
             # The request may have run at one upstream and lost its response
             # before the next upstream rejected it. "Not run" is true only of
             # the last one, so the caller must not get it.
--- a/wagtaildale/calls/error_responses.py
+++ b/wagtaildale/calls/error_responses.py
@@ -44,7 +44,8 @@
 # These statuses leave open whether the request ran. If it is known that it did
 # not, ``DEFAULT_STATUS`` is sent instead.
 AMBIGUOUS_STATUSES: Final = frozenset((502, 504))
-RETRYABLE_CODES: Final = frozenset(
+# Failures whose response may have a ``Retry-After`` header.
+RETRY_AFTER_CODES: Final = frozenset(
     (
         Code.no_configuration,
         Code.no_upstream,
@@ -72,7 +73,7 @@
         status: HTTP status.
         code: numbered result code; docs/errors.md explains each.
         outcome: whether the request ran, as far as is known.
-        detail: further description for people.
+        detail: further explanation for callers and operators.
     """
 
     title: str
@@ -89,7 +90,8 @@
         failure: reason, and whether the request may have run.
 
     Returns:
-        The status; 503 instead of 502 and 504 if the request did not run.
+        The status; 503 instead of 502 and 504 if the request did not run, and
+        502 instead of 503 if that is unknown.
     """
     status = STATUS_BY_CODE.get(failure.code, DEFAULT_STATUS)
     if status in AMBIGUOUS_STATUSES and failure.outcome is Outcome.not_run:
@@ -126,7 +128,7 @@
     )
     headers = [(b'content-type', b'application/problem+json'), *extra_headers]
     may_retry_later = status == DEFAULT_STATUS or failure.retry_after > 0
-    if failure.code in RETRYABLE_CODES and may_retry_later:
+    if failure.code in RETRY_AFTER_CODES and may_retry_later:
         headers.append((b'retry-after', _format_retry_after(failure, dialect)))
     head = ResponseHead(status=status, headers=headers)
     return head, json.encode(problem)
--- a/wagtaildale/calls/exchanges.py
+++ b/wagtaildale/calls/exchanges.py
@@ -116,10 +116,10 @@
             self._send(self._writer.add(piece, more=more))
 
     def abort(self) -> None:
-        """Cut the response off, visibly for the caller.
+        """End the response before it is complete.
 
-        The connection closes, so that the caller cannot take the response for a
-        whole one.
+        The connection closes, so that the caller never takes a truncated
+        response for a complete one.
         """
         self.is_done = True
         self.is_aborted = True
--- a/wagtaildale/calls/failures.py
+++ b/wagtaildale/calls/failures.py
@@ -1,8 +1,9 @@
 """The exception that carries a failed call's code to its response.
 
 A call may fail in any of a dozen socket calls. One exception type carries the
-numbered code to the one place that builds the response; returning a
-``Result`` from each socket call would cost more than the socket call itself.
+numbered code to the one place that builds the response. Socket calls raise it
+too, so that no ``Result`` is checked after each of them, which would cost more
+than the call itself.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
     Attributes:
         code: numbered result code.
         outcome: whether the request ran, as far as is known.
-        detail: further explanation for operators.
+        detail: further explanation for callers and operators.
         retry_after: seconds after which a retry may succeed; 0 if unknown.
-        was_rejected_by_server: whether a backend server received the request and
-            rejected it.
-        crash_count: number of servers that crashed in succession while running the
-            request.
+        was_rejected_by_server: whether a backend server received the request
+            and rejected it.
+        crash_count: number of servers that crashed in succession while
+            running the request.
     """
 
     def __init__(
@@ -44,11 +45,11 @@
         Args:
             code: numbered result code.
             outcome: whether the request ran, as far as is known.
-            detail: further explanation for operators.
+            detail: further explanation for callers and operators.
             retry_after: seconds after which a retry may succeed; 0 if
                 unknown.
-            was_rejected_by_server: whether a backend server received the request and
-                rejected it.
+            was_rejected_by_server: whether a backend server received the
+                request and rejected it.
         """
         super().__init__(code.name)
         self.code = code
--- a/wagtaildale/calls/hedges.py
+++ b/wagtaildale/calls/hedges.py
@@ -2,8 +2,7 @@
 
 The delay follows the round-trip time estimator of TCP: smoothed time plus
 four times the mean deviation. MONET (Andersen et al., NSDI 2005, section
-2.2.2) paces its additional attempts the same way. The measurement that
-supports this choice is in docs/design/calls.md.
+2.2.2) paces its additional attempts the same way. See docs/design/calls.md.
 """
 
 from __future__ import annotations
@@ -11,9 +10,11 @@
 from math import inf
 from typing import Final
 
-GAIN: Final = 0.125
+# Gains and factor of the estimator are those of RFC 6298.
+SMOOTHING_GAIN: Final = 0.125
 DEVIATION_GAIN: Final = 0.25
 DEVIATION_FACTOR: Final = 4
+# Lower limit of the delay, and samples that are needed before any hedge.
 MIN_DELAY_SECONDS: Final = 0.002
 MIN_SAMPLES: Final = 20
 MILLISECONDS: Final = 1000
@@ -40,11 +41,12 @@
         """Add the response time of one attempt.
 
         Args:
-            seconds: time from sending the request to the response head.
+            seconds: time from the start of the attempt, which includes the
+                wait for a reservation, to the response head.
         """
         if self._samples:
             error = seconds - self._smoothed
-            self._smoothed += GAIN * error
+            self._smoothed += SMOOTHING_GAIN * error
             deviation_error = abs(error) - self._deviation
             self._deviation += DEVIATION_GAIN * deviation_error
         else:
--- a/wagtaildale/calls/parsing.py
+++ b/wagtaildale/calls/parsing.py
@@ -230,5 +230,7 @@
             self._messages.pop()
             raise CallFailed(
                 Code.request_too_large,
-                detail=f'head exceeds the limit of {self._max_head_bytes} bytes',
+                detail=(
+                    f'head exceeds the limit of {self._max_head_bytes} bytes'
+                ),
             )
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -97,7 +97,8 @@
             fields: fields of the call.
             answer: response as far as it has arrived.
             more: whether more of the body follows.
-            length: announced length of the body in bytes, or -1.
+            length: announced length of the body, bytes, or
+                ``UNKNOWN_LENGTH``.
         """
         self._channel.reply(
             Answered(
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -43,17 +43,17 @@
         self._class_name = NO_CLASS
         self._request_id = ''
         self._version = NO_VERSION
-        self._target_seconds = float(0)
+        self._latency_target_seconds = float(0)
         self._retries = 0
         self._redirects = 0
-        self._attempts: list[str] = []
+        self._upstreams: list[str] = []
         self._hedges = 0
         self._code = Code.ok
         self._outcome = Outcome.answered
         self._answer: AnswerFields | None = None
 
     def note_routed(self, routed: RoutedCall) -> None:
-        """Record the request's id and its class.
+        """Record the id, class, configuration version and latency target.
 
         Args:
             routed: the call with its route and class.
@@ -62,7 +62,7 @@
         self._class_name = f'{routed.match.service}/{work_class.name}'
         self._request_id = routed.request_id
         self._version = routed.view.version
-        self._target_seconds = work_class.within_ms / MILLISECONDS
+        self._latency_target_seconds = work_class.within_ms / MILLISECONDS
 
     def note_retry(self, failure: CallFailed) -> None:
         """Record that the call is retried.
@@ -90,8 +90,8 @@
         """
         fields = target.fields
         upstream = target.upstream
-        self._attempts.append(fields.instance)
-        if len(self._attempts) == 1:
+        self._upstreams.append(fields.instance)
+        if len(self._upstreams) == 1:
             # Nearly every call has a single attempt, and the event of its
             # end names the upstream.
             return
@@ -170,7 +170,7 @@
             request=self._request_id,
             inputs={
                 'status': status,
-                'upstreams': ' '.join(self._attempts),
+                'upstreams': ' '.join(self._upstreams),
                 'took_ms': self._measure_elapsed_ms(),
                 'backend_ms': round(answer.backend_us / MICROSECONDS_PER_MS)
                 if answer
@@ -186,19 +186,20 @@
             Headers with the outcome, the result code and the time spent at
             each step.
         """
-        total = (read_clock() - self._started_at) * MILLISECONDS
-        timing = f'entry;dur={total:.2f}'
-        node = ''
+        total_ms = (read_clock() - self._started_at) * MILLISECONDS
+        timing = f'entry;dur={total_ms:.2f}'
+        instance = ''
         if self._answer is not None:
-            owner = self._answer.owner_us / MICROSECONDS_PER_MS
-            backend = self._answer.backend_us / MICROSECONDS_PER_MS
+            owner_ms = self._answer.owner_us / MICROSECONDS_PER_MS
+            backend_ms = self._answer.backend_us / MICROSECONDS_PER_MS
             timing = (
-                f'{timing}, owner;dur={owner:.2f}, backend;dur={backend:.2f}'
+                f'{timing}, owner;dur={owner_ms:.2f}, '
+                f'backend;dur={backend_ms:.2f}'
             )
-            node = self._answer.instance
+            instance = self._answer.instance
         outcome = f'{self._outcome.value}; code={self._code.value}'
-        if node:
-            outcome = f'{outcome}; node={node}'
+        if instance:
+            outcome = f'{outcome}; node={instance}'
         return (
             (b'wagtaildale-outcome', outcome.encode()),
             (b'server-timing', timing.encode()),
@@ -219,7 +220,7 @@
             request=self._request_id,
             inputs={
                 'outcome': failure.outcome.value,
-                'upstreams': ' '.join(self._attempts),
+                'upstreams': ' '.join(self._upstreams),
                 'took_ms': self._measure_elapsed_ms(),
                 'retry_ms': round(failure.retry_after * MILLISECONDS),
                 'not_retried': obstacle.value,
@@ -238,6 +239,6 @@
         tally.hedged += self._hedges
         if (
             self._outcome is Outcome.answered
-            and seconds <= self._target_seconds
+            and seconds <= self._latency_target_seconds
         ):
             tally.in_time += 1
--- a/wagtaildale/calls/routed_call.py
+++ b/wagtaildale/calls/routed_call.py
@@ -39,13 +39,14 @@
 REQUEST_ID_BYTES: Final = 16
 MILLISECONDS: Final = 1000
 HOST_FIELD: Final = b'host'
-MAX_KEY_BYTES: Final = 200
+# Longer values from callers are truncated to these sizes.
+MAX_IDEMPOTENCY_KEY_BYTES: Final = 200
 MAX_REQUEST_ID_BYTES: Final = 200
 MAX_NUMBER_DIGITS: Final = 9
 MAX_CALL_DEPTH: Final = 16
-# A node receives its configuration 0.1 to 0.2 s after its start. A caller that
-# is told to retry earlier may use up its last retry on a node that is still
-# starting.
+# Retry delay for callers while the node waits for its first configuration,
+# which it usually receives 0.1 to 0.2 s after its start. After a shorter delay,
+# callers may use up their last retry on a node that is still starting.
 STARTUP_RETRY_SECONDS: Final = 0.2
 
 
@@ -67,9 +68,10 @@
         placement: selection of upstreams.
         dialect: names of header fields and options of the calls.
         caller_timeouts: longest timeouts that callers send.
-        suspects: requests that servers crashed under.
+        suspects: requests during which servers crashed.
         read_limits: function that returns the limits on requests.
-        read_retry_limits: function that returns the entry's share of retries.
+        read_retry_limits: function that returns the limits on the entry's
+            retries.
         reserves: whether a non-idempotent request reserves a slot first.
         hedges: whether slow idempotent requests are hedged.
     """
@@ -106,8 +108,8 @@
         headers: request headers that are forwarded.
         deadline: time at which the call fails, seconds on the monotonic
             clock.
-        latency_target_at: time at which the latency target is missed, seconds on the
-            monotonic clock.
+        latency_target_at: time at which the latency target is missed, seconds
+            on the monotonic clock.
         idempotency_key: key that the caller sent with a non-idempotent
             request; empty if none.
         depth: number of calls in the chain that led to this one.
@@ -149,23 +151,25 @@
         )
     match = _find_match(view, message)
     service = match.choose_service()
-    given_ms = _find_number(
+    caller_timeout_ms = _find_number(
         message,
         parts.dialect.deadline_ms,
         default=match.work_class.deadline_ms,
         lowers_only=False,
     )
-    target_ms = _find_target_ms(parts, match, service, given_ms)
+    latency_target_ms = _find_latency_target_ms(
+        parts, match, service, caller_timeout_ms
+    )
     now = read_clock()
     return RoutedCall(
         match=match,
         service=service,
         view=view,
         request_id=_find_request_id(message, parts.dialect),
-        headers=_write_headers(parts, message),
+        headers=_build_forwarded_headers(parts, message),
         deadline=now
-        + min(given_ms, match.work_class.deadline_ms) / MILLISECONDS,
-        latency_target_at=now + target_ms / MILLISECONDS,
+        + min(caller_timeout_ms, match.work_class.deadline_ms) / MILLISECONDS,
+        latency_target_at=now + latency_target_ms / MILLISECONDS,
         idempotency_key=_find_key(message, match),
         depth=_find_depth(message, parts.dialect),
         retries=_find_number(
@@ -180,24 +184,27 @@
     depth = _find_number(message, dialect.depth, default=0, lowers_only=False)
     if depth > MAX_CALL_DEPTH:
         # Ends chains in which services call each other in a circle.
-        raise CallFailed(Code.too_deep, detail=f'{depth} calls deep')
+        raise CallFailed(
+            Code.too_deep,
+            detail=f'call depth {depth} exceeds the limit',
+        )
     return depth
 
 
-def _find_target_ms(
+def _find_latency_target_ms(
     parts: EntryParts,
     match: RouteMatch,
     service: ServiceName,
-    given_ms: int,
+    caller_timeout_ms: int,
 ) -> int:
-    target_ms = match.work_class.within_ms
+    latency_target_ms = match.work_class.within_ms
     if parts.dialect.deadline_spans_retries:
         class_name = f'{service}/{match.work_class.name}'
-        target_ms -= parts.caller_timeouts.estimate_elapsed_ms(
+        latency_target_ms -= parts.caller_timeouts.estimate_elapsed_ms(
             class_name,
-            given_ms,
+            caller_timeout_ms,
         )
-    return max(0, target_ms)
+    return max(0, latency_target_ms)
 
 
 def _find_match(view: FleetView, message: Message) -> RouteMatch:
@@ -225,11 +232,15 @@
     return RequestId(os.urandom(REQUEST_ID_BYTES).hex())
 
 
-def _write_headers(parts: EntryParts, message: Message) -> HeaderPairs:
+def _build_forwarded_headers(
+    parts: EntryParts, message: Message
+) -> HeaderPairs:
     dialect = parts.dialect
-    own = dialect.rewritten_fields
+    rewritten = dialect.rewritten_fields
     headers = [
-        each for each in select_forwarded_headers(message) if each[0] not in own
+        each
+        for each in select_forwarded_headers(message)
+        if each[0] not in rewritten
     ]
     if dialect.caller_service is not None:
         headers.append((dialect.caller_service, parts.service.encode()))
@@ -240,7 +251,7 @@
     if match.work_class.idempotent:
         return ''
     key = message.find(IDEMPOTENCY_KEY_HEADER) or b''
-    return key[:MAX_KEY_BYTES].decode('latin-1')
+    return key[:MAX_IDEMPOTENCY_KEY_BYTES].decode('latin-1')
 
 
 def _find_number(
--- a/wagtaildale/calls/serial_runs.py
+++ b/wagtaildale/calls/serial_runs.py
@@ -1,7 +1,8 @@
-"""Runs each request that may end its backend server one at a time.
+"""Allows one run at a time for each suspected request.
 
-Without this, if such a request comes thirty times a second, all of its runs
-that wait for one backend server reach it at the moment it is back.
+Otherwise, if many callers send a request that crashes its backend server, all
+runs that wait for the server would reach it as soon as it has restarted. A
+popular request may come thirty times a second.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
     from wagtaildale.suspects.fingerprints import Subject
 
 RetryCallback = Callable[[], None]
-# Runs of a request that wait for another one; further runs are refused.
+# Runs of a request that wait for another one; further runs are rejected.
 MAX_WAITING_RUNS: Final = 16
 
 
@@ -23,7 +24,7 @@
     """Allows one run at a time for each suspected request."""
 
     def __init__(self) -> None:
-        """Start without runs."""
+        """Create an instance without runs."""
         self._running: dict[Subject, Run] = {}
         self._waiting: dict[Subject, deque[RetryCallback]] = {}
 
@@ -38,8 +39,9 @@
 
         Args:
             subject: identifies the request.
-            run: run that wants to start.
-            on_retry: called to try again when the current run is over.
+            run: run to be started.
+            on_retry: callback to try again, called when the current run is
+                over.
 
         Returns:
             Whether the run may start now.
@@ -51,7 +53,7 @@
         return False
 
     def is_full(self, subject: Subject) -> bool:
-        """Tell whether no more runs of a request may wait.
+        """Check whether no more runs of a request may wait.
 
         Args:
             subject: identifies the request.
@@ -62,15 +64,15 @@
         return len(self._waiting.get(subject, ())) >= MAX_WAITING_RUNS
 
     def release(self, run: Run) -> None:
-        """End a run and let waiting ones try again until one starts.
+        """Remove a finished run; let waiting ones try again until one starts.
 
         Args:
             run: run that is over, whether or not it was started here.
         """
-        held = [
+        held_subjects = [
             each for each, current in self._running.items() if current is run
         ]
-        for subject in held:
+        for subject in held_subjects:
             self._running.pop(subject)
             self._retry_waiting(subject)
 
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -176,11 +176,10 @@
             call.cancel()
 
     def on_drain_notice_supported(self) -> None:
-        """Note that the entry understands ``DrainNotice``.
+        """Record that the entry accepts ``DrainNotice``; send it the state.
 
-        Sends the notice if the owner already drains. Also sends the load
-        report, if there is one, that other entries were sent before this one
-        connected.
+        Sends the notice if the owner already drains, and the latest load report
+        that other entries were sent before this one connected, if any.
         """
         self._accepts_drain_notice = True
         self.announce_drain()
@@ -419,6 +418,9 @@
     if mark not in {PLAIN, COMPRESSED}:
         raise CallFailed(
             Code.message_malformed,
-            detail='first byte is no known compression mark',
+            detail=(
+                'first byte is no known compression mark; '
+                'the sender is no node or has an incompatible version'
+            ),
         )
     return mark == COMPRESSED
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -32,27 +32,30 @@
     from wagtaildale.types import InstanceId
     from wagtaildale.telemetry.events import EventRecorder
 
-# Most runs end within this time, so a retry after it finds the trial's place
-# free again.
+# Most trials end within this time, so that a retry after it is not rejected
+# because of the same trial.
 TRIAL_RETRY_SECONDS: Final = 0.2
-# A harmful request is tried only at a server that has been up for this many of
-# the request's rest periods, so that a server that has just restarted is not
-# crashed again.
-MIN_UPTIME_RESTS: Final = 30
+# A harmful request is tried only at a server that has been up for this many
+# times the delay before its trial, so that a server that has just restarted is
+# not crashed again.
+MIN_UPTIME_TRIAL_DELAYS: Final = 30
 
-StartedRun = tuple['Run', Callable[[CallFailed], None]]
+# A run and the callback that abandons it.
+AbandonableRun = tuple['Run', Callable[[CallFailed], None]]
 
 
 class SuspectTrials:
-    """Runs suspected requests one at a time.
+    """Limits which suspected requests run at a server at the same time.
 
     If a request crashes every server that runs it, a harmless request that
-    ran beside it each time would look just as harmful. So no two suspected
-    requests run at one server at the same time.
+    ran beside it each time would look just as harmful. So only one trial runs
+    at a server at a time. Suspected requests that run without a trial may run
+    beside others, but each of them only once at a time.
 
     Attributes:
         suspects: known crashes by request.
-        end_detector: detection of server crashes and the requests that ran then.
+        end_detector: detection of server crashes and of the requests that ran
+            then.
         answered: requests that the server has recently answered.
     """
 
@@ -86,11 +89,11 @@
         )
         self._view = view
         self._on_trial: Run | None = None
-        self._turns = SerialRuns()
-        self._started_runs: dict[int, StartedRun] = {}
+        self._serial_runs = SerialRuns()
+        self._started_runs: dict[int, AbandonableRun] = {}
 
     def is_suspected(self, run: Run) -> bool:
-        """Check whether any server has crashed while running a request.
+        """Check whether a server is known to have crashed during a request.
 
         Args:
             run: the request.
@@ -144,11 +147,11 @@
                 wait_seconds=judgement.wait_seconds,
             )
         if judgement.standing is Standing.trial:
-            self._check_place(run, fingerprint, judgement)
+            self._check_may_run_here(run, fingerprint, judgement)
             self._begin_trial(run, fingerprint, ends, up_seconds)
         elif judgement.is_confined:
-            self._check_place(run, fingerprint, judgement)
-            if not self._take_turn(run, fingerprint, ends, on_retry):
+            self._check_may_run_here(run, fingerprint, judgement)
+            if not self._start_or_queue(run, fingerprint, ends, on_retry):
                 return None
         return ends
 
@@ -160,10 +163,9 @@
     ) -> None:
         """Register a run that goes to the server.
 
-        Without this, a request that runs at two servers crashes the first
-        one and shortly after the second. The report of the first crash
-        arrives in between, and runs of idempotent requests are abandoned
-        then.
+        A request may run at two servers at once. If it crashes the first one,
+        the report usually arrives before it crashes the second one, and the
+        run there is then abandoned if the request is idempotent.
 
         Args:
             run: the request.
@@ -174,7 +176,7 @@
             self._started_runs[id(run)] = (run, abandon)
 
     def abandon_suspected_runs(self) -> None:
-        """Abandon runs of requests that other servers crashed under."""
+        """Abandon runs of requests during which other servers crashed."""
         known = self.suspects.current
         for run, abandon in tuple(self._started_runs.values()):
             fingerprint = self.compute_run_fingerprint(run)
@@ -189,7 +191,7 @@
                 abandon(failure)
 
     def release(self, run: Run) -> None:
-        """Free the trial or turn that a finished request held.
+        """Let other runs start in place of a finished one.
 
         Args:
             run: the request.
@@ -197,7 +199,7 @@
         self._started_runs.pop(id(run), None)
         if self._on_trial is run:
             self._on_trial = None
-        self._turns.release(run)
+        self._serial_runs.release(run)
 
     def note_answered(self, run: Run) -> None:
         """Record that the server answered a request.
@@ -230,7 +232,7 @@
             caller_field=self._dialect.caller_service,
         )
 
-    def _check_place(
+    def _check_may_run_here(
         self,
         run: Run,
         fingerprint: Fingerprint,
@@ -240,13 +242,13 @@
         if not judgement.nodes:
             # The entry knows of a crash that this node does not know of yet.
             return
-        places = list_allowed_upstreams(
+        allowed = list_allowed_upstreams(
             self._view.current,
             ServiceName(fields.work_class.partition('/')[0]),
             fingerprint=fingerprint,
             judgement=judgement,
         )
-        nodes = [place.node_id for place in places]
+        nodes = [record.node_id for record in allowed]
         if nodes and self._node not in nodes:
             raise build_suspect_refusal(
                 Code.request_on_trial,
@@ -254,7 +256,7 @@
                 ends=judgement.ends,
             )
 
-    def _take_turn(
+    def _start_or_queue(
         self,
         run: Run,
         fingerprint: Fingerprint,
@@ -262,11 +264,11 @@
         on_retry: Callable[[], None],
     ) -> bool:
         subject = find_subject(fingerprint)
-        if self._turns.is_full(subject):
+        if self._serial_runs.is_full(subject):
             raise build_suspect_refusal(
                 Code.request_on_trial, fingerprint, ends=ends
             )
-        return self._turns.acquire(subject, run, on_retry=on_retry)
+        return self._serial_runs.acquire(subject, run, on_retry=on_retry)
 
     def _begin_trial(
         self,
@@ -278,7 +280,7 @@
         min_uptime_seconds = (
             0
             if ends < HARMFUL_ENDS
-            else MIN_UPTIME_RESTS * find_trial_delay(ends)
+            else MIN_UPTIME_TRIAL_DELAYS * find_trial_delay(ends)
         )
         wait_seconds = min_uptime_seconds - up_seconds
         if self._on_trial is not None or wait_seconds > 0:
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -1,4 +1,4 @@
-"""Handles requests at the entry that servers have crashed under."""
+"""Rejects or restricts, at the entry, requests during which servers crashed."""
 
 from __future__ import annotations
 
@@ -34,8 +34,9 @@
     from wagtaildale.routing.view import FleetView
     from wagtaildale.types import InstanceId
 
-# A crashed server rarely restarts sooner.
-RESTART_SECONDS: Final = 1.0
+# Retry delay for callers while a crashed server restarts; it rarely restarts
+# sooner.
+RESTART_RETRY_SECONDS: Final = 1.0
 
 
 class Suspect(Struct, frozen=True, kw_only=True):
@@ -56,14 +57,14 @@
     request: OutgoingRequest,
     attempts: Attempts,
 ) -> Suspect | None:
-    """Check whether a request may be sent, and whether to any server.
+    """Find out whether a request is suspected; reject it if it may not run.
 
     Args:
         parts: components of the node that the entry uses.
         routed: the call with its route and class.
         request: request to be sent.
-        attempts: attempts of the call; ``ends`` is updated from the crashes
-            that this node knows of.
+        attempts: attempts of the call; ``crash_count`` is updated from the
+            crashes that this node knows of.
 
     Returns:
         The suspected request if it may run only at certain servers,
@@ -119,10 +120,11 @@
 
     Returns:
         The upstream; ``None`` if the request may run at any server, because
-        the servers that crashed under it are no longer listed.
+        no server that crashed during it is listed and the last crash was
+        reported some seconds ago (``GONE_SECONDS``).
 
     Raises:
-        CallFailed: if all upstreams that may run the request were tried.
+        CallFailed: if no untried upstream may run the request now.
     """
     judgement = suspect.judgement
     if not judgement.nodes and attempts.tried:
@@ -132,32 +134,32 @@
             judgement,
             nodes=_find_last_node(view, attempts),
         )
-    places = list_allowed_upstreams(
+    allowed = list_allowed_upstreams(
         view,
         routed.service,
         fingerprint=suspect.fingerprint,
         judgement=judgement,
     )
-    if not places and judgement.age_seconds >= GONE_SECONDS:
+    if not allowed and judgement.age_seconds >= GONE_SECONDS:
         return None
     now = read_clock()
     untried = [
-        place
-        for place in places
-        if place.instance not in attempts.tried
-        and not statistics.leaving_servers.has(place)
+        record
+        for record in allowed
+        if record.instance not in attempts.tried
+        and not statistics.leaving_servers.has(record)
     ]
     up = [
-        place
-        for place in untried
-        if not statistics.down.has(place.instance, now=now)
+        record
+        for record in untried
+        if not statistics.down.has(record.instance, now=now)
     ]
     if not untried:
         raise build_suspect_refusal(
             Code.request_on_trial,
             suspect.fingerprint,
             ends=attempts.crash_count,
-            wait_seconds=RESTART_SECONDS,
+            wait_seconds=RESTART_RETRY_SECONDS,
         )
     return ChosenUpstream(record=(up or untried)[0], is_only_candidate=True)
 
@@ -171,7 +173,9 @@
 
 
 def mark_harmful(failure: CallFailed, attempts: Attempts) -> None:
-    """Report a request that crashes servers as harmful, with a retry delay.
+    """Change the result code to harmful for a request that crashes servers.
+
+    Also sets a retry delay.
 
     If the caller were told only that its server crashed, it would retry at
     once and crash the next one.
@@ -180,8 +184,11 @@
         failure: failure that the call ends with; changed in place.
         attempts: attempts of the call.
     """
-    has_crashed = failure.code in {Code.backend_ended, Code.outcome_unknown}
-    if has_crashed and attempts.crash_count >= HARMFUL_ENDS:
+    may_have_crashed_server = failure.code in {
+        Code.backend_ended,
+        Code.outcome_unknown,
+    }
+    if may_have_crashed_server and attempts.crash_count >= HARMFUL_ENDS:
         failure.code = Code.request_harmful
         failure.retry_after = min(
             find_trial_delay(attempts.crash_count), MAX_RETRY_AFTER_SECONDS
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -36,8 +36,9 @@
     from wagtaildale.routing.placement import ChosenUpstream
     from wagtaildale.routing.statistics import FleetStatistics
 
-# A service without an upstream gets one only when the instance list changes;
-# retrying within a few milliseconds would use up the caller's retries.
+# Retry delay for callers of a service without an upstream. It gets one only
+# when the instance list changes; retrying within a few milliseconds would use
+# up the caller's retries.
 NO_UPSTREAM_RETRY_SECONDS: Final = 0.25
 
 
@@ -76,7 +77,7 @@
         routed: RoutedCall,
         attempts: Attempts,
         *,
-        spare: bool = False,
+        is_hedge: bool = False,
         suspect: Suspect | None = None,
     ) -> AttemptTarget:
         """Choose the target of the next attempt and mark it as tried.
@@ -84,7 +85,7 @@
         Args:
             routed: the call with its route and class.
             attempts: previous attempts; the new one is added.
-            spare: whether the attempt is a hedge, which runs only if a slot
+            is_hedge: whether the attempt is a hedge, which runs only if a slot
                 is free at once.
             suspect: suspected request, if it may run only at certain
                 servers.
@@ -95,17 +96,20 @@
         Raises:
             CallFailed: if no upstream accepts the request.
         """
-        placed = self._place(routed, attempts, suspect, spare=spare)
+        placed = self._place(routed, attempts, suspect, is_hedge=is_hedge)
         if placed is None:
             # Wait at an upstream instead of trying further ones. Otherwise,
             # if a service is overloaded everywhere, each request is sent to
             # all data centres and rejected in each.
             attempts.rejections_left = 0
-            placed = self._place(routed, attempts, suspect, spare=spare)
+            placed = self._place(routed, attempts, suspect, is_hedge=is_hedge)
         if isinstance(placed, Throttled):
             raise CallFailed(
                 Code.rate_limited,
-                detail=f'service {routed.service} takes {placed.share:.0%}',
+                detail=(
+                    f'service {routed.service} is rate limited and admits '
+                    f'{placed.share:.0%} of requests'
+                ),
                 retry_after=placed.retry_after,
             )
         if placed is None:
@@ -136,9 +140,9 @@
                 attempts,
                 SendOptions(
                     rate=self._statistics.limits.find_rate(record.instance),
-                    patient=patient and not spare,
-                    spare=spare,
-                    pass_rank=_find_need_rank(routed, self._statistics),
+                    patient=patient and not is_hedge,
+                    spare=is_hedge,
+                    pass_rank=_find_priority_rank(routed, self._statistics),
                     share=placed.share,
                 ),
             ),
@@ -162,7 +166,7 @@
     def has_untried_upstream(
         self, routed: RoutedCall, attempts: Attempts
     ) -> bool:
-        """Check whether a further attempt would go to another upstream.
+        """Check whether there is an upstream that was not tried yet.
 
         Upstreams that are ejected or have a rate limit do not count.
 
@@ -171,7 +175,7 @@
             attempts: previous attempts.
 
         Returns:
-            Whether there is an upstream that was not tried yet.
+            Whether a further attempt would go to another upstream.
         """
         tried = attempts.tried
         statistics = self._statistics
@@ -245,11 +249,10 @@
             )
 
     def note_overtaken(self, target: AttemptTarget, *, since: float) -> None:
-        """Update the statistics of a target that another one overtook.
+        """Record that a target was still unanswered when another one answered.
 
         Args:
-            target: target of an attempt that was still unanswered when
-                another attempt was answered.
+            target: target of the attempt that was still unanswered.
             since: start time of the attempt, seconds on the monotonic clock.
         """
         now = read_clock()
@@ -286,7 +289,7 @@
         attempts: Attempts,
         suspect: Suspect | None,
         *,
-        spare: bool,
+        is_hedge: bool,
     ) -> ChosenUpstream | Throttled | None:
         parts = self._parts
         view = parts.view.current
@@ -318,15 +321,15 @@
                 work_class=format_class_name(routed),
                 slack_seconds=routed.latency_target_at - now,
                 may_wait=bool(attempts.overloaded and attempts.rejections_left),
-                pass_rank=_find_need_rank(routed, self._statistics),
-                is_hedge=spare,
+                pass_rank=_find_priority_rank(routed, self._statistics),
+                is_hedge=is_hedge,
                 was_limited=attempts.was_limited,
             ),
             now=now,
         )
 
 
-def _find_need_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
+def _find_priority_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
     return find_request_rank(
         routed.match.work_class.rank,
         work_class=format_class_name(routed),
--- a/wagtaildale/calls/tests/crashing_servers.py
+++ b/wagtaildale/calls/tests/crashing_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that end when they run certain requests."""
+"""Backend servers that crash when they run certain requests."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class CrashingBackend(Listener):
-    """Ends when it runs a fatal request, and answers all others.
+    """Crashes when it runs a fatal request, and answers all others.
 
     Attributes:
-        fatal_paths: paths of the requests that end the server.
+        fatal_paths: paths of the requests that crash the server.
         arrivals: paths of the requests that arrived since the last start.
-        has_crashed: whether the server has ended.
-        may_answer: event that is set while the server answers; requests wait
+        has_crashed: whether the server has crashed.
+        may_answer: event that is set while the server may answer; requests wait
             for it.
     """
 
@@ -58,7 +58,7 @@
         )
 
     def crash(self) -> None:
-        """End the server with all requests that run on it."""
+        """Crash the server with all requests that run on it."""
         self.has_crashed = True
         # Closes the port first, so that it is closed for a node that sees a
         # connection end.
@@ -75,7 +75,7 @@
 
 
 class CrashingFleet(ScriptedFleet):
-    """A fleet whose servers may end and be restarted."""
+    """A fleet whose servers may crash and be restarted."""
 
     def __init__(
         self,
@@ -92,17 +92,17 @@
 
     @property
     def crash_count(self) -> int:
-        """Number of server ends so far."""
+        """Number of server crashes so far."""
         return self._earlier_crash_count + sum(
             each.has_crashed for each in self.backends
         )
 
     def change_fatal_paths(self, *paths: str) -> None:
-        """Set the requests that end servers started from now on."""
+        """Set the requests that crash servers started from now on."""
         self._fatal_paths = frozenset(paths)
 
     def restart_crashed(self) -> None:
-        """Restart every server that has ended."""
+        """Restart every server that has crashed."""
         for number, backend in enumerate(self.backends):
             if backend.has_crashed:
                 backend.close()
@@ -112,7 +112,7 @@
                 self.backends[number] = self._start(host)
 
     def crash_all(self, path: str, *, requests: int) -> list[bytes]:
-        """End all servers at once while they run a request of many callers.
+        """Crash all servers at once while they run a request of many callers.
 
         Returns:
             The answers to the callers.
@@ -128,7 +128,7 @@
             return [each.result() for each in asked]
 
     def crash_one(self, path: str) -> None:
-        """End the server that runs a request."""
+        """Crash the server that runs a request."""
         for backend in self.backends:
             backend.may_answer.clear()
         before = [len(backend.arrivals) for backend in self.backends]
--- a/wagtaildale/calls/tests/pairs.py
+++ b/wagtaildale/calls/tests/pairs.py
@@ -31,22 +31,22 @@
 
 
 class Pair:
-    """An entry node ``near`` and the owner node ``far`` of its only upstream.
+    """An entry node and the owner node of its only upstream.
 
     Their instances are ``a`` and ``b``.
     """
 
     def __init__(self) -> None:
-        near_record, far_record = build_pair()
+        entry_record, owner_record = build_pair()
         self.backend = HostedBackend(
             'b',
-            host=far_record.host,
+            host=owner_record.host,
             port=BACKEND_PORT,
-            entry_port=far_record.entry_port,
+            entry_port=owner_record.entry_port,
         )
-        self.entry_node = MeshNode(near_record)
-        self.owner_node = MeshNode(far_record)
-        self.entry_node.show(far_record)
+        self.entry_node = MeshNode(entry_record)
+        self.owner_node = MeshNode(owner_record)
+        self.entry_node.show(owner_record)
 
     def close(self) -> None:
         self.entry_node.close()
--- a/wagtaildale/calls/tests/test_budgets.py
+++ b/wagtaildale/calls/tests/test_budgets.py
@@ -21,10 +21,10 @@
 def simulate_retries(
     *, entries: int, requests_per_second: float, seconds: float
 ) -> list[int]:
-    """Request a retry for every request; return the retries of each step."""
+    """Request one retry per step at each entry; return the retries by step."""
     random.seed(SEED)
-    share = compute_retry_limits(BOUNDS, entries=entries)
-    budgets = [RetryBudget(share, now=0) for _entry in range(entries)]
+    limits = compute_retry_limits(BOUNDS, entries=entries)
+    budgets = [RetryBudget(limits, now=0) for _entry in range(entries)]
     requests_per_step = requests_per_second * STEP_SECONDS / entries
     pending_requests = float(0)
     spent: list[int] = []
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -1,8 +1,7 @@
 """Tests of callers' connections that close, or are closed, between requests.
 
-The doc text of a test describes the failure that it prevents. The tests step
-the event loop themselves, so that what a caller sends has always arrived before
-the loop checks its sockets.
+The tests step the event loop themselves, so that what a caller sends has
+always arrived before the loop checks its sockets.
 """
 
 from __future__ import annotations
@@ -82,7 +81,7 @@
         sock.sendall(request)
         self.step_until(lambda: self.answered_requests == expected)
 
-    def read_answer(self, sock: socket.socket, *, size: int) -> bytes:
+    def read_response(self, sock: socket.socket, *, size: int) -> bytes:
         """Read up to ``size`` bytes, or to the end of the connection."""
         received = bytearray()
         while len(received) < size:
@@ -116,15 +115,15 @@
 
 
 @pytest.mark.parametrize('request_bytes', [REQUEST, LAST_REQUEST])
-def test_long_answer_reaches_a_slow_reader(
+def test_long_response_reaches_a_slow_reader(
     harness: PortHarness,
     request_bytes: bytes,
 ) -> None:
-    """The end of a long answer is lost when its node stops.
+    """Prevents the end of a long response from being lost when its node stops.
 
-    The caller is slow and still reads. All of the answer was written to the
-    connection but not sent, and the node counted the call as done, waited a
-    second and closed.
+    The caller is slow and still reads. All of the response was written to the
+    connection but not sent. A node that counts the call as done would wait a
+    second and close.
     """
     harness.body = LONG_BODY
     with harness.connect() as sock:
@@ -132,30 +131,33 @@
         harness.port.drain()
         harness.port.close_idle()
         harness.fire_all_alarms()
-        answer = harness.read_answer(sock, size=len(LONG_BODY))
-    assert len(answer) >= len(LONG_BODY)
+        response = harness.read_response(sock, size=len(LONG_BODY))
+    assert len(response) >= len(LONG_BODY)
 
 
-def test_stop_waits_for_an_answer_that_is_not_sent_yet(
+def test_stop_waits_for_a_response_that_is_not_sent_yet(
     harness: PortHarness,
 ) -> None:
-    """A slow reader gets half an answer because the node's process has ended.
+    """Prevents a truncated response because the node's process has ended.
 
-    A stop ends the process once no call is in progress. An answer that is not
-    sent yet counts as in progress, although its call is done.
+    A stop ends the process once no call is in progress. A response that is not
+    sent yet to a slow reader counts as in progress, although its call is done.
     """
     harness.body = LONG_BODY
     with harness.connect() as sock:
         harness.send_request(sock, LAST_REQUEST)
         assert harness.port.active_calls == 1
         assert harness.port.open_connections == 1
-        harness.read_answer(sock, size=len(LONG_BODY))
+        harness.read_response(sock, size=len(LONG_BODY))
         harness.step_until(lambda: not harness.port.active_calls)
     harness.step_until(lambda: not harness.port.open_connections)
 
 
 def test_slow_reader_that_disconnects_is_removed(harness: PortHarness) -> None:
-    """A planned stop waits until its time limit for a disconnected caller."""
+    """Prevents a planned stop from waiting for a disconnected caller.
+
+    It would wait until its time limit.
+    """
     harness.body = LONG_BODY
     with harness.connect() as sock:
         harness.send_request(sock, LAST_REQUEST)
@@ -166,19 +168,19 @@
 def test_request_that_has_arrived_is_answered_before_idle_close(
     harness: PortHarness,
 ) -> None:
-    """A caller's booking is lost in a planned stop.
+    """Prevents a caller's booking from being lost in a planned stop.
 
     The request has arrived on an idle connection, and is not read yet when the
     stop closes idle connections.
     """
     with harness.connect() as sock:
         harness.send_request(sock, REQUEST)
-        harness.read_answer(sock, size=1)
+        harness.read_response(sock, size=1)
         sock.sendall(REQUEST)
         harness.port.drain()
         harness.port.close_idle()
         harness.step_until(lambda: harness.answered_requests == 2)
-        assert b'connection: close' in harness.read_answer(
+        assert b'connection: close' in harness.read_response(
             sock, size=READ_BYTES
         )
 
@@ -187,32 +189,32 @@
 def test_request_that_has_arrived_is_answered_after_a_pause(
     harness: PortHarness,
 ) -> None:
-    """A caller's booking is lost after its node was paused for a moment.
+    """Prevents a booking from being lost after its node was paused.
 
     The request arrived in time on an idle connection. After the pause the
-    process finds the connection idle for too long, and closes it with the
-    request unread.
+    process finds the connection idle for too long, and must not close it with
+    the request unread.
     """
     with harness.connect() as sock:
         harness.send_request(sock, REQUEST)
-        harness.read_answer(sock, size=1)
+        harness.read_response(sock, size=1)
         sock.sendall(REQUEST)
         harness.fire_all_alarms()
         harness.step_until(lambda: harness.answered_requests == 2)
 
 
-def test_pipelined_request_after_the_last_answer_is_not_started(
+def test_pipelined_request_after_the_last_response_is_not_started(
     harness: PortHarness,
 ) -> None:
-    """A caller's second request runs twice.
+    """Prevents a caller's second request from running twice.
 
-    The node leaves and announces with the first answer that the connection
+    The node leaves and announces with the first response that the connection
     closes. The caller may then send the second request to another node, so it
-    must not be started here, where its answer would reach nobody.
+    must not be started here, where its response would reach nobody.
     """
     with harness.connect() as sock:
         harness.port.drain()
         harness.send_request(sock, REQUEST + REQUEST)
-        answer = harness.read_answer(sock, size=READ_BYTES)
-    assert answer.count(b'HTTP/1.1 200') == 1
+        response = harness.read_response(sock, size=READ_BYTES)
+    assert response.count(b'HTTP/1.1 200') == 1
     assert harness.answered_requests == 1
--- a/wagtaildale/calls/tests/test_entry.py
+++ b/wagtaildale/calls/tests/test_entry.py
@@ -36,7 +36,7 @@
     connection.close()
 
 
-def test_head_has_no_body(pair: Pair) -> None:
+def test_response_to_head_request_has_no_body(pair: Pair) -> None:
     response, text = pair.ask('HEAD', '/files/1')
     assert response.status == 200
     assert int(response.headers['content-length']) > 0
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize('path', ['/nope', '/files/a/b', '/files/..'])
-def test_no_route(pair: Pair, path: str) -> None:
+def test_unmatched_path_is_not_found_and_not_run(pair: Pair, path: str) -> None:
     response, text = pair.ask('GET', path)
     assert response.status == 404
     assert read_code(text) is Code.no_route
@@ -98,7 +98,7 @@
     assert json.decode(text)['bytes'] == len(body)
 
 
-def test_body_over_the_limit(pair: Pair) -> None:
+def test_body_over_the_limit_is_rejected(pair: Pair) -> None:
     request = b'POST /bookings HTTP/1.1\r\ncontent-length: 4000001\r\n\r\n'
     answer = pair.send_raw_request(request)
     assert answer.startswith(b'HTTP/1.1 413')
@@ -117,7 +117,7 @@
     assert b'wagtaildale-outcome: unknown' in answer
 
 
-def test_head_over_the_limit(pair: Pair) -> None:
+def test_head_over_the_limit_is_rejected(pair: Pair) -> None:
     request = b'GET /files/1 HTTP/1.1\r\nx: %b\r\n\r\n' % bytes(b'y' * 9000)
     answer = pair.send_raw_request(request)
     assert answer.startswith(b'HTTP/1.1 413')
@@ -145,11 +145,11 @@
     assert pair.backend.counts.by_single_key['k'] == 1
 
 
-def test_lookup_is_retried_when_the_response_is_truncated(pair: Pair) -> None:
-    """Prevents half a claim file from passing for a whole one.
+def test_truncated_response_is_never_forwarded(pair: Pair) -> None:
+    """Prevents a truncated claim file from being taken for a complete one.
 
     The backend server announces a length and closes in the middle of the
-    body. The truncated response is discarded and the lookup retried.
+    body. The caller gets a complete response or an error.
     """
     pair.backend.faults.cut_share = 0.5
     for claim in range(20):
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -193,7 +193,7 @@
     assert pair.backend.counts.by_single_key['b'] == 1
 
 
-def test_repeated_key_while_the_first_runs(pair: Pair) -> None:
+def test_repeated_key_is_rejected_while_the_first_runs(pair: Pair) -> None:
     pair.backend.faults.service_ms = 300
     headers = {KEY: 'k', 'x-booking': 'b'}
     worker = threading.Thread(
@@ -209,7 +209,7 @@
     assert pair.backend.counts.by_single_key['b'] == 1
 
 
-def test_repeated_key_after_an_unknown_outcome(pair: Pair) -> None:
+def test_repeated_key_is_rejected_after_an_unknown_outcome(pair: Pair) -> None:
     """The first response was lost; the retry must not run a second booking."""
     pair.backend.faults.close_share = 1
     headers = {KEY: 'k', 'x-booking': 'b'}
--- a/wagtaildale/calls/windows.py
+++ b/wagtaildale/calls/windows.py
@@ -9,8 +9,9 @@
 
 from typing import Final
 
-# Covers two round trips between regions at 100 Mbit/s. A few hundred large
-# bodies at the same time still fit well into the memory of a small instance.
+# About 20 ms of data at 100 Mbit/s, which covers two round trips between
+# regions. A few hundred large bodies at the same time still fit well into the
+# memory of a small instance.
 WINDOW_BYTES: Final = 262_144
 
 
