--- a/wagtaildale/calls/parsing.py
+++ b/wagtaildale/calls/parsing.py
@@ -153,7 +153,7 @@
         self._messages.popleft()
 
     def has_more(self) -> bool:
-        """Tell whether anything of another message has arrived.
+        """Check whether anything of another message has arrived.
 
         Returns:
             Whether there is a message, complete or not.
--- a/wagtaildale/calls/readiness.py
+++ b/wagtaildale/calls/readiness.py
@@ -1,4 +1,4 @@
-"""HTTP endpoint that tells whether this node accepts callers."""
+"""HTTP endpoint that reports whether this node accepts callers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, read_state: Callable[[], NodeState]) -> None:
-        """Report a state that is read for each request.
+        """Create a handler that reads the state for each request.
 
         Args:
             read_state: returns the state of the node.
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -72,7 +72,7 @@
         self._times = times
 
     def send_grant(self, fields: CallFields, *, lease: TicketId) -> None:
-        """Tell the entry that a slot is held for the call.
+        """Send the lease of the slot that is held for the call.
 
         Args:
             fields: fields of the call.
@@ -145,7 +145,7 @@
         self._channel.reply(BodyPiece(self._number, piece, more=more))
 
     def send_window_update(self, size: int) -> None:
-        """Tell the entry that the backend server has taken a part of the body.
+        """Send credit for a part of the body that the backend server read.
 
         Args:
             size: size of the part in bytes.
@@ -153,11 +153,11 @@
         self._channel.reply(WindowUpdate(self._number, size))
 
     def abort(self) -> None:
-        """Tell the entry that a response is cut off."""
+        """Report that the response ended before it was complete."""
         self._channel.reply(ResponseAborted(self._number))
 
     def send_failure(self, fields: CallFields, failure: CallFailed) -> None:
-        """Tell the entry that there is no response.
+        """Send the failure of a call that gets no response.
 
         Args:
             fields: fields of the call.
--- a/wagtaildale/calls/routed_call.py
+++ b/wagtaildale/calls/routed_call.py
@@ -170,7 +170,7 @@
         deadline=now
         + min(caller_timeout_ms, match.work_class.deadline_ms) / MILLISECONDS,
         latency_target_at=now + latency_target_ms / MILLISECONDS,
-        idempotency_key=_find_key(message, match),
+        idempotency_key=_find_idempotency_key(message, match),
         depth=_find_depth(message, parts.dialect),
         retries=_find_number(
             message,
@@ -247,7 +247,7 @@
     return tuple(headers)
 
 
-def _find_key(message: Message, match: RouteMatch) -> str:
+def _find_idempotency_key(message: Message, match: RouteMatch) -> str:
     if match.work_class.idempotent:
         return ''
     key = message.find(IDEMPOTENCY_KEY_HEADER) or b''
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -100,7 +100,7 @@
         self.acceptor.start()
 
     def announce_drain(self) -> None:
-        """Tell every entry that this owner accepts no new calls."""
+        """Notify every entry that this owner accepts no new calls."""
         for session in tuple(self._sessions):
             session.calls.announce_drain()
 
@@ -321,7 +321,7 @@
     """
 
     def __init__(self, port: PeerPort, sock: socket.socket) -> None:
-        """Take over an accepted connection.
+        """Create the session for an accepted socket.
 
         Args:
             port: port that accepted it.
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -49,8 +49,8 @@
 
     If a request crashes every server that runs it, a harmless request that
     ran beside it each time would look just as harmful. So only one trial runs
-    at a server at a time. Suspected requests that run without a trial may run
-    beside others, but each of them only once at a time.
+    at a server at a time. Requests that are confined to the nodes of crashed
+    servers may run beside others, but each of them only once at a time.
 
     Attributes:
         suspects: known crashes by request.
@@ -138,22 +138,24 @@
         judgement = self.suspects.judge(
             fingerprint, reported_ends=reported_ends
         )
-        ends = judgement.ends
+        crash_count = judgement.ends
         if judgement.standing is Standing.harmful:
-            raise build_suspect_refusal(
+            raise build_suspect_rejection(
                 Code.request_harmful,
                 fingerprint,
-                ends=ends,
+                crash_count=crash_count,
                 wait_seconds=judgement.wait_seconds,
             )
         if judgement.standing is Standing.trial:
             self._check_may_run_here(run, fingerprint, judgement)
-            self._begin_trial(run, fingerprint, ends, up_seconds)
+            self._start_trial(run, fingerprint, crash_count, up_seconds)
         elif judgement.is_confined:
             self._check_may_run_here(run, fingerprint, judgement)
-            if not self._start_or_queue(run, fingerprint, ends, on_retry):
+            if not self._start_or_queue(
+                run, fingerprint, crash_count, on_retry
+            ):
                 return None
-        return ends
+        return crash_count
 
     def note_begun(
         self,
@@ -182,10 +184,10 @@
             fingerprint = self.compute_run_fingerprint(run)
             record = known.find(fingerprint)
             if record.nodes and not self.answered.has(fingerprint):
-                failure = build_suspect_refusal(
+                failure = build_suspect_rejection(
                     Code.request_on_trial,
                     fingerprint,
-                    ends=record.ends,
+                    crash_count=record.ends,
                 )
                 failure.outcome = Outcome.unknown
                 abandon(failure)
@@ -250,54 +252,54 @@
         )
         nodes = [record.node_id for record in allowed]
         if nodes and self._node not in nodes:
-            raise build_suspect_refusal(
+            raise build_suspect_rejection(
                 Code.request_on_trial,
                 fingerprint,
-                ends=judgement.ends,
+                crash_count=judgement.ends,
             )
 
     def _start_or_queue(
         self,
         run: Run,
         fingerprint: Fingerprint,
-        ends: int,
+        crash_count: int,
         on_retry: Callable[[], None],
     ) -> bool:
         subject = find_subject(fingerprint)
         if self._serial_runs.is_full(subject):
-            raise build_suspect_refusal(
-                Code.request_on_trial, fingerprint, ends=ends
+            raise build_suspect_rejection(
+                Code.request_on_trial, fingerprint, crash_count=crash_count
             )
         return self._serial_runs.acquire(subject, run, on_retry=on_retry)
 
-    def _begin_trial(
+    def _start_trial(
         self,
         run: Run,
         fingerprint: Fingerprint,
-        ends: int,
+        crash_count: int,
         up_seconds: float,
     ) -> None:
         min_uptime_seconds = (
             0
-            if ends < HARMFUL_ENDS
-            else MIN_UPTIME_TRIAL_DELAYS * find_trial_delay(ends)
+            if crash_count < HARMFUL_ENDS
+            else MIN_UPTIME_TRIAL_DELAYS * find_trial_delay(crash_count)
         )
         wait_seconds = min_uptime_seconds - up_seconds
         if self._on_trial is not None or wait_seconds > 0:
-            raise build_suspect_refusal(
+            raise build_suspect_rejection(
                 Code.request_on_trial,
                 fingerprint,
-                ends=ends,
+                crash_count=crash_count,
                 wait_seconds=max(TRIAL_RETRY_SECONDS, wait_seconds),
             )
         self._on_trial = run
 
 
-def build_suspect_refusal(
+def build_suspect_rejection(
     code: Code,
     fingerprint: Fingerprint,
     *,
-    ends: int,
+    crash_count: int,
     wait_seconds: float = TRIAL_RETRY_SECONDS,
 ) -> CallFailed:
     """Build the failure that rejects a suspected request.
@@ -305,8 +307,8 @@
     Args:
         code: result code.
         fingerprint: fingerprint of the request, by which operators find it.
-        ends: number of servers that crashed in succession while running the
-            request.
+        crash_count: number of servers that crashed in succession while
+            running the request.
         wait_seconds: time after which the caller may retry, seconds.
 
     Returns:
@@ -317,5 +319,5 @@
         detail=fingerprint.hex(),
         retry_after=wait_seconds,
     )
-    failure.crash_count = ends
+    failure.crash_count = crash_count
     return failure
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.calls.suspect_trials import build_suspect_refusal
+from wagtaildale.calls.suspect_trials import build_suspect_rejection
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.placement import ChosenUpstream
 from wagtaildale.routing.suspected_requests import list_allowed_upstreams
@@ -90,10 +90,10 @@
     )
     attempts.crash_count = judgement.ends
     if judgement.standing is Standing.harmful:
-        raise build_suspect_refusal(
+        raise build_suspect_rejection(
             Code.request_harmful,
             fingerprint,
-            ends=judgement.ends,
+            crash_count=judgement.ends,
             wait_seconds=judgement.wait_seconds,
         )
     if judgement.standing is Standing.trial or judgement.is_confined:
@@ -155,10 +155,10 @@
         if not statistics.down.has(record.instance, now=now)
     ]
     if not untried:
-        raise build_suspect_refusal(
+        raise build_suspect_rejection(
             Code.request_on_trial,
             suspect.fingerprint,
-            ends=attempts.crash_count,
+            crash_count=attempts.crash_count,
             wait_seconds=RESTART_RETRY_SECONDS,
         )
     return ChosenUpstream(record=(up or untried)[0], is_only_candidate=True)
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -87,14 +87,16 @@
     Without this, the lookup runs when a slot becomes free, however long
     after later requests are sent elsewhere.
     """
-    far = pair.owner_node
-    held = [far.hold_slot().ticket for _slot in range(SLOTS)]
+    owner_node = pair.owner_node
+    held = [owner_node.hold_slot().ticket for _slot in range(SLOTS)]
     with ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/files/1')
-        wait_until(lambda: bool(far.gate.state.queue))
-        far.show(structs.replace(far.record, state=ListedState.leaving))
+        wait_until(lambda: bool(owner_node.gate.state.queue))
+        owner_node.show(
+            structs.replace(owner_node.record, state=ListedState.leaving)
+        )
         for ticket in held:
-            free_slot(far, ticket)
+            free_slot(owner_node, ticket)
         response, _text = asked.result(TIMEOUT_SECONDS)
     assert pair.backend.counts.runs == 0
     assert response.headers[OUTCOME_HEADER].startswith('not-run')
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -343,11 +343,11 @@
         build_record(f'gone{number}', host=f'127.0.9.{100 + number}')
         for number in range(3)
     ]
-    far = structs.replace(
+    remote = structs.replace(
         pair.owner_node.record,
         data_centre=DataCentre('coventry'),
     )
-    pair.entry_node.show(*gone, far)
+    pair.entry_node.show(*gone, remote)
     statuses = [
         pair.ask('GET', f'/files/{claim}')[0].status for claim in range(30)
     ]
