--- a/wagtaildale/calls/budgets.py
+++ b/wagtaildale/calls/budgets.py
@@ -18,21 +18,21 @@
 if TYPE_CHECKING:
     from wagtaildale.settings.model import BoundSettings
 
-# Part of the operators' retry share that entries spend. The rest is left for
+# Part of the operators' retry share that entries may spend. The rest is for
 # retries that no entry recognises: if a request is retried, the calls that it
 # makes count as retries too, at each service that it calls.
-SHARE_USED: Final = 0.5
+SPENDABLE_SHARE: Final = 0.5
 # Lifetime of earned tokens, as a part of the window. Tokens that are earned
-# before a window and spent within it then stay within the unused part of the
-# share.
+# before a window and spent within it are then at most a tenth of the share (0.2
+# x 0.5), less than the part that entries leave unspent.
 TOKEN_LIFETIME_SHARE: Final = 0.2
-# Part of the operators' slack that entries spend. The slack is renewed once
+# Part of the operators' slack that entries may spend. The slack is renewed once
 # per window, so it can be spent twice within some windows.
-SLACK_USED: Final = 0.3
+SPENDABLE_SLACK_SHARE: Final = 0.3
 
 
-class RetryShare(Struct, frozen=True, kw_only=True):
-    """Retries and hedges that one entry may send to a service.
+class RetryLimits(Struct, frozen=True, kw_only=True):
+    """Limits on the retries and hedges that one entry sends to a service.
 
     Attributes:
         tokens_per_request: tokens earned by each request; one token pays for
@@ -48,21 +48,21 @@
     slack_period_seconds: float
 
 
-def compute_retry_share(bounds: BoundSettings, *, entries: int) -> RetryShare:
-    """Compute one entry's share of the retries that operators allow.
+def compute_retry_limits(bounds: BoundSettings, *, entries: int) -> RetryLimits:
+    """Compute the limits on one entry from those on all entries.
 
     Args:
         bounds: limits for all entries together.
         entries: number of entries.
 
     Returns:
-        The share of one entry.
+        The limits on one entry.
     """
-    return RetryShare(
-        tokens_per_request=SHARE_USED * bounds.retry_share,
+    return RetryLimits(
+        tokens_per_request=SPENDABLE_SHARE * bounds.retry_share,
         token_lifetime_seconds=TOKEN_LIFETIME_SHARE
         * bounds.retry_window_seconds,
-        slack=SLACK_USED * bounds.retry_slack / max(1, entries),
+        slack=SPENDABLE_SLACK_SHARE * bounds.retry_slack / max(1, entries),
         slack_period_seconds=bounds.retry_window_seconds,
     )
 
@@ -70,33 +70,33 @@
 class RetryBudget:
     """Token budget for an entry's retries and hedges to one service.
 
-    Keeps retries from amplifying a brownout: calls fail, and their retries
-    would double the load that made them fail. In any window there are never
-    more retries than a share of the requests plus the slack.
+    Limits retries so that they do not add to the overload that made the calls
+    fail; with a retry for each, they would double it. In any window there are
+    never more retries than a share of the requests plus the slack.
 
     The share of one entry may be far less than one token. So the initial
     fraction of a token and the rounding of the slack are random, and all
     entries together get what they are allowed.
 
     Attributes:
-        share: limits of this entry; may be replaced at any time.
+        limits: limits of this entry; may be replaced at any time.
     """
 
-    __slots__ = ('_expiries', '_fraction', '_slack', '_slack_until', 'share')
+    __slots__ = ('_expiries', '_fraction', '_slack', '_slack_until', 'limits')
 
-    def __init__(self, share: RetryShare, *, now: float) -> None:
+    def __init__(self, limits: RetryLimits, *, now: float) -> None:
         """Create a budget with the slack of one period.
 
         Args:
-            share: limits of this entry.
+            limits: limits of this entry.
             now: current time, seconds.
         """
-        self.share = share
+        self.limits = limits
         self._expiries: deque[float] = deque()
         self._fraction = random.random()
         self._slack = 0
         self._slack_until = now
-        self._expire_tokens(now)
+        self._update_tokens(now)
 
     @property
     def tokens(self) -> int:
@@ -109,11 +109,11 @@
         Args:
             now: current time, seconds.
         """
-        self._expire_tokens(now)
-        self._fraction += self.share.tokens_per_request
+        self._update_tokens(now)
+        self._fraction += self.limits.tokens_per_request
         if self._fraction >= 1:
             self._fraction -= 1
-            self._expiries.append(now + self.share.token_lifetime_seconds)
+            self._expiries.append(now + self.limits.token_lifetime_seconds)
 
     def spend(self, *, now: float) -> bool:
         """Spend a token on a retry or hedge.
@@ -124,7 +124,7 @@
         Returns:
             Whether a token was left.
         """
-        self._expire_tokens(now)
+        self._update_tokens(now)
         if self._expiries:
             self._expiries.popleft()
         elif self._slack:
@@ -133,9 +133,9 @@
             return False
         return True
 
-    def _expire_tokens(self, now: float) -> None:
+    def _update_tokens(self, now: float) -> None:
         while self._expiries and self._expiries[0] < now:
             self._expiries.popleft()
         if self._slack_until <= now:
-            self._slack_until = now + self.share.slack_period_seconds
-            self._slack = int(self.share.slack + random.random())
+            self._slack_until = now + self.limits.slack_period_seconds
+            self._slack = int(self.limits.slack + random.random())
--- a/wagtaildale/calls/callers.py
+++ b/wagtaildale/calls/callers.py
@@ -40,18 +40,20 @@
     """Limits on what callers send and on how long they take.
 
     Attributes:
-        head_bytes: largest request head.
-        body_bytes: largest request body.
-        head_seconds: longest time from the first byte of a head to its last.
-        idle_seconds: how long a connection may stay open without a request.
-        connections: largest number of open connections.
+        max_head_bytes: largest request head.
+        max_body_bytes: largest request body.
+        head_timeout_seconds: longest time from the first byte of a head to its
+            last.
+        idle_timeout_seconds: longest time that a connection stays open without
+            a request.
+        max_connections: largest number of open connections.
     """
 
-    head_bytes: int
-    body_bytes: int
-    head_seconds: float = 10.0
-    idle_seconds: float = 60.0
-    connections: int = 512
+    max_head_bytes: int
+    max_body_bytes: int
+    head_timeout_seconds: float = 10.0
+    idle_timeout_seconds: float = 60.0
+    max_connections: int = 512
 
 
 class CallerPort:
@@ -61,7 +63,8 @@
         loop: event loop of the connections.
         request_handler: answers the requests.
         read_limits: returns the limits that are in force.
-        draining: whether connections close once their requests are answered.
+        is_draining: whether connections close once their requests are
+            answered.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         self.loop = loop
         self.request_handler = request_handler
         self.read_limits = read_limits
-        self.draining = False
+        self.is_draining = False
         self._connections: set[CallerConnection] = set()
         self._acceptor = Acceptor(loop, on_accept=self._accept)
 
@@ -92,7 +95,7 @@
 
     @property
     def active_calls(self) -> int:
-        """Number of requests in progress, with unsent answers counted."""
+        """Number of requests in progress, with unsent responses counted."""
         return sum(each.active_calls for each in tuple(self._connections))
 
     @property
@@ -120,9 +123,9 @@
         """Close each connection once its requests are answered.
 
         New connections are still accepted: a caller that does not know yet that
-        the node leaves gets an answer, and is told to close the connection.
+        the node leaves gets a response that asks it to close the connection.
         """
-        self.draining = True
+        self.is_draining = True
 
     def close_port(self) -> None:
         """Accept no more connections; open ones stay open."""
@@ -131,9 +134,9 @@
     def close_idle(self) -> None:
         """Close connections that were answered and have no open request.
 
-        Without this, while the node waits for a long answer to one caller,
-        another one would send a request on its open connection and be cut off
-        when the stop ends.
+        Without this, while the node waits for a long response to one caller,
+        another one would send a request on its open connection, and the
+        connection would close without a response when the stop ends.
         """
         for connection in tuple(self._connections):
             connection.close_idle()
@@ -155,7 +158,7 @@
     def _accept(self, sock: socket.socket) -> None:
         connection = CallerConnection(self, sock)
         self._connections.add(connection)
-        if len(self._connections) > self.read_limits().connections:
+        if len(self._connections) > self.read_limits().max_connections:
             connection.refuse(
                 CallFailed(Code.overloaded, detail='too many connections'),
             )
@@ -175,7 +178,7 @@
     """
 
     def __init__(self, port: CallerPort, sock: socket.socket) -> None:
-        """Take over an accepted connection.
+        """Create the connection for an accepted socket.
 
         Args:
             port: port that accepted it.
@@ -184,8 +187,8 @@
         self._port = port
         self._stream = Stream(port.loop, sock, self)
         self._parser = MessageParser(
-            of_requests=True,
-            head_bytes=port.read_limits().head_bytes,
+            parses_requests=True,
+            max_head_bytes=port.read_limits().max_head_bytes,
         )
         self._exchanges: deque[Exchange] = deque()
         self._incoming: Exchange | None = None
@@ -200,7 +203,7 @@
         """Number of requests in progress.
 
         Unsent output counts as one request: otherwise the node would consider a
-        long answer to a slow reader done, and end before it is sent.
+        long response to a slow reader done, and end before it is sent.
         """
         return len(self._exchanges) or int(self._stream.unsent_bytes > 0)
 
@@ -210,10 +213,10 @@
         return self._stream.is_full
 
     def closes_after(self, exchange: Exchange) -> bool:
-        """Tell whether a response is the last one of the connection.
+        """Check whether a response is the last one of the connection.
 
-        The connection stays open for requests that follow: they are in
-        progress, and closing would lose their answers.
+        It is not if later requests are already in progress: closing would lose
+        their responses.
 
         Args:
             exchange: exchange whose response is written.
@@ -222,9 +225,9 @@
             Whether the response tells the caller that the connection closes.
         """
         message = exchange.message
-        closing = self._port.draining or not message.keep_alive
+        is_closing = self._port.is_draining or not message.keep_alive
         return self._exchanges[-1] is exchange and (
-            closing or not message.is_complete or self._failure is not None
+            is_closing or not message.is_complete or self._failure is not None
         )
 
     def set_reading(self, *, enabled: bool) -> None:
@@ -279,21 +282,21 @@
         """Refuse a head that takes too long; close an idle connection.
 
         Args:
-            now: time on the clock, in seconds.
+            now: current time, seconds on the monotonic clock.
         """
         if self.active_calls or self._failure is not None:
             return
         limits = self._port.read_limits()
         if self._parser.has_more():
-            if now - self._last_activity_at > limits.head_seconds:
+            if now - self._last_activity_at > limits.head_timeout_seconds:
                 self.refuse(CallFailed(Code.head_timed_out))
-        elif now - self._last_activity_at > limits.idle_seconds:
+        elif now - self._last_activity_at > limits.idle_timeout_seconds:
             self._finish_unless_input_pending()
 
     def close_idle(self) -> None:
         """Close if no request is in progress.
 
-        A connection without any answer so far is kept: the caller has just
+        A connection without any response so far is kept: the caller has just
         connected and is about to send its request.
         """
         is_active = self.active_calls or self._failure is not None
@@ -383,7 +386,7 @@
 
     def _continue_idle(self) -> None:
         # Pipelined requests are not started while the node stops.
-        if self._port.draining and self._parser.has_more():
+        if self._port.is_draining and self._parser.has_more():
             self._finish()
         else:
             self._resume_parsing()
@@ -404,7 +407,7 @@
             self._incoming.receiver.on_body()
 
     def _is_ending(self) -> bool:
-        # Requests that follow one that asks to close, or one whose answer has
+        # Requests that follow one that asks to close, or one whose response has
         # announced the close, are ignored. While the node drains, no further
         # pipelined requests are started: a caller that always has another one
         # in progress would never let the node stop.
@@ -414,14 +417,14 @@
             return False
         last = self._exchanges[-1]
         return (
-            self._port.draining
+            self._port.is_draining
             or last.announces_close
             or not last.message.keep_alive
         )
 
     def _send_failure(self, failure: CallFailed) -> None:
         head, body = build_error_response(failure)
-        writer = ResponseWriter(b'GET', closing=True)
+        writer = ResponseWriter(b'GET', closes_connection=True)
         self._stream.send(writer.begin(head, body=body, more=False))
         self._finish()
 
@@ -436,7 +439,7 @@
         if aborted:
             self._stream.close()
         elif self._stream.unsent_bytes:
-            # Closing now would cut off the answer to a slow reader. The
+            # Closing now would cut off the response to a slow reader. The
             # connection closes once all of it is sent.
             self._drop_exchanges()
             return
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -23,7 +23,9 @@
 
 
 class Entry:
-    """Answers callers' requests.
+    """Forwards callers' requests to upstreams.
+
+    Holds the retry budgets and hedge delays that the calls share.
 
     Attributes:
         parts: components of the node that the entry uses.
@@ -71,16 +73,16 @@
                 ): self.targets.is_in_other_data_centre(
                     record,
                 )
-                for record in self.targets.list_subset()
-                if self._is_wanted(record, now)
+                for record in self.targets.list_connected_upstreams()
+                if self._needs_connection(record, now)
             },
         )
-        share = self.parts.read_retry_share()
+        limits = self.parts.read_retry_limits()
         for budget in self._budgets.values():
-            budget.share = share
+            budget.limits = limits
         self.parts.loop.alarms.set(REFRESH_SECONDS, self.refresh)
 
-    def find_budget(self, service: ServiceName) -> RetryBudget:
+    def find_or_create_budget(self, service: ServiceName) -> RetryBudget:
         """Return the retry budget of a service, created on first use.
 
         Args:
@@ -92,14 +94,14 @@
         budget = self._budgets.get(service)
         if budget is None:
             budget = RetryBudget(
-                self.parts.read_retry_share(),
+                self.parts.read_retry_limits(),
                 now=read_clock(),
             )
             self._budgets[service] = budget
         return budget
 
-    def _is_wanted(self, record: InstanceRecord, now: float) -> bool:
-        # A leaving owner would only close a new connection.
+    def _needs_connection(self, record: InstanceRecord, now: float) -> bool:
+        # A leaving owner would close a new connection at once.
         upstream = self.parts.placement.statistics.find(
             record.instance, now=now
         )
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -12,7 +12,7 @@
 from wagtaildale.calls.report import CallReport
 from wagtaildale.calls.responses import ResponseHead
 from wagtaildale.calls.routed_call import RoutedCall, route_call
-from wagtaildale.calls.suspected_call import check_suspect, mark_harmful
+from wagtaildale.calls.suspected_call import find_suspect, mark_harmful
 from wagtaildale.errors.codes import Code
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import Outcome
@@ -30,7 +30,7 @@
 
 
 class EntryCall:
-    """Answers one request by way of its attempts.
+    """Forwards one request in one or more attempts and answers its caller.
 
     Acts as ``ExchangeReceiver`` for the caller and as ``AttemptReceiver``
     for the attempts.
@@ -53,7 +53,7 @@
         self._running: list[Attempt] = []
         self._alarms: list[Alarm] = []
         self._uncredited_bytes = 0
-        self._has_run = False
+        self._may_have_run = False
         self._error_response: tuple[Attempt, Answered] | None = None
         self._status = 0
         self._is_over = False
@@ -117,12 +117,12 @@
         )
 
     def on_writable(self) -> None:
-        """Send credit: the caller accepted what was written."""
+        """Let the upstream send more: the caller has read what was written."""
         if self._uncredited_bytes and self._running:
             self._running[0].send_credit(self._uncredited_bytes)
             self._uncredited_bytes = 0
 
-    def note_answer(self, attempt: Attempt, answer: AnswerFields) -> None:
+    def note_owner_state(self, attempt: Attempt, answer: AnswerFields) -> None:
         """Record the state an owner reports; see ``AttemptReceiver``.
 
         Args:
@@ -135,7 +135,7 @@
                 attempt.target.address,
                 answer.leaving,
             )
-        self.attempts.ends = max(self.attempts.ends, answer.ends)
+        self.attempts.crash_count = max(self.attempts.crash_count, answer.ends)
 
     def on_answer(self, attempt: Attempt, frame: Answered) -> None:
         """Handle an upstream's response; see ``AttemptReceiver``.
@@ -147,11 +147,11 @@
         if self._is_over:
             return
         self._drop(attempt)
-        hedge_delay = self._entry.hedge_delays.find(
+        hedge_delay = self._entry.hedge_delays.find_or_create(
             attempt.target.fields.work_class,
         )
         hedge_delay.add_sample(read_clock() - attempt.started_at)
-        self._has_run = True
+        self._may_have_run = True
         if not self._retry_after_error(attempt, frame):
             self._respond(attempt, frame)
 
@@ -168,7 +168,7 @@
         self._credit_or_finish(attempt, len(frame.body), more=frame.more)
 
     def on_attempt_silent(self, attempt: Attempt, failure: CallFailed) -> None:
-        """Start an attempt beside a silent one; see ``AttemptReceiver``.
+        """Start another attempt beside a silent one; see ``AttemptReceiver``.
 
         If no other upstream or no retry is left, the call keeps waiting:
         silence alone does not cancel a request that its server may be
@@ -181,9 +181,11 @@
         """
         if self._is_over or self._running != [attempt]:
             return
-        if not self._entry.targets.has_untried(self.routed, self.attempts):
+        if not self._entry.targets.has_untried_upstream(
+            self.routed, self.attempts
+        ):
             return
-        if self._take_retry(failure):
+        if self._try_retry(failure):
             self._report.note_retry(failure)
             self._start_attempt()
 
@@ -199,16 +201,16 @@
         self._entry.targets.note_failure(attempt.target, failure)
         self._drop(attempt)
         if attempt.is_run_sent and failure.outcome is not Outcome.not_run:
-            self._has_run = True
-        if self._exchange.is_begun:
+            self._may_have_run = True
+        if self._exchange.has_response_begun:
             # The connection closes before the end of the body. HTTP treats
             # that as an error, so the caller never takes a truncated
             # response for a complete one.
             self._end()
             self._report.note_failure(failure)
             self._exchange.abort()
-        elif all(other.is_silent for other in self._running):
-            self._retry(attempt, failure)
+        elif all(other.was_silent for other in self._running):
+            self._redirect_retry_or_fail(attempt, failure)
 
     # Routing and attempts
 
@@ -219,7 +221,7 @@
         self._routed = routed
         self._report.note_routed(routed)
         self.deadline = routed.deadline
-        budget = self._entry.find_budget(routed.service)
+        budget = self._entry.find_or_create_budget(routed.service)
         budget.earn(now=read_clock())
         work_class = routed.match.work_class
         self._attempts = Attempts(
@@ -232,8 +234,10 @@
             method=exchange.message.method,
             target=exchange.message.target,
             headers=routed.headers,
-            body=RequestBody(exchange, limit=parts.read_limits().body_bytes),
-            reserves=parts.reserves and not work_class.idempotent,
+            body=RequestBody(
+                exchange, limit=parts.read_limits().max_body_bytes
+            ),
+            needs_reservation=parts.reserves and not work_class.idempotent,
         )
 
     def _start_if_ready(self) -> None:
@@ -242,24 +246,24 @@
         elif self._exchange.message.find(EXPECT_FIELD) is not None:
             self._exchange.send_continue()
 
-    def _start_attempt(self, *, spare: bool = False) -> None:
+    def _start_attempt(self, *, is_hedge: bool = False) -> None:
         try:
-            attempt = self._make_attempt(spare=spare)
+            attempt = self._make_attempt(is_hedge=is_hedge)
         except CallFailed as failure:
-            self._fail_if_last(failure)
+            self._fail_unless_attempts_run(failure)
             return
         self._running.append(attempt)
         self._report.note_attempt(attempt.target)
         self._plan_hedge(attempt)
         attempt.start()
 
-    def _make_attempt(self, *, spare: bool) -> Attempt:
+    def _make_attempt(self, *, is_hedge: bool) -> Attempt:
         targets = self._entry.targets
         target = targets.choose(
             self.routed,
             self.attempts,
-            spare=spare,
-            suspect=check_suspect(
+            is_hedge=is_hedge,
+            suspect=find_suspect(
                 self._entry.parts,
                 self.routed,
                 self.request,
@@ -268,15 +272,17 @@
         )
         return Attempt(self, target=target, peer=targets.find_peer(target))
 
-    def _retry(self, attempt: Attempt, failure: CallFailed) -> None:
+    def _redirect_retry_or_fail(
+        self, attempt: Attempt, failure: CallFailed
+    ) -> None:
         now = read_clock()
         replayable = self.request.body.is_replayable
         attempts = self.attempts
-        attempts.note_refusal(attempt.target.fields.instance, failure.code)
-        if attempts.take_redirect(failure, now=now) and replayable:
-            self._report.note_refusal(failure)
+        attempts.note_rejection(attempt.target.fields.instance, failure.code)
+        if attempts.try_redirect(failure, now=now) and replayable:
+            self._report.note_redirect(failure)
             self._start_attempt()
-        elif self._take_retry(failure):
+        elif self._try_retry(failure):
             self._report.note_retry(failure)
             self._start_attempt()
         else:
@@ -284,10 +290,10 @@
                 failure, idempotent=attempts.idempotent
             )
             mark_harmful(failure, attempts)
-            self._fail_if_last(failure)
+            self._fail_unless_attempts_run(failure)
 
-    def _take_retry(self, failure: CallFailed) -> bool:
-        return self.attempts.take_retry(
+    def _try_retry(self, failure: CallFailed) -> bool:
+        return self.attempts.try_retry(
             failure,
             now=read_clock(),
             replayable=self.request.body.is_replayable,
@@ -297,7 +303,7 @@
         """Retry at another upstream if the response is a server error."""
         if frame.status < SERVER_ERROR_STATUS or frame.more:
             return False
-        if any(not other.is_silent for other in self._running):
+        if any(not other.was_silent for other in self._running):
             return False
         shed = frame.status == SHED_STATUS
         failure = CallFailed(
@@ -306,7 +312,7 @@
             detail=f'status {frame.status}',
         )
         self._entry.targets.note_failure(attempt.target, failure)
-        if not self._take_retry(failure):
+        if not self._try_retry(failure):
             return False
         self._report.note_retry(failure)
         # The caller gets this response if no other attempt succeeds.
@@ -317,7 +323,7 @@
     def _plan_hedge(self, attempt: Attempt) -> None:
         if not self._entry.parts.hedges or len(self._running) > 1:
             return
-        hedge_delay = self._entry.hedge_delays.find(
+        hedge_delay = self._entry.hedge_delays.find_or_create(
             attempt.target.fields.work_class,
         )
         within_ms = self.routed.match.work_class.within_ms
@@ -334,12 +340,14 @@
             return
         if not self.request.body.is_replayable:
             return
-        if not self._entry.targets.has_untried(self.routed, self.attempts):
+        if not self._entry.targets.has_untried_upstream(
+            self.routed, self.attempts
+        ):
             return
-        if not self.attempts.take_hedge(now=read_clock()):
+        if not self.attempts.try_hedge(now=read_clock()):
             return
         self._report.note_hedge()
-        self._start_attempt(spare=True)
+        self._start_attempt(is_hedge=True)
 
     def _credit_or_finish(
         self, attempt: Attempt, size: int, *, more: bool
@@ -377,7 +385,7 @@
             Code.timed_out,
             outcome=Outcome.unknown if is_run_sent else Outcome.not_run,
         )
-        if self._exchange.is_begun:
+        if self._exchange.has_response_begun:
             return
         for attempt in self._running:
             self._entry.targets.note_failure(attempt.target, failure)
@@ -386,7 +394,7 @@
         )
         self._fail(failure)
 
-    def _fail_if_last(self, failure: CallFailed) -> None:
+    def _fail_unless_attempts_run(self, failure: CallFailed) -> None:
         # An attempt that is still running, even a silent one, may succeed.
         if not self._running:
             self._fail(failure)
@@ -397,7 +405,7 @@
         if self._error_response is not None:
             self._respond(*self._error_response)
             return
-        if self._has_run and failure.outcome is Outcome.not_run:
+        if self._may_have_run and failure.outcome is Outcome.not_run:
             # The request may have run at one upstream and lost its response
             # before the next upstream rejected it. "Not run" is true only of
             # the last one, so the caller must not get it.
--- a/wagtaildale/calls/failures.py
+++ b/wagtaildale/calls/failures.py
@@ -1,8 +1,9 @@
 """The exception that carries a failed call's code to its response.
 
 A call may fail in any of a dozen socket calls. One exception type carries the
-numbered code to the one place that builds the response; returning a
-``Result`` from each socket call would cost more than the socket call itself.
+numbered code to the one place that builds the response. Socket calls raise it
+too, so that no ``Result`` is checked after each of them, which would cost more
+than the call itself.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
     Attributes:
         code: numbered result code.
         outcome: whether the request ran, as far as is known.
-        detail: further explanation for operators.
+        detail: further explanation for callers and operators.
         retry_after: seconds after which a retry may succeed; 0 if unknown.
-        has_arrived: whether a backend server received the request and
-            rejected it.
-        ends: number of servers that crashed in succession while running the
-            request.
+        was_rejected_by_server: whether a backend server received the request
+            and rejected it.
+        crash_count: number of servers that crashed in succession while
+            running the request.
     """
 
     def __init__(
@@ -37,32 +38,32 @@
         outcome: Outcome = Outcome.not_run,
         detail: str = '',
         retry_after: float = 0,
-        has_arrived: bool = False,
+        was_rejected_by_server: bool = False,
     ) -> None:
         """Create a failure.
 
         Args:
             code: numbered result code.
             outcome: whether the request ran, as far as is known.
-            detail: further explanation for operators.
+            detail: further explanation for callers and operators.
             retry_after: seconds after which a retry may succeed; 0 if
                 unknown.
-            has_arrived: whether a backend server received the request and
-                rejected it.
+            was_rejected_by_server: whether a backend server received the
+                request and rejected it.
         """
         super().__init__(code.name)
         self.code = code
         self.outcome = outcome
         self.detail = detail
         self.retry_after = retry_after
-        self.has_arrived = has_arrived
-        self.ends = 0
+        self.was_rejected_by_server = was_rejected_by_server
+        self.crash_count = 0
 
-    def describe_ends(self) -> Inputs:
+    def describe_crashes(self) -> Inputs:
         """Return the number of servers that crashed, as event inputs.
 
         Returns:
             Inputs with the key ``ends``; empty if no server crashed while
             running the request.
         """
-        return {'ends': self.ends} if self.ends else {}
+        return {'ends': self.crash_count} if self.crash_count else {}
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -72,7 +72,7 @@
         self._times = times
 
     def send_grant(self, fields: CallFields, *, lease: TicketId) -> None:
-        """Tell the entry that a slot is held for the call.
+        """Send the lease of the slot that is held for the call.
 
         Args:
             fields: fields of the call.
@@ -97,7 +97,8 @@
             fields: fields of the call.
             answer: response as far as it has arrived.
             more: whether more of the body follows.
-            length: announced length of the body in bytes, or -1.
+            length: announced length of the body, bytes, or
+                ``UNKNOWN_LENGTH``.
         """
         self._channel.reply(
             Answered(
@@ -144,7 +145,7 @@
         self._channel.reply(BodyPiece(self._number, piece, more=more))
 
     def send_window_update(self, size: int) -> None:
-        """Tell the entry that the backend server has taken a part of the body.
+        """Send credit for a part of the body that the backend server read.
 
         Args:
             size: size of the part in bytes.
@@ -152,11 +153,11 @@
         self._channel.reply(WindowUpdate(self._number, size))
 
     def abort(self) -> None:
-        """Tell the entry that a response is cut off."""
+        """Report that the response ended before it was complete."""
         self._channel.reply(ResponseAborted(self._number))
 
     def send_failure(self, fields: CallFields, failure: CallFailed) -> None:
-        """Tell the entry that there is no response.
+        """Send the failure of a call that gets no response.
 
         Args:
             fields: fields of the call.
@@ -168,8 +169,8 @@
             outcome=failure.outcome,
             owner_seconds=self._times.measure_elapsed(),
             retry_ms=round(failure.retry_after * MILLISECONDS),
-            has_arrived=failure.has_arrived,
+            has_arrived=failure.was_rejected_by_server,
         )
-        if failure.ends:
-            answer = structs.replace(answer, ends=failure.ends)
+        if failure.crash_count:
+            answer = structs.replace(answer, ends=failure.crash_count)
         self._channel.reply(Failed(self._number, answer, failure.detail))
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -100,7 +100,7 @@
         self.acceptor.start()
 
     def announce_drain(self) -> None:
-        """Tell every entry that this owner accepts no new calls."""
+        """Notify every entry that this owner accepts no new calls."""
         for session in tuple(self._sessions):
             session.calls.announce_drain()
 
@@ -175,12 +175,11 @@
         for call in tuple(self._calls.values()):
             call.cancel()
 
-    def enable_drain_notice(self) -> None:
-        """Note that the entry understands ``DrainNotice``.
+    def on_drain_notice_supported(self) -> None:
+        """Record that the entry accepts ``DrainNotice``; send it the state.
 
-        Sends the notice if the owner already drains. Also sends the load
-        report, if there is one, that other entries were sent before this one
-        connected.
+        Sends the notice if the owner already drains, and the latest load report
+        that other entries were sent before this one connected, if any.
         """
         self._accepts_drain_notice = True
         self.announce_drain()
@@ -306,7 +305,7 @@
 def _handle_ping(frame: Ping, calls: CallTable) -> None:
     calls.reply(Pong())
     if frame.accepts_drain_notice:
-        calls.enable_drain_notice()
+        calls.on_drain_notice_supported()
 
 
 @dispatch_frame.register
@@ -322,7 +321,7 @@
     """
 
     def __init__(self, port: PeerPort, sock: socket.socket) -> None:
-        """Take over an accepted connection.
+        """Create the session for an accepted socket.
 
         Args:
             port: port that accepted it.
@@ -419,6 +418,9 @@
     if mark not in {PLAIN, COMPRESSED}:
         raise CallFailed(
             Code.message_malformed,
-            detail='first byte is no known compression mark',
+            detail=(
+                'first byte is no known compression mark; '
+                'the sender is no node or has an incompatible version'
+            ),
         )
     return mark == COMPRESSED
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -32,33 +32,36 @@
     from wagtaildale.types import InstanceId
     from wagtaildale.telemetry.events import EventRecorder
 
-# Most runs end within this time, so a retry after it finds the trial's place
-# free again.
+# Most trials end within this time, so that a retry after it is not rejected
+# because of the same trial.
 TRIAL_RETRY_SECONDS: Final = 0.2
-# A harmful request is tried only at a server that has been up for this many of
-# the request's rest periods, so that a server that has just restarted is not
-# crashed again.
-MIN_UPTIME_RESTS: Final = 30
+# A harmful request is tried only at a server that has been up for this many
+# times the delay before its trial, so that a server that has just restarted is
+# not crashed again.
+MIN_UPTIME_TRIAL_DELAYS: Final = 30
 
-StartedRun = tuple['Run', Callable[[CallFailed], None]]
+# A run and the callback that abandons it.
+AbandonableRun = tuple['Run', Callable[[CallFailed], None]]
 
 
 class SuspectTrials:
-    """Runs suspected requests one at a time.
+    """Limits which suspected requests run at a server at the same time.
 
     If a request crashes every server that runs it, a harmless request that
-    ran beside it each time would look just as harmful. So no two suspected
-    requests run at one server at the same time.
+    ran beside it each time would look just as harmful. So only one trial runs
+    at a server at a time. Requests that are confined to the nodes of crashed
+    servers may run beside others, but each of them only once at a time.
 
     Attributes:
-        board: known crashes by request.
-        ends: detection of server crashes and the requests that ran then.
+        suspects: known crashes by request.
+        end_detector: detection of server crashes and of the requests that ran
+            then.
         answered: requests that the server has recently answered.
     """
 
     def __init__(
         self,
-        board: SuspectsHolder,
+        suspects: SuspectsHolder,
         *,
         node: InstanceId,
         dialect: Dialect,
@@ -68,29 +71,29 @@
         """Create an instance without a request on trial.
 
         Args:
-            board: known crashes by request.
+            suspects: known crashes by request.
             node: node beside the server.
             dialect: names of the header fields, for the caller's service.
             view: instance list, to find the servers that run trials.
             recorder: recorder of events, for crashes of the server.
         """
-        self.board = board
+        self.suspects = suspects
         self._node = node
         self._dialect = dialect
         self.answered = RecentAnswers()
-        self.ends = ServerEndDetector(
-            board,
+        self.end_detector = ServerEndDetector(
+            suspects,
             node=node,
             answered=self.answered,
             recorder=recorder,
         )
         self._view = view
         self._on_trial: Run | None = None
-        self._turns = SerialRuns()
-        self._started_runs: dict[int, StartedRun] = {}
+        self._serial_runs = SerialRuns()
+        self._started_runs: dict[int, AbandonableRun] = {}
 
     def is_suspected(self, run: Run) -> bool:
-        """Check whether any server has crashed while running a request.
+        """Check whether a server is known to have crashed during a request.
 
         Args:
             run: the request.
@@ -100,23 +103,25 @@
         """
         if run.fields.ends:
             return True
-        if not self.board.current.records:
+        if not self.suspects.current.records:
             return False
-        return bool(self.board.current.find(self.find_fingerprint(run)).ends)
+        return bool(
+            self.suspects.current.find(self.compute_run_fingerprint(run)).ends
+        )
 
     def admit(
         self,
         run: Run,
         *,
         up_seconds: float,
-        on_turn: Callable[[], None],
+        on_retry: Callable[[], None],
     ) -> int | None:
         """Admit a request to the server, queue it, or reject it.
 
         Args:
             run: the request.
             up_seconds: uptime of the server, seconds.
-            on_turn: callback for a queued request, called when the one
+            on_retry: callback for a queued request, called when the one
                 before it has ended; it calls ``admit`` again.
 
         Returns:
@@ -127,65 +132,68 @@
             CallFailed: if the request may not run here, or not now.
         """
         reported_ends = run.fields.ends
-        if not reported_ends and not self.board.current.records:
+        if not reported_ends and not self.suspects.current.records:
             return 0
-        fingerprint = self.find_fingerprint(run)
-        judgement = self.board.judge(fingerprint, reported_ends=reported_ends)
-        ends = judgement.ends
+        fingerprint = self.compute_run_fingerprint(run)
+        judgement = self.suspects.judge(
+            fingerprint, reported_ends=reported_ends
+        )
+        crash_count = judgement.ends
         if judgement.standing is Standing.harmful:
-            raise build_suspect_refusal(
+            raise build_suspect_rejection(
                 Code.request_harmful,
                 fingerprint,
-                ends=ends,
+                crash_count=crash_count,
                 wait_seconds=judgement.wait_seconds,
             )
         if judgement.standing is Standing.trial:
-            self._check_place(run, fingerprint, judgement)
-            self._begin_trial(run, fingerprint, ends, up_seconds)
+            self._check_may_run_here(run, fingerprint, judgement)
+            self._start_trial(run, fingerprint, crash_count, up_seconds)
         elif judgement.is_confined:
-            self._check_place(run, fingerprint, judgement)
-            if not self._take_turn(run, fingerprint, ends, on_turn):
+            self._check_may_run_here(run, fingerprint, judgement)
+            if not self._start_or_queue(
+                run, fingerprint, crash_count, on_retry
+            ):
                 return None
-        return ends
+        return crash_count
 
     def note_begun(
         self,
         run: Run,
         *,
-        give_up: Callable[[CallFailed], None],
+        abandon: Callable[[CallFailed], None],
     ) -> None:
         """Register a run that goes to the server.
 
-        Without this, a request that runs at two servers crashes the first
-        one and shortly after the second. The report of the first crash
-        arrives in between, and runs of idempotent requests are abandoned
-        then.
+        A request may run at two servers at once. If it crashes the first one,
+        the report usually arrives before it crashes the second one, and the
+        run there is then abandoned if the request is idempotent.
 
         Args:
             run: the request.
-            give_up: callback that abandons the run, called if another server
+            abandon: callback that abandons the run, called if another server
                 has crashed while running the same request.
         """
         if run.fields.idempotent:
-            self._started_runs[id(run)] = (run, give_up)
+            self._started_runs[id(run)] = (run, abandon)
 
     def abandon_suspected_runs(self) -> None:
-        """Abandon runs of requests that other servers crashed under."""
-        known = self.board.current
-        for run, give_up in tuple(self._started_runs.values()):
-            fingerprint = self.find_fingerprint(run)
+        """Abandon runs of requests during which other servers crashed."""
+        known = self.suspects.current
+        for run, abandon in tuple(self._started_runs.values()):
+            fingerprint = self.compute_run_fingerprint(run)
             record = known.find(fingerprint)
             if record.nodes and not self.answered.has(fingerprint):
-                failure = build_suspect_refusal(
+                failure = build_suspect_rejection(
                     Code.request_on_trial,
                     fingerprint,
-                    ends=record.ends,
+                    crash_count=record.ends,
                 )
                 failure.outcome = Outcome.unknown
-                give_up(failure)
+                abandon(failure)
 
     def release(self, run: Run) -> None:
-        """Free the trial or turn that a finished request held.
+        """Let other runs start in place of a finished one.
 
         Args:
             run: the request.
@@ -193,7 +201,7 @@
         self._started_runs.pop(id(run), None)
         if self._on_trial is run:
             self._on_trial = None
-        self._turns.release(run)
+        self._serial_runs.release(run)
 
     def note_answered(self, run: Run) -> None:
         """Record that the server answered a request.
@@ -201,12 +209,12 @@
         Args:
             run: the request.
         """
-        fingerprint = self.find_fingerprint(run)
+        fingerprint = self.compute_run_fingerprint(run)
         self.answered.note(fingerprint)
-        if self.board.current.records:
-            self.board.note_answered(fingerprint)
+        if self.suspects.current.records:
+            self.suspects.note_answered(fingerprint)
 
-    def find_fingerprint(self, run: Run) -> Fingerprint:
+    def compute_run_fingerprint(self, run: Run) -> Fingerprint:
         """Compute the fingerprint of a request.
 
         Args:
@@ -226,7 +234,7 @@
             caller_field=self._dialect.caller_service,
         )
 
-    def _check_place(
+    def _check_may_run_here(
         self,
         run: Run,
         fingerprint: Fingerprint,
@@ -236,62 +244,62 @@
         if not judgement.nodes:
             # The entry knows of a crash that this node does not know of yet.
             return
-        places = list_allowed_upstreams(
+        allowed = list_allowed_upstreams(
             self._view.current,
             ServiceName(fields.work_class.partition('/')[0]),
             fingerprint=fingerprint,
             judgement=judgement,
         )
-        nodes = [place.node_id for place in places]
+        nodes = [record.node_id for record in allowed]
         if nodes and self._node not in nodes:
-            raise build_suspect_refusal(
+            raise build_suspect_rejection(
                 Code.request_on_trial,
                 fingerprint,
-                ends=judgement.ends,
+                crash_count=judgement.ends,
             )
 
-    def _take_turn(
+    def _start_or_queue(
         self,
         run: Run,
         fingerprint: Fingerprint,
-        ends: int,
-        on_turn: Callable[[], None],
+        crash_count: int,
+        on_retry: Callable[[], None],
     ) -> bool:
         subject = find_subject(fingerprint)
-        if self._turns.is_full(subject):
-            raise build_suspect_refusal(
-                Code.request_on_trial, fingerprint, ends=ends
+        if self._serial_runs.is_full(subject):
+            raise build_suspect_rejection(
+                Code.request_on_trial, fingerprint, crash_count=crash_count
             )
-        return self._turns.acquire(subject, run, on_turn=on_turn)
+        return self._serial_runs.acquire(subject, run, on_retry=on_retry)
 
-    def _begin_trial(
+    def _start_trial(
         self,
         run: Run,
         fingerprint: Fingerprint,
-        ends: int,
+        crash_count: int,
         up_seconds: float,
     ) -> None:
         min_uptime_seconds = (
             0
-            if ends < HARMFUL_ENDS
-            else MIN_UPTIME_RESTS * find_trial_delay(ends)
+            if crash_count < HARMFUL_ENDS
+            else MIN_UPTIME_TRIAL_DELAYS * find_trial_delay(crash_count)
         )
         wait_seconds = min_uptime_seconds - up_seconds
         if self._on_trial is not None or wait_seconds > 0:
-            raise build_suspect_refusal(
+            raise build_suspect_rejection(
                 Code.request_on_trial,
                 fingerprint,
-                ends=ends,
+                crash_count=crash_count,
                 wait_seconds=max(TRIAL_RETRY_SECONDS, wait_seconds),
             )
         self._on_trial = run
 
 
-def build_suspect_refusal(
+def build_suspect_rejection(
     code: Code,
     fingerprint: Fingerprint,
     *,
-    ends: int,
+    crash_count: int,
     wait_seconds: float = TRIAL_RETRY_SECONDS,
 ) -> CallFailed:
     """Build the failure that rejects a suspected request.
@@ -299,8 +307,8 @@
     Args:
         code: result code.
         fingerprint: fingerprint of the request, by which operators find it.
-        ends: number of servers that crashed in succession while running the
-            request.
+        crash_count: number of servers that crashed in succession while
+            running the request.
         wait_seconds: time after which the caller may retry, seconds.
 
     Returns:
@@ -311,5 +319,5 @@
         detail=fingerprint.hex(),
         retry_after=wait_seconds,
     )
-    failure.ends = ends
+    failure.crash_count = crash_count
     return failure
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -1,4 +1,4 @@
-"""Handles requests at the entry that servers have crashed under."""
+"""Rejects or restricts, at the entry, requests during which servers crashed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.calls.suspect_trials import build_suspect_refusal
+from wagtaildale.calls.suspect_trials import build_suspect_rejection
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.placement import ChosenUpstream
 from wagtaildale.routing.suspected_requests import list_allowed_upstreams
@@ -34,8 +34,9 @@
     from wagtaildale.routing.view import FleetView
     from wagtaildale.types import InstanceId
 
-# A crashed server rarely restarts sooner.
-RESTART_SECONDS: Final = 1.0
+# Retry delay for callers while a crashed server restarts; it rarely restarts
+# sooner.
+RESTART_RETRY_SECONDS: Final = 1.0
 
 
 class Suspect(Struct, frozen=True, kw_only=True):
@@ -50,20 +51,20 @@
     judgement: Judgement
 
 
-def check_suspect(
+def find_suspect(
     parts: EntryParts,
     routed: RoutedCall,
     request: OutgoingRequest,
     attempts: Attempts,
 ) -> Suspect | None:
-    """Check whether a request may be sent, and whether to any server.
+    """Find out whether a request is suspected; reject it if it may not run.
 
     Args:
         parts: components of the node that the entry uses.
         routed: the call with its route and class.
         request: request to be sent.
-        attempts: attempts of the call; ``ends`` is updated from the crashes
-            that this node knows of.
+        attempts: attempts of the call; ``crash_count`` is updated from the
+            crashes that this node knows of.
 
     Returns:
         The suspected request if it may run only at certain servers,
@@ -72,7 +73,7 @@
     Raises:
         CallFailed: if the request may not run now, with outcome ``not_run``.
     """
-    if not parts.suspects.current.records and not attempts.ends:
+    if not parts.suspects.current.records and not attempts.crash_count:
         return None
     fingerprint = compute_fingerprint(
         FingerprintInput(
@@ -84,13 +85,15 @@
         headers=request.headers,
         caller_field=parts.dialect.caller_service,
     )
-    judgement = parts.suspects.judge(fingerprint, reported_ends=attempts.ends)
-    attempts.ends = judgement.ends
+    judgement = parts.suspects.judge(
+        fingerprint, reported_ends=attempts.crash_count
+    )
+    attempts.crash_count = judgement.ends
     if judgement.standing is Standing.harmful:
-        raise build_suspect_refusal(
+        raise build_suspect_rejection(
             Code.request_harmful,
             fingerprint,
-            ends=judgement.ends,
+            crash_count=judgement.ends,
             wait_seconds=judgement.wait_seconds,
         )
     if judgement.standing is Standing.trial or judgement.is_confined:
@@ -117,10 +120,11 @@
 
     Returns:
         The upstream; ``None`` if the request may run at any server, because
-        the servers that crashed under it are no longer listed.
+        no server that crashed during it is listed and the last crash was
+        reported some seconds ago (``GONE_SECONDS``).
 
     Raises:
-        CallFailed: if all upstreams that may run the request were tried.
+        CallFailed: if no untried upstream may run the request now.
     """
     judgement = suspect.judgement
     if not judgement.nodes and attempts.tried:
@@ -130,32 +134,32 @@
             judgement,
             nodes=_find_last_node(view, attempts),
         )
-    places = list_allowed_upstreams(
+    allowed = list_allowed_upstreams(
         view,
         routed.service,
         fingerprint=suspect.fingerprint,
         judgement=judgement,
     )
-    if not places and judgement.age_seconds >= GONE_SECONDS:
+    if not allowed and judgement.age_seconds >= GONE_SECONDS:
         return None
     now = read_clock()
     untried = [
-        place
-        for place in places
-        if place.instance not in attempts.tried
-        and not statistics.leaving_servers.has(place)
+        record
+        for record in allowed
+        if record.instance not in attempts.tried
+        and not statistics.leaving_servers.has(record)
     ]
     up = [
-        place
-        for place in untried
-        if not statistics.down.has(place.instance, now=now)
+        record
+        for record in untried
+        if not statistics.down.has(record.instance, now=now)
     ]
     if not untried:
-        raise build_suspect_refusal(
+        raise build_suspect_rejection(
             Code.request_on_trial,
             suspect.fingerprint,
-            ends=attempts.ends,
-            wait_seconds=RESTART_SECONDS,
+            crash_count=attempts.crash_count,
+            wait_seconds=RESTART_RETRY_SECONDS,
         )
     return ChosenUpstream(record=(up or untried)[0], is_only_candidate=True)
 
@@ -169,7 +173,9 @@
 
 
 def mark_harmful(failure: CallFailed, attempts: Attempts) -> None:
-    """Report a request that crashes servers as harmful, with a retry delay.
+    """Change the result code to harmful for a request that crashes servers.
+
+    Also sets a retry delay.
 
     If the caller were told only that its server crashed, it would retry at
     once and crash the next one.
@@ -178,9 +184,12 @@
         failure: failure that the call ends with; changed in place.
         attempts: attempts of the call.
     """
-    has_crashed = failure.code in {Code.backend_ended, Code.outcome_unknown}
-    if has_crashed and attempts.ends >= HARMFUL_ENDS:
+    may_have_crashed_server = failure.code in {
+        Code.backend_ended,
+        Code.outcome_unknown,
+    }
+    if may_have_crashed_server and attempts.crash_count >= HARMFUL_ENDS:
         failure.code = Code.request_harmful
         failure.retry_after = min(
-            find_trial_delay(attempts.ends), MAX_RETRY_AFTER_SECONDS
+            find_trial_delay(attempts.crash_count), MAX_RETRY_AFTER_SECONDS
         )
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -36,12 +36,13 @@
     from wagtaildale.routing.placement import ChosenUpstream
     from wagtaildale.routing.statistics import FleetStatistics
 
-# A service without an upstream gets one only when the instance list changes;
-# retrying within a few milliseconds would use up the caller's retries.
-NO_UPSTREAM_SECONDS: Final = 0.25
+# Retry delay for callers of a service without an upstream. It gets one only
+# when the instance list changes; retrying within a few milliseconds would use
+# up the caller's retries.
+NO_UPSTREAM_RETRY_SECONDS: Final = 0.25
 
 
-class Target(Struct, frozen=True, kw_only=True):
+class AttemptTarget(Struct, frozen=True, kw_only=True):
     """Upstream of one attempt.
 
     Attributes:
@@ -76,15 +77,15 @@
         routed: RoutedCall,
         attempts: Attempts,
         *,
-        spare: bool = False,
+        is_hedge: bool = False,
         suspect: Suspect | None = None,
-    ) -> Target:
+    ) -> AttemptTarget:
         """Choose the target of the next attempt and mark it as tried.
 
         Args:
             routed: the call with its route and class.
             attempts: previous attempts; the new one is added.
-            spare: whether the attempt is a hedge, which runs only if a slot
+            is_hedge: whether the attempt is a hedge, which runs only if a slot
                 is free at once.
             suspect: suspected request, if it may run only at certain
                 servers.
@@ -95,17 +96,20 @@
         Raises:
             CallFailed: if no upstream accepts the request.
         """
-        placed = self._place(routed, attempts, suspect, spare=spare)
+        placed = self._place(routed, attempts, suspect, is_hedge=is_hedge)
         if placed is None:
             # Wait at an upstream instead of trying further ones. Otherwise,
             # if a service is overloaded everywhere, each request is sent to
             # all data centres and rejected in each.
-            attempts.refusals_left = 0
-            placed = self._place(routed, attempts, suspect, spare=spare)
+            attempts.rejections_left = 0
+            placed = self._place(routed, attempts, suspect, is_hedge=is_hedge)
         if isinstance(placed, Throttled):
             raise CallFailed(
                 Code.rate_limited,
-                detail=f'service {routed.service} takes {placed.share:.0%}',
+                detail=(
+                    f'service {routed.service} is rate limited and admits '
+                    f'{placed.share:.0%} of requests'
+                ),
                 retry_after=placed.retry_after,
             )
         if placed is None:
@@ -113,11 +117,11 @@
             raise CallFailed(
                 Code.no_upstream,
                 detail=detail,
-                retry_after=NO_UPSTREAM_SECONDS,
+                retry_after=NO_UPSTREAM_RETRY_SECONDS,
             )
         record = placed.record
         patient = (
-            not attempts.refusals_left
+            not attempts.rejections_left
             or record.instance in attempts.tried
             or placed.is_only_candidate
         )
@@ -126,7 +130,7 @@
             record.instance,
             now=read_clock(),
         )
-        return Target(
+        return AttemptTarget(
             address=Address(record.host, record.owner_port),
             is_local=record.host == self._parts.own_host,
             is_in_other_data_centre=self.is_in_other_data_centre(record),
@@ -136,16 +140,16 @@
                 attempts,
                 SendOptions(
                     rate=self._statistics.limits.find_rate(record.instance),
-                    patient=patient and not spare,
-                    spare=spare,
-                    pass_rank=_find_need_rank(routed, self._statistics),
+                    patient=patient and not is_hedge,
+                    spare=is_hedge,
+                    pass_rank=_find_priority_rank(routed, self._statistics),
                     share=placed.share,
                 ),
             ),
             upstream=upstream,
         )
 
-    def list_subset(self) -> Iterator[InstanceRecord]:
+    def list_connected_upstreams(self) -> Iterator[InstanceRecord]:
         """List the upstreams that the entry keeps connections to.
 
         Yields:
@@ -159,8 +163,10 @@
                 now=read_clock(),
             )
 
-    def has_untried(self, routed: RoutedCall, attempts: Attempts) -> bool:
-        """Check whether a further attempt would go to another upstream.
+    def has_untried_upstream(
+        self, routed: RoutedCall, attempts: Attempts
+    ) -> bool:
+        """Check whether there is an upstream that was not tried yet.
 
         Upstreams that are ejected or have a rate limit do not count.
 
@@ -169,7 +175,7 @@
             attempts: previous attempts.
 
         Returns:
-            Whether there is an upstream that was not tried yet.
+            Whether a further attempt would go to another upstream.
         """
         tried = attempts.tried
         statistics = self._statistics
@@ -187,7 +193,7 @@
             for record in candidates
         )
 
-    def find_peer(self, target: Target) -> Peer:
+    def find_peer(self, target: AttemptTarget) -> Peer:
         """Find the connection to the owner at a target.
 
         Args:
@@ -197,7 +203,7 @@
             The connection, in-process for the owner of this node.
         """
         if target.is_local:
-            return self._parts.local
+            return self._parts.local_peer
         return self._parts.peers.find(
             target.address,
             compressed=target.is_in_other_data_centre,
@@ -216,7 +222,7 @@
         """
         return record.data_centre != self._parts.data_centre
 
-    def note_answer(self, target: Target, answer: AnswerFields) -> None:
+    def note_answer(self, target: AttemptTarget, answer: AnswerFields) -> None:
         """Update the statistics from an answer of a target's owner.
 
         Args:
@@ -242,12 +248,11 @@
                 subject=target.fields.instance,
             )
 
-    def note_overtaken(self, target: Target, *, since: float) -> None:
-        """Update the statistics of a target that another one overtook.
+    def note_overtaken(self, target: AttemptTarget, *, since: float) -> None:
+        """Record that a target was still unanswered when another one answered.
 
         Args:
-            target: target of an attempt that was still unanswered when
-                another attempt was answered.
+            target: target of the attempt that was still unanswered.
             since: start time of the attempt, seconds on the monotonic clock.
         """
         now = read_clock()
@@ -258,7 +263,7 @@
             now=now,
         )
 
-    def note_failure(self, target: Target, failure: CallFailed) -> None:
+    def note_failure(self, target: AttemptTarget, failure: CallFailed) -> None:
         """Count a failed attempt, if the upstream caused the failure.
 
         Args:
@@ -284,7 +289,7 @@
         attempts: Attempts,
         suspect: Suspect | None,
         *,
-        spare: bool,
+        is_hedge: bool,
     ) -> ChosenUpstream | Throttled | None:
         parts = self._parts
         view = parts.view.current
@@ -314,20 +319,20 @@
             request=RequestContext(
                 data_centre=parts.data_centre,
                 work_class=format_class_name(routed),
-                slack_seconds=routed.due - now,
-                may_wait=bool(attempts.busy and attempts.refusals_left),
-                pass_rank=_find_need_rank(routed, self._statistics),
-                is_hedge=spare,
+                slack_seconds=routed.latency_target_at - now,
+                may_wait=bool(attempts.overloaded and attempts.rejections_left),
+                pass_rank=_find_priority_rank(routed, self._statistics),
+                is_hedge=is_hedge,
                 was_limited=attempts.was_limited,
             ),
             now=now,
         )
 
 
-def _find_need_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
+def _find_priority_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
     return find_request_rank(
         routed.match.work_class.rank,
         work_class=format_class_name(routed),
-        slack_seconds=routed.due - read_clock(),
+        slack_seconds=routed.latency_target_at - read_clock(),
         statistics=statistics,
     )
--- a/wagtaildale/lifecycle/tests/test_owner_stop.py
+++ b/wagtaildale/lifecycle/tests/test_owner_stop.py
@@ -47,7 +47,7 @@
 
     def __init__(self) -> None:
         self.pair = Pair()
-        far = self.pair.far
+        far = self.pair.owner_node
         self.stop = Stop(
             calls=far.calls,
             inbox=Inbox(),
@@ -60,7 +60,7 @@
         """Run the whole stop as the daemon does, and close the node."""
         self.stop.begin()
         self.stop.wait(seconds=2 * TIMEOUT_SECONDS)
-        self.pair.far.close()
+        self.pair.owner_node.close()
 
 
 @pytest.fixture
@@ -92,19 +92,19 @@
     closed.
     """
     pair = stopping_owner.pair
-    owner = (pair.far.record.host, pair.far.record.owner_port)
-    relayed = structs.replace(pair.far.record, host=RELAY_HOST)
+    owner = (pair.owner_node.record.host, pair.owner_node.record.owner_port)
+    relayed = structs.replace(pair.owner_node.record, host=RELAY_HOST)
     relay = Relay((relayed.host, relayed.owner_port), owner=owner)
     other = build_record('c', host='127.0.9.3')
     backend = BackendThread('c', host=other.host, port=BACKEND_PORT)
     with backend, MeshNode(other), ThreadPoolExecutor(2) as executor:
-        pair.near.set_instances(relayed)
+        pair.entry_node.set_instances(relayed)
         pair.ask('GET', '/files/1')
         returned = relay.returned_bytes
         relay.pause()
         pending = executor.submit(pair.ask, 'GET', '/files/2')
         wait_until(lambda: relay.held_bytes > 0)
-        pair.near.set_instances(relayed, other)
+        pair.entry_node.set_instances(relayed, other)
         stopped = executor.submit(stopping_owner.end_process)
         wait_until(lambda: stopped.done() or relay.returned_bytes > returned)
         relay.resume()
@@ -113,7 +113,7 @@
     relay.close()
     assert response.status == 200
     assert json.decode(body)['by'] == 'c'
-    tally = pair.near.tallies.sum_up()['casefiles/lookup']
+    tally = pair.entry_node.tallies.sum_up()['casefiles/lookup']
     assert tally.retried == 0
     assert pair.backend.counts.runs == 1
 
@@ -123,10 +123,10 @@
 ) -> None:
     """A stop is over while entries still send on open connections."""
     stopping_owner.pair.ask('GET', '/files/1')
-    assert stopping_owner.pair.far.calls.peer_port.open_connections == 1
+    assert stopping_owner.pair.owner_node.calls.peer_port.open_connections == 1
     stopping_owner.stop.begin()
     assert stopping_owner.stop.wait(seconds=TIMEOUT_SECONDS)
-    assert not stopping_owner.pair.far.calls.peer_port.open_connections
+    assert not stopping_owner.pair.owner_node.calls.peer_port.open_connections
 
 
 def test_peer_that_never_closes_does_not_hold_the_stop(
@@ -138,7 +138,7 @@
     it. Bytes that the entry still sends are answered with the end of the
     stream and not with a reset.
     """
-    record = stopping_owner.pair.far.record
+    record = stopping_owner.pair.owner_node.record
     address = (record.host, record.owner_port)
     with socket.create_connection(address, TIMEOUT_SECONDS) as sock:
         sock.sendall(PLAIN + encode_frame(Ping()))
@@ -159,11 +159,11 @@
     stays open while such requests run.
     """
     pair = stopping_owner.pair
-    near = pair.near.record
+    near = pair.entry_node.record
     backend = BackendThread('a', host=near.host, port=BACKEND_PORT)
-    pair.near.publish(CHAIN_MESH)
-    pair.far.publish(CHAIN_MESH)
-    pair.far.set_instances(near)
+    pair.entry_node.publish(CHAIN_MESH)
+    pair.owner_node.publish(CHAIN_MESH)
+    pair.owner_node.set_instances(near)
     pair.backend.faults.service_ms = 300
     with backend, ThreadPoolExecutor(1) as executor:
         pending = executor.submit(pair.ask, 'GET', '/chain/1')
@@ -175,7 +175,7 @@
     assert backend.counts.runs == 1
     assert json.decode(body)['by'] == 'b'
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(pair.far.entry, TIMEOUT_SECONDS)
+        socket.create_connection(pair.owner_node.entry, TIMEOUT_SECONDS)
 
 
 def test_port_is_not_held_open_until_the_bound(
@@ -186,8 +186,10 @@
     One long run keeps the port open, and callers keep connecting until the
     end.
     """
-    stopping_owner.pair.far.hold_slot()
+    stopping_owner.pair.owner_node.hold_slot()
     stopping_owner.stop.begin()
     assert not stopping_owner.stop.wait(seconds=2)
     with pytest.raises(ConnectionRefusedError):
-        socket.create_connection(stopping_owner.pair.far.entry, TIMEOUT_SECONDS)
+        socket.create_connection(
+            stopping_owner.pair.owner_node.entry, TIMEOUT_SECONDS
+        )
--- a/wagtaildale/lifecycle/tests/test_stop.py
+++ b/wagtaildale/lifecycle/tests/test_stop.py
@@ -26,7 +26,7 @@
     def __init__(self) -> None:
         self.pair = Pair()
         self.inbox: Inbox[object] = Inbox()
-        near = self.pair.near
+        near = self.pair.entry_node
         self.stop = Stop(
             calls=near.calls,
             inbox=self.inbox,
@@ -74,7 +74,7 @@
     the caller to close.
     """
     connection = HTTPConnection(
-        *stopping_entry.pair.near.entry, timeout=TIMEOUT_SECONDS
+        *stopping_entry.pair.entry_node.entry, timeout=TIMEOUT_SECONDS
     )
     connection.request('GET', '/files/1')
     connection.getresponse().read()
@@ -158,7 +158,7 @@
     request = b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
     answers = b''
     with socket.create_connection(
-        stopping_entry.pair.near.entry, TIMEOUT_SECONDS
+        stopping_entry.pair.entry_node.entry, TIMEOUT_SECONDS
     ) as sock:
         sock.sendall(request)
         wait_until(lambda: stopping_entry.pair.backend.counts.runs == 1)
@@ -190,7 +190,7 @@
     the planned stop and waits for the task to notify callers, which never
     happens. The platform starts no new process while this one exists.
     """
-    near = stopping_entry.pair.near
+    near = stopping_entry.pair.entry_node
     near.calls.stop()
     wait_until(lambda: is_refused(near.entry))
     stopper = threading.Thread(target=stopping_entry.stop.begin, daemon=True)
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -206,9 +206,9 @@
         backend_address=Address(record.host, BACKEND_PORT),
         slots=slots,
         limits=CallerLimits(
-            head_bytes=MAX_HEAD_BYTES,
-            body_bytes=MAX_BODY_BYTES,
-            connections=MAX_CONNECTIONS,
+            max_head_bytes=MAX_HEAD_BYTES,
+            max_body_bytes=MAX_BODY_BYTES,
+            max_connections=MAX_CONNECTIONS,
         ),
         chooser=LeastLoaded(),
         dialect=dialect,
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -100,7 +100,7 @@
         placed = self._place(is_hedge=is_hedge)
         attempts = self._attempts
         if placed is None:
-            attempts.refusals_left = 0
+            attempts.rejections_left = 0
             placed = self._place(is_hedge=is_hedge)
         if isinstance(placed, Throttled):
             failure = CallFailed(
@@ -118,7 +118,7 @@
             return
         instance = placed.record.instance
         patient = (
-            not attempts.refusals_left
+            not attempts.rejections_left
             or instance in attempts.tried
             or placed.is_only_candidate
         )
@@ -163,7 +163,7 @@
                 data_centre=self._entry.data_centre,
                 work_class=request.work_class.name,
                 slack_seconds=request.target_at - now,
-                may_wait=bool(attempts.busy and attempts.refusals_left),
+                may_wait=bool(attempts.overloaded and attempts.rejections_left),
                 pass_rank=self._find_need_rank(),
                 is_hedge=is_hedge,
                 was_limited=attempts.was_limited,
@@ -226,9 +226,9 @@
         attempts = self._attempts
         now = self._clock.now
         failure = CallFailed(refused.code, retry_after=refused.retry_after)
-        attempts.note_refusal(attempt.server.record.instance, refused.code)
-        may_redirect = attempts.take_redirect(failure, now=now)
-        if may_redirect or attempts.take_retry(
+        attempts.note_rejection(attempt.server.record.instance, refused.code)
+        may_redirect = attempts.try_redirect(failure, now=now)
+        if may_redirect or attempts.try_retry(
             failure, now=now, replayable=True
         ):
             self.send_attempt()
@@ -243,7 +243,9 @@
         work_class = self._request.work_class.name
         self._record_report(attempt, Code.ok, run_seconds=seconds)
         self._finish(attempt)
-        entry.hedge_delays.find(work_class).add_sample(now - attempt.started_at)
+        entry.hedge_delays.find_or_create(work_class).add_sample(
+            now - attempt.started_at
+        )
         if not self._is_over:
             self._record_overtaken()
             self._close()
@@ -288,7 +290,7 @@
 
     def _schedule_hedge(self, attempt: ReplayAttempt) -> None:
         target_ms = self._request.work_class.target_seconds * MS_PER_SECOND
-        hedge_delay = self._entry.hedge_delays.find(
+        hedge_delay = self._entry.hedge_delays.find_or_create(
             self._request.work_class.name
         )
         delay = hedge_delay.find_delay(within_ms=target_ms)
@@ -300,7 +302,7 @@
     def _hedge(self, attempt: ReplayAttempt) -> None:
         if self._is_over or self._running != [attempt]:
             return
-        if self._has_hedge_upstream() and self._attempts.take_hedge(
+        if self._has_hedge_upstream() and self._attempts.try_hedge(
             now=self._clock.now
         ):
             self.send_attempt(is_hedge=True)
