--- a/wagtaildale/admin/reports.py
+++ b/wagtaildale/admin/reports.py
@@ -14,7 +14,7 @@
     Explanation,
     NodeReport,
 )
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import Kind
 
@@ -51,7 +51,7 @@
         reader=state.appointed,
         documents={kind.name: _report_document(node, kind) for kind in Kind},
         away=tuple(sorted(parts.view.current.away)),
-        neighbours=find_topology(state.members).neighbours,
+        neighbours=get_topology(state.members).neighbours,
         control=_report_control(node),
         classes=report_classes(node),
         backend=_report_backend(node),
@@ -130,7 +130,7 @@
     near = record.data_centre == node.parts.settings.data_centre
     place = 'own data centre' if near else record.data_centre
     load = round(upstream.measure_load(now) * 100)
-    slowness = round(upstream.speed.find_slowness(now), 1)
+    slowness = round(upstream.slowness.estimate(now), 1)
     return ', '.join(
         (
             f'{record.instance}: {place}',
@@ -147,12 +147,14 @@
     record: InstanceRecord,
 ) -> str:
     statistics = node.calls.entry.parts.placement.statistics
-    if statistics.leaving_servers.has(record):
+    if statistics.leaving_servers.is_leaving(record):
         return 'leaves'
     if record.instance in view.away:
         return 'away'
     now = read_clock()
-    room = statistics.limits.find_accepted_share(record.instance, now=now)
+    room = statistics.server_limits.find_limited_rank_share(
+        record.instance, now=now
+    )
     return 'takes work' if room >= 1 else f'takes {room:.2f} of its work'
 
 
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -62,7 +62,9 @@
         view = parts.view.current
         statistics = parts.placement.statistics
         for listed in view.list_records():
-            statistics.note_start(listed.instance, born=listed.born, now=now)
+            statistics.note_start_time(
+                listed.instance, started_ms=listed.born, now=now
+            )
         statistics.keep_only(view.records)
         parts.peers.keep_only(
             {
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -114,7 +114,7 @@
         now = read_clock()
         statistics = self._statistics
         statistics.note_server_state(instance, is_up=load.is_up, now=now)
-        statistics.limits.note(instance, read_limit(load), now=now)
+        statistics.server_limits.note(instance, read_limit(load), now=now)
         upstream = statistics.find(instance, now=now)
         upstream.note_load(
             in_flight=load.in_flight,
@@ -123,7 +123,7 @@
             now=now,
         )
         if load.slowness_percent > 0:
-            upstream.speed.note_condition(
+            upstream.slowness.note_reported_slowness(
                 load.slowness_percent / PERCENT,
                 now=now,
             )
--- a/wagtaildale/calls/report.py
+++ b/wagtaildale/calls/report.py
@@ -110,7 +110,7 @@
                 'waiting': upstream.queued,
                 'limit': upstream.limit,
                 'slowness_percent': round(
-                    upstream.speed.find_slowness(read_clock()) * PERCENT,
+                    upstream.slowness.estimate(read_clock()) * PERCENT,
                 ),
                 'load_age_ms': round(
                     upstream.measure_load_age(read_clock()) * MILLISECONDS,
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -71,10 +71,10 @@
         if record is None:
             return (
                 LeavingServer(instance)
-                if self._leavers.knows(instance)
+                if self._leavers.has_any_run(instance)
                 else None
             )
-        if self._leavers.has(record):
+        if self._leavers.is_leaving(record):
             return LeavingServer(instance, record.born)
         return None
 
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -143,12 +143,12 @@
         place
         for place in places
         if place.instance not in attempts.tried
-        and not statistics.leaving_servers.has(place)
+        and not statistics.leaving_servers.is_leaving(place)
     ]
     up = [
         place
         for place in untried
-        if not statistics.down.has(place.instance, now=now)
+        if not statistics.down_servers.is_down(place.instance, now=now)
     ]
     if not untried:
         raise build_suspect_refusal(
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -17,10 +17,13 @@
 from wagtaildale.calls.fields import CallFields
 from wagtaildale.calls.suspected_call import place_suspect
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.candidates import list_candidates
+from wagtaildale.routing.candidates import list_service_candidates
 from wagtaildale.routing.choice import RequestContext
-from wagtaildale.routing.throttling import Throttled, find_request_rank
-from wagtaildale.routing.upstream import UPSTREAM_FAULTS, UpstreamStatistics
+from wagtaildale.routing.throttling import Throttled, find_request_pass_rank
+from wagtaildale.routing.upstream import (
+    UPSTREAM_FAULT_CODES,
+    UpstreamStatistics,
+)
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
 
@@ -135,11 +138,13 @@
                 upstream,
                 attempts,
                 SendOptions(
-                    rate=self._statistics.limits.find_rate(record.instance),
+                    rate=self._statistics.server_limits.find_rate(
+                        record.instance
+                    ),
                     patient=patient and not spare,
                     spare=spare,
                     pass_rank=_find_need_rank(routed, self._statistics),
-                    share=placed.share,
+                    share=placed.pass_share,
                 ),
             ),
             upstream=upstream,
@@ -174,16 +179,16 @@
         tried = attempts.tried
         statistics = self._statistics
         now = read_clock()
-        candidates = list_candidates(
+        candidates = list_service_candidates(
             self._parts.view.current,
             service=routed.service,
-            tried=tried,
+            avoided=tried,
             leaving_servers=statistics.leaving_servers,
         )
         return any(
             record.instance not in tried
             and not statistics.is_ejected(record.instance, now=now)
-            and not statistics.limits.has(record.instance)
+            and not statistics.server_limits.is_limited(record.instance)
             for record in candidates
         )
 
@@ -225,13 +230,13 @@
         """
         now = read_clock()
         report = read_report(answer)
-        self._statistics.note_speed(
+        self._statistics.note_run_time(
             target.upstream,
             report,
-            work_class=target.fields.work_class,
+            class_name=target.fields.work_class,
             now=now,
         )
-        self._statistics.limits.note(
+        self._statistics.server_limits.note(
             target.fields.instance,
             report.server_limit,
             now=now,
@@ -251,9 +256,9 @@
             since: start time of the attempt, seconds on the monotonic clock.
         """
         now = read_clock()
-        self._statistics.note_overtaken(
+        self._statistics.note_unfinished_attempt(
             target.upstream,
-            work_class=target.fields.work_class,
+            class_name=target.fields.work_class,
             seconds=now - since,
             now=now,
         )
@@ -265,7 +270,7 @@
             target: target of the attempt.
             failure: failure of the attempt.
         """
-        if failure.code not in UPSTREAM_FAULTS:
+        if failure.code not in UPSTREAM_FAULT_CODES:
             return
         if target.upstream.ejection.note_failure(read_clock()):
             self._parts.recorder.record(
@@ -304,30 +309,30 @@
                 view,
                 routed.service,
                 key=routed.idempotency_key,
-                excluded=excluded,
+                avoided=excluded,
             )
         now = read_clock()
         return parts.placement.choose(
             view,
             routed.service,
-            excluded=excluded,
+            avoided=excluded,
             request=RequestContext(
                 data_centre=parts.data_centre,
-                work_class=format_class_name(routed),
+                class_name=format_class_name(routed),
                 slack_seconds=routed.due - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
                 pass_rank=_find_need_rank(routed, self._statistics),
                 is_hedge=spare,
-                was_limited=attempts.was_limited,
+                was_rate_limited=attempts.was_limited,
             ),
             now=now,
         )
 
 
 def _find_need_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
-    return find_request_rank(
+    return find_request_pass_rank(
         routed.match.work_class.rank,
-        work_class=format_class_name(routed),
+        class_name=format_class_name(routed),
         slack_seconds=routed.due - read_clock(),
         statistics=statistics,
     )
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -265,7 +265,7 @@
             Limits of the configuration, or of the settings if it has none.
         """
         defaults = self._settings.limits
-        published = self._dependencies.view.current.limits
+        published = self._dependencies.view.current.caller_limits
         if published is None:
             return defaults
         return CallerLimits(
--- a/wagtaildale/calls/tests/test_contained.py
+++ b/wagtaildale/calls/tests/test_contained.py
@@ -126,4 +126,4 @@
 
 
 def knows_of_down(entry: MeshNode) -> bool:
-    return bool(entry.calls.entry.parts.placement.statistics.down)
+    return bool(entry.calls.entry.parts.placement.statistics.down_servers)
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -122,7 +122,9 @@
 
     The owner is still listed, and entries connect to every listed owner.
     """
-    monkeypatch.setattr('wagtaildale.routing.ejection.LEAVING_SECONDS', 1e9)
+    monkeypatch.setattr(
+        'wagtaildale.routing.ejection.LEAVING_EJECTION_SECONDS', 1e9
+    )
     calls = pair.near.calls
     pair.ask('GET', '/files/1')
     assert pair.far.calls.peer_port.open_connections == 1
--- a/wagtaildale/calls/tests/test_owner_listener.py
+++ b/wagtaildale/calls/tests/test_owner_listener.py
@@ -61,7 +61,8 @@
     entry.receive(structs.replace(LOAD, leaving=LeavingServer(OTHER)))
     entry.receive(structs.replace(LOAD, leaving=LeavingServer(OWN)))
     leave = [
-        entry.statistics.leaving_servers.has(each) for each in entry.records
+        entry.statistics.leaving_servers.is_leaving(each)
+        for each in entry.records
     ]
     assert leave == [True, False]
     kinds = [event.kind for event in entry.recorder.read_since(0)]
@@ -73,16 +74,16 @@
 ) -> None:
     entry.receive(structs.replace(LOAD, is_up=False))
     now = read_clock()
-    assert entry.statistics.down.has(OWN, now=now)
-    assert not entry.statistics.down.has(OTHER, now=now)
+    assert entry.statistics.down_servers.is_down(OWN, now=now)
+    assert not entry.statistics.down_servers.is_down(OTHER, now=now)
     entry.receive(LOAD)
-    assert not entry.statistics.down.has(OWN, now=now)
+    assert not entry.statistics.down_servers.is_down(OWN, now=now)
 
 
 def test_report_of_a_silent_owner_expires(entry: Entry) -> None:
     """An owner stops answering after it has reported its server down."""
     entry.receive(structs.replace(LOAD, is_up=False))
-    assert not entry.statistics.down.has(OWN, now=read_clock() + 2)
+    assert not entry.statistics.down_servers.is_down(OWN, now=read_clock() + 2)
 
 
 def test_restarted_server_has_no_limit_and_is_not_leaving(entry: Entry) -> None:
@@ -95,7 +96,7 @@
             leaving=LeavingServer(OWN),
         ),
     )
-    assert entry.statistics.limits.has(OWN)
+    assert entry.statistics.server_limits.is_limited(OWN)
     entry.receive(LOAD)
-    assert not entry.statistics.limits.has(OWN)
-    assert not entry.statistics.leaving_servers.has(entry.records[0])
+    assert not entry.statistics.server_limits.is_limited(OWN)
+    assert not entry.statistics.leaving_servers.is_leaving(entry.records[0])
--- a/wagtaildale/calls/tests/test_slow_servers.py
+++ b/wagtaildale/calls/tests/test_slow_servers.py
@@ -20,7 +20,7 @@
     now = read_clock()
     placement = node.calls.entry.parts.placement
     upstream = placement.statistics.find(pair.far.record.instance, now=now)
-    return upstream.speed.find_slowness(now)
+    return upstream.slowness.estimate(now)
 
 
 def set_slowness(pair: Pair, ratio: float) -> None:
--- a/wagtaildale/distribution/appointments.py
+++ b/wagtaildale/distribution/appointments.py
@@ -22,7 +22,7 @@
     relieves_slow_reader,
 )
 from wagtaildale.distribution.state import DistributionState
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.types import NO_VERSION, Kind, NodeState
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
         Its rank in its data centre, from 0; nodes on slow lines rank behind
         all others.
     """
-    readers = find_topology(state.members).readers
+    readers = get_topology(state.members).readers
     rank = state.find_own_rank(readers)
     return rank + len(readers) if state.tuning.reads_last else rank
 
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -144,7 +144,7 @@
     store = state.stores[body.kind]
     if body.version >= store.held.version:
         return []
-    base = store.find_version(body.version, body.digest)
+    base = store.find_document(body.version, body.digest)
     if base is None:
         outline = OutlineSent(make_outline(store.held))
         return [Send(to=context.sender, body=outline)]
--- a/wagtaildale/distribution/confirmations.py
+++ b/wagtaildale/distribution/confirmations.py
@@ -7,7 +7,7 @@
 from wagtaildale.distribution.appointments import is_primary_reader
 from wagtaildale.distribution.messages import Send
 from wagtaildale.distribution.readers import set_own_reader
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.messages import Effect
@@ -87,7 +87,7 @@
     if not state.appointed or not state.tuning.passes_on:
         return []
     own = state.members.own.instance
-    readers = find_topology(state.members).readers
+    readers = get_topology(state.members).readers
     # A spare reader that reads in place of nodes on slow lines informs those
     # nodes too.
     first = state.tuning.readers if is_primary_reader(state) else 0
@@ -95,7 +95,7 @@
     # Suspects are informed too. A running node may be suspected for a late
     # reply. If it received nothing, it could neither refute the suspicion,
     # which each message includes, nor learn that its server leaves.
-    suspects = state.members.list_suspects()
+    suspects = state.members.list_local_suspects()
     body = state.make_swap(now, is_reply=True)
     return [
         Send(to=peer, body=body) for peer in (*spares, *suspects) if peer != own
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -41,7 +41,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.document.messages import BlobsOffered, OutlineOffered
 from wagtaildale.membership.decisions import (
-    expire_suspects,
+    expire_news,
     merge_news,
     reset_missed_replies,
 )
@@ -116,7 +116,7 @@
 ) -> list[messages.Effect]:
     if message.name is TimerName.digest:
         return swap_digests(state, now=now)
-    changes = expire_suspects(state.members, now=now)
+    changes = expire_news(state.members, now=now)
     return [
         *make_fleet_change(changes),
         *expire_retained(state, now=now),
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -24,7 +24,7 @@
     OutlineWanted,
     Rejected,
 )
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.types import Kind
 
 if TYPE_CHECKING:
@@ -133,7 +133,7 @@
     # many new nodes do not all read every part at once. The others receive the
     # parts from readers, and read them after a while if no peer has sent them.
     is_overdue = now - state.joining.started_at > PEER_WAIT_SECONDS
-    readers = find_topology(state.members).readers
+    readers = get_topology(state.members).readers
     read = ReadBlobs(
         kind=outcome.kind,
         digests=outcome.digests,
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -146,11 +146,13 @@
 @execute.register
 def _change_lapsed(effect: messages.LapsedChanged, sender: Sender) -> None:
     dependencies = sender.dependencies
-    dependencies.view.replace_lapsed(effect.retained, held=effect.departed)
+    dependencies.view.replace_overrides(
+        effect.retained, departed=effect.departed
+    )
     dependencies.view.replace_away(sender.state.members.list_away())
     dependencies.recorder.record(
         EventKind.lapsed_changed,
-        version=dependencies.view.current.list_index,
+        version=dependencies.view.current.instances_version,
         detail=' '.join(record.instance for record in effect.retained),
         inputs={
             'held': ' '.join(record.instance for record in effect.departed)
@@ -227,7 +229,7 @@
 def _record_refusal(effect: messages.VersionRefused, sender: Sender) -> None:
     rejected = effect.rejected
     kind = EventKind.version_ignored
-    if rejected.is_first:
+    if rejected.should_report:
         kind = EventKind.version_refused
     sender.dependencies.recorder.record(
         kind,
--- a/wagtaildale/distribution/joining.py
+++ b/wagtaildale/distribution/joining.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.distribution.messages import Effect, Send, StateChanged
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.types import NO_VERSION, NodeState
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         spread it.
     """
     swap = state.make_swap(now)
-    topology = find_topology(state.members)
+    topology = get_topology(state.members)
     receivers = dict.fromkeys((*topology.neighbours, *topology.tree))
     receivers.pop(state.members.own.instance, None)
     return [
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -9,7 +9,7 @@
 from wagtaildale.document.messages import Origin, Rejected
 from wagtaildale.document.model import Document, Outline
 from wagtaildale.errors.codes import Code
-from wagtaildale.membership.decisions import NewsTaken
+from wagtaildale.membership.decisions import AcceptedNews
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.suspects.snapshots import Suspects
 from wagtaildale.suspects.records import Suspicion
@@ -177,7 +177,7 @@
         changes: membership news that made the difference.
     """
 
-    changes: tuple[NewsTaken, ...]
+    changes: tuple[AcceptedNews, ...]
 
 
 class StateChanged(Struct, frozen=True, kw_only=True):
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -13,7 +13,7 @@
 from wagtaildale.distribution.wire import Push, Swap
 from wagtaildale.document.model import make_delta
 from wagtaildale.membership.decisions import note_missed_reply
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.membership.topology import list_children
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
         return []
     return [
         _mark_bypassing(_push_to(state, root, kind, now))
-        for root in find_topology(state.members).roots
+        for root in get_topology(state.members).roots
     ]
 
 
@@ -123,7 +123,7 @@
 
 
 def _list_root(state: DistributionState) -> Iterable[InstanceId]:
-    return find_topology(state.members).tree[:1]
+    return get_topology(state.members).tree[:1]
 
 
 def _list_children(
@@ -131,7 +131,7 @@
     instance: InstanceId,
 ) -> list[InstanceId]:
     return list_children(
-        find_topology(state.members).tree,
+        get_topology(state.members).tree,
         instance=instance,
         fan_out=state.tuning.fan_out,
     )
--- a/wagtaildale/distribution/staleness.py
+++ b/wagtaildale/distribution/staleness.py
@@ -15,7 +15,7 @@
     Freshness,
 )
 from wagtaildale.membership.news import AWAY_STATES
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 
 # Delay for each rank as a share of the usual step, if the last reader is known
 # to be gone. It can be shorter since the reviews of nodes are spread in time
@@ -38,7 +38,7 @@
     """
     # A node on a slow line may have become the reader while the others were
     # away. It confirms in time, so that no staleness would ever end its turn.
-    slowest = len(find_topology(state.members).readers)
+    slowest = len(get_topology(state.members).readers)
     is_slow = any(
         slowest <= fresh.local_rank < NO_RANK
         for fresh in state.freshness.values()
@@ -74,7 +74,7 @@
     if gone_at is not None and not state.tuning.reads_last:
         # Nodes ranked behind the last reader have moved up by one rank. Those
         # ranked before it come after them.
-        ranks = max(1, len(find_topology(state.members).readers))
+        ranks = max(1, len(get_topology(state.members).readers))
         behind = (rank - last.local_rank) % ranks
         step = HANDOVER_STEP_SHARE * state.tuning.step_seconds
         return now - gone_at >= behind * step
@@ -101,7 +101,7 @@
     state: DistributionState, last: Freshness
 ) -> float | None:
     """Find when this node learned that the last reader stops or is dead."""
-    entry = state.members.entries.get(last.local_reader)
+    entry = state.members.news_entries.get(last.local_reader)
     if entry is None or entry.news.state not in AWAY_STATES:
         return None
     return entry.since
--- a/wagtaildale/distribution/suspicions.py
+++ b/wagtaildale/distribution/suspicions.py
@@ -12,7 +12,7 @@
 
 from wagtaildale.distribution.messages import Send, SuspectsChanged
 from wagtaildale.distribution.wire import SuspicionsSent
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.suspects.records import TRIAL_ENDS
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
         later records that it lacks.
     """
     received = tuple(suspicions)
-    neighbours = find_topology(state.members).neighbours
+    neighbours = get_topology(state.members).neighbours
     peers = [peer for peer in neighbours if peer != sender]
     effects = _merge(state, received, peers=peers, now=now, origin=sender)
     behind = [
@@ -175,7 +175,7 @@
 
 
 def _list_direct_receivers(state: DistributionState) -> tuple[InstanceId, ...]:
-    topology = find_topology(state.members)
+    topology = get_topology(state.members)
     return (*topology.neighbours, *topology.roots)
 
 
--- a/wagtaildale/distribution/swaps.py
+++ b/wagtaildale/distribution/swaps.py
@@ -7,13 +7,13 @@
 
 from wagtaildale.distribution.messages import FleetChanged, Send, SendSeed
 from wagtaildale.membership.decisions import note_missed_reply
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.types import InstanceId, NodeState
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.messages import Effect
     from wagtaildale.distribution.state import DistributionState
-    from wagtaildale.membership.decisions import NewsTaken
+    from wagtaildale.membership.decisions import AcceptedNews
 
 REPLY_TIMEOUT_SECONDS: Final = 0.9
 AWAY_RETRY_SWAPS: Final = 8
@@ -31,7 +31,7 @@
         Messages to send, and the peers that are suspected for missing replies.
     """
     unanswered = _list_unanswered(state, now)
-    changes: list[NewsTaken] = []
+    changes: list[AcceptedNews] = []
     for silent in unanswered:
         state.pending_replies.pop(silent)
         changes.extend(note_missed_reply(state.members, peer=silent, now=now))
@@ -57,7 +57,7 @@
     state: DistributionState,
     unanswered: list[InstanceId],
 ) -> list[InstanceId]:
-    neighbours = find_topology(state.members).neighbours
+    neighbours = get_topology(state.members).neighbours
     peers = [peer for peer in unanswered if peer in neighbours]
     state.swap_count += 1
     if state.swap_count % AWAY_RETRY_SWAPS == 0:
@@ -92,7 +92,7 @@
     Returns:
         Digests to send to some of the seeds.
     """
-    is_alone = not find_topology(state.members).neighbours
+    is_alone = not get_topology(state.members).neighbours
     if not is_alone and state.members.state is not NodeState.joining:
         return []
     count = min(MAX_SEEDS_ASKED, len(state.seeds))
@@ -103,7 +103,7 @@
     ]
 
 
-def make_fleet_change(changes: list[NewsTaken]) -> list[Effect]:
+def make_fleet_change(changes: list[AcceptedNews]) -> list[Effect]:
     """Make the effect of membership news that changed the view of the fleet.
 
     Args:
--- a/wagtaildale/distribution/tests/test_appointments.py
+++ b/wagtaildale/distribution/tests/test_appointments.py
@@ -10,7 +10,7 @@
     read_version,
 )
 from wagtaildale.distribution.tuning import Tuning, make_tuning
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.membership.topology import rank_instances
 from wagtaildale.testing.builders import build_configuration, build_instances
 from wagtaildale.testing.network import FakeNetwork
@@ -27,7 +27,7 @@
     step down after the readers have restarted.
     """
     network = build_network(8, tuning=Tuning(readers=2, spare_readers=4))
-    readers = find_topology(network.nodes[A].state.members).readers[:2]
+    readers = get_topology(network.nodes[A].state.members).readers[:2]
     for reader in readers:
         network.nodes[reader].running = False
     network.source.show(build_configuration(2))
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -11,7 +11,7 @@
 from wagtaildale.distribution.tuning import Tuning
 from wagtaildale.distribution.wire import Push
 from wagtaildale.document.model import make_delta
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.testing.builders import build_configuration, build_instances
 from wagtaildale.testing.network import FakeNetwork
 from wagtaildale.types import InstanceId, Kind
@@ -83,7 +83,7 @@
     children if the push is not acknowledged.
     """
     network = build_network(8, tuning=Tuning(fan_out=1, readers=1))
-    order = find_topology(network.nodes[A].state.members).tree
+    order = get_topology(network.nodes[A].state.members).tree
     network.nodes[order[1]].running = False
     network.source.show(build_configuration(2))
     for name in network.nodes:
@@ -162,7 +162,7 @@
     from which it reaches all nodes.
     """
     network = build_network(8, tuning=Tuning(fan_out=2))
-    tree = find_topology(network.nodes[A].state.members).tree
+    tree = get_topology(network.nodes[A].state.members).tree
     leaf, root = tree[-1], tree[0]
     target = build_configuration(2)
     holding = network.nodes[leaf].state.describe_holding(
@@ -182,7 +182,7 @@
     The other readers of the data centre read the same change.
     """
     network = build_network(6)
-    readers = find_topology(network.nodes[A].state.members).readers
+    readers = get_topology(network.nodes[A].state.members).readers
     network.source.show(build_configuration(2))
     network.read_source(readers[0])
     network.flying.clear()
--- a/wagtaildale/distribution/tests/test_lapses.py
+++ b/wagtaildale/distribution/tests/test_lapses.py
@@ -168,10 +168,10 @@
     view = ViewHolder()
     first, second = build_records()
     view.replace_instances(build_instances(first, second))
-    view.replace_lapsed((second,))
+    view.replace_overrides((second,))
     view.replace_instances(build_instances(first, version=2))
     assert set(list_upstreams(view)) == {first.instance, second.instance}
-    view.replace_lapsed(())
+    view.replace_overrides(())
     assert list_upstreams(view) == [first.instance]
 
 
--- a/wagtaildale/distribution/tests/test_returns.py
+++ b/wagtaildale/distribution/tests/test_returns.py
@@ -137,10 +137,10 @@
     listed = build_instances(*network.records)
     view.replace_instances(listed)
     departed = mark_leaving(network.records)[3]
-    view.replace_lapsed((), held=(departed,))
+    view.replace_overrides((), departed=(departed,))
     view.replace_instances(listed)
     assert view.current.is_away(view.current.records[D])
-    view.replace_lapsed(())
+    view.replace_overrides(())
     assert not view.current.is_away(view.current.records[D])
 
 
--- a/wagtaildale/distribution/tests/test_swaps.py
+++ b/wagtaildale/distribution/tests/test_swaps.py
@@ -7,7 +7,7 @@
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.distribution.wire import Swap
 from wagtaildale.membership.decisions import note_missed_reply
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.types import InstanceId
 
 
@@ -19,7 +19,7 @@
     """
     network = build_network(8)
     state = network.nodes[InstanceId('a')].state
-    silent = find_topology(state.members).neighbours[0]
+    silent = get_topology(state.members).neighbours[0]
     state.pending_replies = {silent: network.now}
     network.now += 2 * REPLY_TIMEOUT_SECONDS
     effects = swap_digests(state, now=network.now)
@@ -38,7 +38,7 @@
     network = build_network(8)
     own = InstanceId('a')
     members = network.nodes[own].state.members
-    peer = find_topology(members).neighbours[0]
+    peer = get_topology(members).neighbours[0]
     assert not note_missed_reply(members, peer=peer, now=network.now)
     reply = Swap((), is_reply=True)
     network.tell(own, network.wrap(peer, to=own, body=reply))
@@ -58,7 +58,7 @@
     """
     network = build_network(8)
     members = network.nodes[InstanceId('a')].state.members
-    peer = find_topology(members).neighbours[0]
+    peer = get_topology(members).neighbours[0]
     assert not note_missed_reply(members, peer=peer, now=network.now)
     assert not note_missed_reply(members, peer=peer, now=network.now)
     assert note_missed_reply(members, peer=peer, now=network.now + 1)
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -12,7 +12,7 @@
 from wagtaildale.distribution.wire import Swap, encode_envelope
 from wagtaildale.invariants import Invariants
 from wagtaildale.membership.decisions import note_missed_reply
-from wagtaildale.membership.state import find_topology
+from wagtaildale.membership.state import get_topology
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.testing.builders import build_recorder
 from wagtaildale.suspects.snapshots import SuspectsHolder
@@ -86,7 +86,7 @@
     network = build_network(8)
     own = InstanceId('a')
     state = network.nodes[own].state
-    peer = find_topology(state.members).neighbours[0]
+    peer = get_topology(state.members).neighbours[0]
     reply = network.wrap(peer, to=own, body=Swap((), is_reply=True))
     now = read_clock()
     note_missed_reply(state.members, peer=peer, now=now - EARLIER_SECONDS)
--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -64,16 +64,16 @@
     state: StoreState,
 ) -> list[StoreEffect]:
     delta = message.delta
-    rejected = _screen_version(state, delta.version, delta.digest)
-    if rejected is not None:
-        return rejected
+    effects = _decide_known_version(state, delta.version, delta.digest)
+    if effects is not None:
+        return effects
     held = state.held
     if (held.version, held.digest) != (delta.base_version, delta.base_digest):
         return [OutlineWanted(kind=held.kind, origin=message.origin)]
     document = apply_delta(held, delta=delta)
     if document.digest != delta.digest:
         return [_reject_corrupt(state, document, message.origin)]
-    return _adopt(state, document, message.origin)
+    return _validate_and_apply(state, document, message.origin)
 
 
 @decide_offer.register
@@ -83,15 +83,15 @@
 ) -> list[StoreEffect]:
     outline = message.outline
     digest = digest_outline(outline)
-    rejected = _screen_version(state, outline.version, digest)
-    if rejected is not None:
-        return rejected
+    effects = _decide_known_version(state, outline.version, digest)
+    if effects is not None:
+        return effects
     pending = state.pending
     if pending is not None and pending.outline.version > outline.version:
         return []
     if pending is None or pending.digest != digest:
-        state.pending = _open_pending(state, outline, digest)
-    return _complete(state, message.origin)
+        state.pending = _start_pending(state, outline, digest)
+    return _apply_if_complete(state, message.origin)
 
 
 @decide_offer.register
@@ -109,10 +109,10 @@
             pending.found[digest] = blob
     if len(pending.list_missing()) == len(missing):
         return []
-    return _complete(state, message.origin)
+    return _apply_if_complete(state, message.origin)
 
 
-def _screen_version(
+def _decide_known_version(
     state: StoreState,
     version: Version,
     digest: Digest,
@@ -143,7 +143,7 @@
             got=f'version {version}',
             expected=f'a version above {held.version}',
         ),
-        is_first=code is Code.version_reused,
+        should_report=code is Code.version_reused,
     )
 
 
@@ -162,11 +162,11 @@
         kind=state.held.kind,
         version=document.version,
         fault=fault,
-        is_first=True,
+        should_report=True,
     )
 
 
-def _open_pending(
+def _start_pending(
     state: StoreState,
     outline: Outline,
     digest: Digest,
@@ -183,7 +183,7 @@
     return PendingVersion(outline=outline, digest=digest, found=found)
 
 
-def _complete(state: StoreState, origin: Origin) -> list[StoreEffect]:
+def _apply_if_complete(state: StoreState, origin: Origin) -> list[StoreEffect]:
     pending = state.pending
     if pending is None:
         return []
@@ -196,10 +196,10 @@
         for name, digest in pending.outline.entries.items()
     }
     document = assemble_document(pending.outline, blobs=blobs)
-    return _adopt(state, document, origin)
+    return _validate_and_apply(state, document, origin)
 
 
-def _adopt(
+def _validate_and_apply(
     state: StoreState,
     document: Document,
     origin: Origin,
@@ -207,15 +207,15 @@
     pending = state.pending
     if pending and pending.outline.version <= document.version:
         state.pending = None
-    verdict = state.check(document)
-    if isinstance(verdict, Err):
-        state.remember_refused(document, verdict.err_value)
+    validation = state.check(document)
+    if isinstance(validation, Err):
+        state.note_refused(document, validation.err_value)
         return [
             Rejected(
                 kind=document.kind,
                 version=document.version,
-                fault=verdict.err_value,
-                is_first=True,
+                fault=validation.err_value,
+                should_report=True,
             ),
         ]
     before = state.held
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -56,13 +56,13 @@
         version: offered version.
         fault: reason; its code distinguishes a refused version from an
             ignored older one.
-        is_first: whether the rejection is new and should be reported.
+        should_report: whether the rejection is new and should be reported.
     """
 
     kind: Kind
     version: Version
     fault: Fault
-    is_first: bool = False
+    should_report: bool = False
 
 
 class OutlineWanted(Struct, frozen=True, kw_only=True):
--- a/wagtaildale/document/model.py
+++ b/wagtaildale/document/model.py
@@ -153,12 +153,12 @@
     """
     if outline.version == NO_VERSION:
         return NO_DIGEST
-    state = blake2b(digest_size=DIGEST_SIZE)
-    state.update(outline.version.to_bytes(VERSION_BYTES))
+    hasher = blake2b(digest_size=DIGEST_SIZE)
+    hasher.update(outline.version.to_bytes(VERSION_BYTES))
     for name in sorted(outline.entries):
-        state.update(name.encode())
-        state.update(outline.entries[name])
-    return Digest(state.digest())
+        hasher.update(name.encode())
+        hasher.update(outline.entries[name])
+    return Digest(hasher.digest())
 
 
 def make_outline(document: Document) -> Outline:
--- a/wagtaildale/document/state.py
+++ b/wagtaildale/document/state.py
@@ -64,7 +64,9 @@
     refused: dict[tuple[Version, Digest], Fault] = field(default_factory=dict)
     pending: PendingVersion | None = None
 
-    def find_version(self, version: Version, digest: Digest) -> Document | None:
+    def find_document(
+        self, version: Version, digest: Digest
+    ) -> Document | None:
         """Find a version that is held or was held earlier.
 
         Args:
@@ -93,7 +95,7 @@
                 return self.held.blobs[name]
         return None
 
-    def remember_refused(self, document: Document, fault: Fault) -> None:
+    def note_refused(self, document: Document, fault: Fault) -> None:
         """Remember a version that failed validation.
 
         Only the latest ``MAX_REFUSED_VERSIONS`` are kept.
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -27,11 +27,11 @@
 # Minimum time between two counted misses of a peer; digests go out once a
 # second.
 MISS_INTERVAL_SECONDS: Final = 0.75
-SUSPECT_SECONDS: Final = 6.0
+SUSPICION_TIMEOUT_SECONDS: Final = 6.0
 NEWS_PER_MESSAGE: Final = 16
 
 
-class NewsTaken(Struct, frozen=True, kw_only=True):
+class AcceptedNews(Struct, frozen=True, kw_only=True):
     """News that changed the view of the fleet.
 
     Attributes:
@@ -48,7 +48,7 @@
     *,
     received: Iterable[News],
     now: float,
-) -> list[NewsTaken]:
+) -> list[AcceptedNews]:
     """Merge news from another node.
 
     A node that was only slow may be declared dead, and its neighbours then
@@ -64,7 +64,7 @@
     Returns:
         News that changed the view of the fleet.
     """
-    taken: list[NewsTaken] = []
+    accepted: list[AcceptedNews] = []
     for news in received:
         if news.instance == state.own.instance:
             _refute_own(state, news)
@@ -78,8 +78,8 @@
                 is_worth_sending=_is_worth_sending(news, known),
             )
             before = known.state if known else None
-            taken.append(NewsTaken(news=news, before=before))
-    return taken
+            accepted.append(AcceptedNews(news=news, before=before))
+    return accepted
 
 
 def note_missed_reply(
@@ -87,7 +87,7 @@
     *,
     peer: InstanceId,
     now: float,
-) -> list[NewsTaken]:
+) -> list[AcceptedNews]:
     """Note that a peer did not reply to a digest or a push.
 
     Args:
@@ -128,11 +128,11 @@
     state.missed.pop(peer, None)
 
 
-def expire_suspects(
+def expire_news(
     state: MembershipState,
     *,
     now: float,
-) -> list[NewsTaken]:
+) -> list[AcceptedNews]:
     """Declare overdue suspects dead, and drop old news of unlisted nodes.
 
     Args:
@@ -144,9 +144,9 @@
     """
     due = [
         structs.replace(suspect.news, state=NodeState.dead)
-        for suspect in state.entries.values()
+        for suspect in state.news_entries.values()
         if suspect.news.state is NodeState.suspect
-        and now - suspect.since > SUSPECT_SECONDS
+        and now - suspect.since > SUSPICION_TIMEOUT_SECONDS
     ]
     _forget_unlisted(state, now)
     return merge_news(state, received=due, now=now)
@@ -185,7 +185,9 @@
         News of this node itself, then news of some others.
     """
     sendable = [
-        entry for entry in state.entries.values() if entry.retransmits_left > 0
+        entry
+        for entry in state.news_entries.values()
+        if entry.retransmits_left > 0
     ]
     sendable.sort(key=_read_retransmits_left, reverse=True)
     chosen = sendable[:NEWS_PER_MESSAGE]
@@ -223,7 +225,7 @@
     *,
     is_worth_sending: bool,
 ) -> None:
-    state.entries[news.instance] = NewsEntry(
+    state.news_entries[news.instance] = NewsEntry(
         news=news,
         since=now,
         retransmits_left=state.compute_retransmits() if is_worth_sending else 0,
@@ -237,10 +239,11 @@
 def _forget_unlisted(state: MembershipState, now: float) -> None:
     forgotten = [
         name
-        for name, entry in state.entries.items()
+        for name, entry in state.news_entries.items()
         if name not in state.records
-        and now - entry.since > SUSPECT_SECONDS * SUSPECT_SECONDS
+        and now - entry.since
+        > SUSPICION_TIMEOUT_SECONDS * SUSPICION_TIMEOUT_SECONDS
     ]
     for name in forgotten:
-        state.entries.pop(name)
+        state.news_entries.pop(name)
         state.missed.pop(name, None)
--- a/wagtaildale/membership/records.py
+++ b/wagtaildale/membership/records.py
@@ -69,7 +69,7 @@
     born: int = 0
 
     @property
-    def age_key(self) -> tuple[int, int]:
+    def start_order(self) -> tuple[int, int]:
         """Sort key of the instances at one address; the latest is greatest."""
         return self.born, self.since
 
@@ -154,13 +154,13 @@
     """
     latest: dict[tuple[str, int], tuple[int, int]] = {}
     for record in records.values():
-        known = latest.get(record.backend_address, record.age_key)
-        latest[record.backend_address] = max(known, record.age_key)
+        known = latest.get(record.backend_address, record.start_order)
+        latest[record.backend_address] = max(known, record.start_order)
     return {
         name: listed
         for name, listed in records.items()
         if not listed.backend_port
-        or latest[listed.backend_address] == listed.age_key
+        or latest[listed.backend_address] == listed.start_order
     }
 
 
@@ -180,14 +180,14 @@
         try:
             record = decode_record(blob)
         except MsgspecError as error:
-            return Err(_describe(name, str(error)))
+            return Err(_make_fault(name, str(error)))
         if record.instance != name:
-            return Err(_describe(name, record.instance))
+            return Err(_make_fault(name, record.instance))
         records[record.instance] = record
     return Ok(records)
 
 
-def _describe(name: str, got: str) -> Fault:
+def _make_fault(name: str, got: str) -> Fault:
     return Fault(
         code=Code.part_corrupt,
         where=f'instance {name}',
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -57,7 +57,7 @@
         sequence: number that is raised to refute a suspicion of this node.
         state: state of this node.
         records: entries of the platform's list, by node.
-        entries: latest news, by instance.
+        news_entries: latest news, by instance.
         missed: missed replies, by peer.
         cached_topology: topology for the current records and news; nothing
             after a change.
@@ -68,7 +68,7 @@
     sequence: int = 0
     state: NodeState = NodeState.joining
     records: dict[InstanceId, InstanceRecord] = field(default_factory=dict)
-    entries: dict[InstanceId, NewsEntry] = field(default_factory=dict)
+    news_entries: dict[InstanceId, NewsEntry] = field(default_factory=dict)
     missed: dict[InstanceId, MissedReplies] = field(default_factory=dict)
     cached_topology: Topology | None = None
 
@@ -94,7 +94,7 @@
         Returns:
             The news, or nothing if there is none yet.
         """
-        entry = self.entries.get(instance)
+        entry = self.news_entries.get(instance)
         return entry.news if entry else None
 
     def list_away(self) -> frozenset[InstanceId]:
@@ -112,7 +112,7 @@
         )
         reported = (
             name
-            for name, entry in self.entries.items()
+            for name, entry in self.news_entries.items()
             if entry.news.state in AWAY_STATES
         )
         own = (self.own.instance,)
@@ -144,7 +144,7 @@
         """
         return RETRANSMIT_FACTOR * max(1, len(self.records).bit_length())
 
-    def list_suspects(self) -> list[InstanceId]:
+    def list_local_suspects(self) -> list[InstanceId]:
         """List the suspected nodes of this data centre.
 
         Returns:
@@ -177,12 +177,12 @@
     def _list_in_states(self, *states: NodeState) -> frozenset[InstanceId]:
         return frozenset(
             name
-            for name, entry in self.entries.items()
+            for name, entry in self.news_entries.items()
             if entry.news.state in states
         )
 
 
-def find_topology(state: MembershipState) -> Topology:
+def get_topology(state: MembershipState) -> Topology:
     """Return a node's topology, recomputed only after a change.
 
     Args:
--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -24,10 +24,10 @@
 
 HASH_BYTES: Final = 8
 HASH_CACHE_SIZE: Final = 65536
-LOCAL_RINGS: Final = 3
+LOCAL_RING_COUNT: Final = 3
 # Two, since one of them may just have ended.
 ROOTS_PER_DATA_CENTRE: Final = 2
-FLEET_RING: Final = 'fleet'
+FLEET_RING_SALT: Final = 'fleet'
 
 
 class Member(Struct, frozen=True, array_like=True):
@@ -179,8 +179,8 @@
         The node's topology.
     """
     local = list_local(members, data_centre=own.data_centre)
-    rings = [(f'ring{number}', local) for number in range(LOCAL_RINGS)]
-    rings.append((FLEET_RING, [member.instance for member in members]))
+    rings = [(f'ring{number}', local) for number in range(LOCAL_RING_COUNT)]
+    rings.append((FLEET_RING_SALT, [member.instance for member in members]))
     found = (
         find_successor(
             rank_instances(salt, instances=ring_members),
--- a/wagtaildale/platform/settings.py
+++ b/wagtaildale/platform/settings.py
@@ -12,7 +12,7 @@
 from wagtaildale.distribution.tuning import HEARTBEAT_SECONDS
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
-from wagtaildale.routing.choice import ChoiceName
+from wagtaildale.routing.choice import ChooserName
 from wagtaildale.settings.model import (
     BackendSettings,
     BoundSettings,
@@ -184,7 +184,7 @@
                 if seed != given.listen_addrs.control
             ),
         ),
-        calls=CallSettings(choice=ChoiceName.expected_time),
+        calls=CallSettings(choice=ChooserName.expected_time),
     )
 
 
--- a/wagtaildale/routing/baselines.py
+++ b/wagtaildale/routing/baselines.py
@@ -15,7 +15,7 @@
     from wagtaildale.routing.statistics import FleetStatistics
 
 
-class RoundRobin(Chooser):
+class RoundRobinChooser(Chooser):
     """Chooses the upstreams in turn."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         return candidates[next(self._turn) % len(candidates)]
 
 
-class RandomChoice(Chooser):
+class RandomChooser(Chooser):
     """Chooses upstreams at random, with equal probability."""
 
     def choose(
--- a/wagtaildale/routing/candidates.py
+++ b/wagtaildale/routing/candidates.py
@@ -16,11 +16,11 @@
     from wagtaildale.types import InstanceId, ServiceName
 
 
-def list_candidates(
+def list_service_candidates(
     view: FleetView,
     *,
     service: ServiceName,
-    tried: Collection[InstanceId],
+    avoided: Collection[InstanceId],
     leaving_servers: LeavingServers,
 ) -> list[InstanceRecord]:
     """List the upstreams that may take an attempt.
@@ -34,7 +34,7 @@
     Args:
         view: snapshot that the call is routed by.
         service: service that the upstreams run.
-        tried: instances that earlier attempts of the call went to.
+        avoided: instances that earlier attempts of the call went to.
         leaving_servers: servers that have announced that they leave.
 
     Returns:
@@ -45,9 +45,9 @@
     listed = [
         record
         for record in view.upstreams.get(service, ())
-        if not leaving_servers.has(record)
+        if not leaving_servers.is_leaving(record)
     ]
-    untried = [record for record in listed if record.instance not in tried]
+    untried = [record for record in listed if record.instance not in avoided]
     present = [record for record in untried if not view.is_away(record)]
     listed_live = [
         record for record in untried if record.state is ListedState.live
--- a/wagtaildale/routing/choice.py
+++ b/wagtaildale/routing/choice.py
@@ -24,7 +24,7 @@
 
 
 @final
-class ChoiceName(Enum):
+class ChooserName(Enum):
     """Names of the strategies; the last two are baselines for benchmarks."""
 
     least_loaded = 'least-loaded'
@@ -38,7 +38,7 @@
 
     Attributes:
         data_centre: data centre of the entry.
-        work_class: service and class of the request.
+        class_name: qualified name of the class, for example ``intake/lookup``.
         slack_seconds: seconds until the target of the class is missed.
         may_wait: whether the request can wait at an upstream that refused it
             because it was full.
@@ -46,17 +46,17 @@
             ``admission.shares``.
         is_hedge: whether the attempt runs beside another one of the request
             that has not ended.
-        was_limited: whether an upstream refused the request for its rate
+        was_rate_limited: whether an upstream refused the request for its rate
             limit.
     """
 
     data_centre: DataCentre
-    work_class: str = ''
+    class_name: str = ''
     slack_seconds: float = inf
     may_wait: bool = False
     pass_rank: int = MIDDLE_RANK
     is_hedge: bool = False
-    was_limited: bool = False
+    was_rate_limited: bool = False
 
 
 class Chooser(ABC):
--- a/wagtaildale/routing/choosers.py
+++ b/wagtaildale/routing/choosers.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from wagtaildale.routing.choice import Chooser, ChoiceName
-from wagtaildale.routing.expected_time import ExpectedTime
-from wagtaildale.routing.least_loaded import LeastLoaded
-from wagtaildale.routing.baselines import RandomChoice, RoundRobin
+from wagtaildale.routing.choice import Chooser, ChooserName
+from wagtaildale.routing.expected_time import ExpectedTimeChooser
+from wagtaildale.routing.least_loaded import LeastLoadedChooser
+from wagtaildale.routing.baselines import RandomChooser, RoundRobinChooser
 
 
-def make_chooser(name: ChoiceName) -> Chooser:
+def make_chooser(name: ChooserName) -> Chooser:
     """Create a chooser by name.
 
     Args:
@@ -17,10 +17,10 @@
     Returns:
         A new chooser.
     """
-    choosers: dict[ChoiceName, type[Chooser]] = {
-        ChoiceName.least_loaded: LeastLoaded,
-        ChoiceName.expected_time: ExpectedTime,
-        ChoiceName.round_robin: RoundRobin,
-        ChoiceName.random: RandomChoice,
+    choosers: dict[ChooserName, type[Chooser]] = {
+        ChooserName.least_loaded: LeastLoadedChooser,
+        ChooserName.expected_time: ExpectedTimeChooser,
+        ChooserName.round_robin: RoundRobinChooser,
+        ChooserName.random: RandomChooser,
     }
     return choosers[name]()
--- a/wagtaildale/routing/down_servers.py
+++ b/wagtaildale/routing/down_servers.py
@@ -38,7 +38,7 @@
         self._down_until[instance] = now + REPORT_TTL_SECONDS
         return False
 
-    def has(self, instance: InstanceId, *, now: float) -> bool:
+    def is_down(self, instance: InstanceId, *, now: float) -> bool:
         """Tell whether an upstream's server is down.
 
         Args:
--- a/wagtaildale/routing/ejection.py
+++ b/wagtaildale/routing/ejection.py
@@ -11,10 +11,10 @@
 FAILURES_TO_EJECT: Final = 3
 FIRST_EJECTION_SECONDS: Final = 1.0
 MAX_EJECTION_SECONDS: Final = 30.0
-PROBE_SECONDS: Final = 1.0
-LEAVING_SECONDS: Final = 3.0
+PROBE_TIMEOUT_SECONDS: Final = 1.0
+LEAVING_EJECTION_SECONDS: Final = 3.0
 # Renewed with each unanswered ping to the owner, four a second.
-SILENCE_SECONDS: Final = 0.5
+UNANSWERED_PING_EJECTION_SECONDS: Final = 0.5
 
 
 class Ejection:
@@ -98,7 +98,7 @@
         Args:
             now: current time, in seconds.
         """
-        self._leaving_until = now + LEAVING_SECONDS
+        self._leaving_until = now + LEAVING_EJECTION_SECONDS
 
     def note_silent(self, now: float) -> None:
         """Note that the upstream's owner does not answer pings.
@@ -110,19 +110,19 @@
         Args:
             now: current time, in seconds.
         """
-        self._silent_until = now + SILENCE_SECONDS
+        self._silent_until = now + UNANSWERED_PING_EJECTION_SECONDS
 
     def note_chosen(self, now: float) -> None:
         """Note that a call goes to the upstream.
 
         After an ejection the call is a probe: no other call follows until it
-        is answered, or for ``PROBE_SECONDS``.
+        is answered, or for ``PROBE_TIMEOUT_SECONDS``.
 
         Args:
             now: current time, in seconds.
         """
         if self._failures >= FAILURES_TO_EJECT and not self.is_ejected(now):
-            self._ejected_until = now + PROBE_SECONDS
+            self._ejected_until = now + PROBE_TIMEOUT_SECONDS
 
     def note_answer(self) -> bool:
         """Note an answer of the upstream.
--- a/wagtaildale/routing/expected_time.py
+++ b/wagtaildale/routing/expected_time.py
@@ -55,7 +55,7 @@
     fullness_penalty: float
 
 
-class ExpectedTime(Chooser):
+class ExpectedTimeChooser(Chooser):
     """Chooses the upstream with the shortest expected time to an answer."""
 
     def choose(
@@ -83,14 +83,15 @@
             for record in candidates
             if record.data_centre == request.data_centre
         ]
-        margin = SHORT_WAIT_SHARE * request.slack_seconds
+        short_wait = SHORT_WAIT_SHARE * request.slack_seconds
         in_time = [
             option
             for option in near
-            if option.wait <= margin and option.total <= request.slack_seconds
+            if option.wait <= short_wait
+            and option.total <= request.slack_seconds
         ]
         if in_time:
-            return _choose_similar(in_time, margin).record
+            return _choose_similar(in_time, short_wait).record
         far = [
             _score(record, statistics, request, now)
             for record in candidates
@@ -112,7 +113,7 @@
 
 
 def _choose_similar(
-    options: list[ScoredUpstream], margin: float
+    options: list[ScoredUpstream], short_wait: float
 ) -> ScoredUpstream:
     # Without the penalty all entries would choose the fastest of the servers
     # that had room at their last report, until it has none. The fuller a server
@@ -126,7 +127,7 @@
     similar = [
         option
         for option in options
-        if _read_penalised_cost(option) <= lowest_cost + margin
+        if _read_penalised_cost(option) <= lowest_cost + short_wait
     ]
     return random.choice(similar)
 
@@ -138,9 +139,9 @@
     now: float,
 ) -> ScoredUpstream:
     estimate = statistics.estimate(record.instance, request, now=now)
-    usual = statistics.find_usual_seconds(request.work_class)
-    margin = (SAFETY_FACTOR - 1) * usual
-    total = estimate.wait + estimate.run + margin
+    usual = statistics.find_usual_seconds(request.class_name)
+    safety_margin = (SAFETY_FACTOR - 1) * usual
+    total = estimate.wait + estimate.run + safety_margin
     is_near = record.data_centre == request.data_centre
     handicap = (
         0 if is_near else FAR_HANDICAP_SHARE * max(0, request.slack_seconds)
--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from wagtaildale.admission.shares import ALL_PASS, PassShare
-from wagtaildale.routing.speed import decay_linearly
+from wagtaildale.routing.slowness import decay_linearly
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -17,8 +17,8 @@
 # An owner reports a changed share to its entries within a second. If a report
 # is lost, the last one counts in full for the first time and decays linearly
 # to no limit over the second.
-FULL_WEIGHT_SECONDS: Final = 5.0
-DECAY_SECONDS: Final = 5.0
+REPORT_VALID_SECONDS: Final = 5.0
+LIMIT_DECAY_SECONDS: Final = 5.0
 
 
 class ServerLimit(Struct, frozen=True, kw_only=True, gc=False):
@@ -50,7 +50,7 @@
     server_limit: ServerLimit
     reported_at: float
 
-    def find_share(self, rank: int, *, now: float) -> float:
+    def find_share(self, pass_rank: int, *, now: float) -> float:
         """Find the share of the requests of a rank that may be sent there.
 
         An old report counts for less. Otherwise, if the report that a server
@@ -58,15 +58,15 @@
         server only once in minutes.
 
         Args:
-            rank: rank of the requests; see ``admission.shares``.
+            pass_rank: pass rank of the requests; see ``admission.shares``.
             now: current time, in seconds.
 
         Returns:
             Share above 0, at most 1.
         """
-        overdue = max(0, now - self.reported_at - FULL_WEIGHT_SECONDS)
-        share = self.server_limit.share.find(rank)
-        return decay_linearly(share, to=1, share=overdue / DECAY_SECONDS)
+        overdue = max(0, now - self.reported_at - REPORT_VALID_SECONDS)
+        share = self.server_limit.share.find(pass_rank)
+        return decay_linearly(share, to=1, share=overdue / LIMIT_DECAY_SECONDS)
 
 
 class KnownLimits:
@@ -122,7 +122,7 @@
             if instance not in listed:
                 self.forget(instance)
 
-    def has(self, instance: InstanceId) -> bool:
+    def is_limited(self, instance: InstanceId) -> bool:
         """Tell whether an upstream does not accept all requests.
 
         Args:
@@ -148,7 +148,7 @@
     def find_share(
         self,
         instance: InstanceId,
-        rank: int,
+        pass_rank: int,
         *,
         now: float,
     ) -> float:
@@ -156,16 +156,18 @@
 
         Args:
             instance: id of the upstream.
-            rank: rank of the requests; see ``admission.shares``.
+            pass_rank: pass rank of the requests; see ``admission.shares``.
             now: current time, in seconds.
 
         Returns:
             Share above 0, at most 1.
         """
         known = self._limits.get(instance)
-        return 1 if known is None else known.find_share(rank, now=now)
+        return 1 if known is None else known.find_share(pass_rank, now=now)
 
-    def find_accepted_share(self, instance: InstanceId, *, now: float) -> float:
+    def find_limited_rank_share(
+        self, instance: InstanceId, *, now: float
+    ) -> float:
         """Find the share of the first rank that is not accepted in full.
 
         Args:
--- a/wagtaildale/routing/least_loaded.py
+++ b/wagtaildale/routing/least_loaded.py
@@ -15,10 +15,10 @@
 
 # Above half load a request may have to wait, and a wait costs more than the
 # round trip to another data centre.
-MAX_NEAR_LOAD: Final = 0.5
+MIN_LOAD_FOR_FAR_CHOICE: Final = 0.5
 
 
-class LeastLoaded(Chooser):
+class LeastLoadedChooser(Chooser):
     """Power of two choices, by the load that owners report with answers."""
 
     def choose(
@@ -51,7 +51,7 @@
         if not near:
             return _choose_of_two(candidates, statistics, now)
         chosen = _choose_of_two(near, statistics, now)
-        if _measure_load(chosen, statistics, now) < MAX_NEAR_LOAD:
+        if _measure_load(chosen, statistics, now) < MIN_LOAD_FOR_FAR_CHOICE:
             return chosen
         other = _choose_of_two(candidates, statistics, now)
         return _find_less_loaded(chosen, other, statistics, now)
--- a/wagtaildale/routing/leaving_servers.py
+++ b/wagtaildale/routing/leaving_servers.py
@@ -67,7 +67,7 @@
         """
         self._born_by_instance.pop(instance, None)
 
-    def knows(self, instance: InstanceId) -> bool:
+    def has_any_run(self, instance: InstanceId) -> bool:
         """Tell whether any run of a server has announced that it leaves.
 
         Args:
@@ -78,7 +78,7 @@
         """
         return instance in self._born_by_instance
 
-    def has(self, record: InstanceRecord) -> bool:
+    def is_leaving(self, record: InstanceRecord) -> bool:
         """Tell whether a server has announced that it leaves.
 
         Args:
--- a/wagtaildale/routing/placement.py
+++ b/wagtaildale/routing/placement.py
@@ -9,12 +9,15 @@
 
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.membership.topology import rank_instances
-from wagtaildale.routing.candidates import leave_out_ejected, list_candidates
+from wagtaildale.routing.candidates import (
+    leave_out_ejected,
+    list_service_candidates,
+)
 from wagtaildale.routing.subsets import RankedUpstreams, rank_upstreams
 from wagtaildale.routing.throttling import (
     Throttled,
     draw_upstreams,
-    find_best_share,
+    find_largest_share,
 )
 
 if TYPE_CHECKING:
@@ -32,13 +35,13 @@
     Attributes:
         record: the upstream's record in the instance list.
         is_only_candidate: whether no other upstream may take the attempt.
-        share: fraction of the requests of its rank that may be sent to the
+        pass_share: fraction of the requests of its rank that may be sent to the
             upstream, from 0 to 1.
     """
 
     record: InstanceRecord
     is_only_candidate: bool
-    share: float = 1
+    pass_share: float = 1
 
 
 class Placement:
@@ -89,8 +92,8 @@
         """
         ranked = self._rank(view, service)
         return ranked.select(
-            partial(self._accepts_work, view=view, excluded=()),
-            weigh=partial(self._find_accepted_share, now=now),
+            partial(self._accepts_work, view=view, avoided=()),
+            find_weight=partial(self._find_subset_weight, now=now),
         )
 
     def choose(
@@ -98,7 +101,7 @@
         view: FleetView,
         service: ServiceName,
         *,
-        excluded: Collection[InstanceId],
+        avoided: Collection[InstanceId],
         request: RequestContext,
         now: float,
     ) -> ChosenUpstream | Throttled | None:
@@ -107,7 +110,7 @@
         Args:
             view: snapshot that the call is routed by.
             service: service that the upstreams run.
-            excluded: upstreams to choose only if there is no other.
+            avoided: upstreams to choose only if there is no other.
             request: properties of the request that the choice depends on.
             now: current time, in seconds.
 
@@ -117,39 +120,39 @@
             request should rather wait at an upstream where it can
             (``request.may_wait``).
         """
-        candidates = self._list_candidates(
-            view, service, excluded=excluded, now=now
+        candidates = self._list_subset_candidates(
+            view, service, avoided=avoided, now=now
         )
         if not candidates:
             return None
-        drawn = draw_upstreams(
+        admitted = draw_upstreams(
             candidates,
-            limits=self.statistics.limits,
+            limits=self.statistics.server_limits,
             request=request,
             now=now,
         )
-        if not drawn:
+        if not admitted:
             return Throttled(
-                share=find_best_share(
+                share=find_largest_share(
                     candidates,
-                    limits=self.statistics.limits,
+                    limits=self.statistics.server_limits,
                     request=request,
                     now=now,
                 ),
             )
         record = self._chooser.choose(
-            drawn,
+            admitted,
             statistics=self.statistics,
             request=request,
             now=now,
         )
         if record is None:
             return None
-        limits = self.statistics.limits
+        limits = self.statistics.server_limits
         return ChosenUpstream(
             record=record,
             is_only_candidate=len(candidates) == 1,
-            share=limits.find_share(
+            pass_share=limits.find_share(
                 record.instance, request.pass_rank, now=now
             ),
         )
@@ -160,7 +163,7 @@
         service: ServiceName,
         *,
         key: str,
-        excluded: Collection[InstanceId],
+        avoided: Collection[InstanceId],
     ) -> ChosenUpstream | None:
         """Choose the upstream of a request that has an idempotency key.
 
@@ -172,17 +175,17 @@
             view: snapshot that the call is routed by.
             service: service that the upstreams run.
             key: idempotency key set by the caller.
-            excluded: upstreams to choose only if there is no other.
+            avoided: upstreams to choose only if there is no other.
 
         Returns:
             The upstream; nothing if there is none.
         """
         candidates = {
             record.instance: record
-            for record in list_candidates(
+            for record in list_service_candidates(
                 view,
                 service=service,
-                tried=excluded,
+                avoided=avoided,
                 leaving_servers=self.statistics.leaving_servers,
             )
         }
@@ -193,29 +196,31 @@
             record=candidates[first], is_only_candidate=len(candidates) == 1
         )
 
-    def _list_candidates(
+    def _list_subset_candidates(
         self,
         view: FleetView,
         service: ServiceName,
         *,
-        excluded: Collection[InstanceId],
+        avoided: Collection[InstanceId],
         now: float,
     ) -> Sequence[InstanceRecord]:
         ranked = self._rank(view, service)
-        accepts_work = partial(self._accepts_work, view=view, excluded=excluded)
-        weigh = partial(self._find_accepted_share, now=now)
+        accepts_work = partial(self._accepts_work, view=view, avoided=avoided)
+        find_weight = partial(self._find_subset_weight, now=now)
         subset = ranked.select(
-            partial(self._is_up, accepts_work=accepts_work, now=now),
-            weigh=weigh,
+            partial(
+                self._accepts_work_and_is_up, accepts_work=accepts_work, now=now
+            ),
+            find_weight=find_weight,
         )
         # If every server is reported down, one may have come back since the
         # last report, so the down state is ignored.
-        subset = subset or ranked.select(accepts_work, weigh=weigh)
+        subset = subset or ranked.select(accepts_work, find_weight=find_weight)
         if not subset:
-            candidates = list_candidates(
+            candidates = list_service_candidates(
                 view,
                 service=service,
-                tried=excluded,
+                avoided=avoided,
                 leaving_servers=self.statistics.leaving_servers,
             )
             subset = ranked.select(candidates.__contains__)
@@ -228,7 +233,7 @@
                 accepts_work(record)
                 and not self.statistics.is_ejected(record.instance, now=now)
             ),
-            weigh=weigh,
+            find_weight=find_weight,
         )
         return replacements or healthy
 
@@ -237,13 +242,13 @@
         record: InstanceRecord,
         *,
         view: FleetView,
-        excluded: Collection[InstanceId],
+        avoided: Collection[InstanceId],
     ) -> bool:
-        if record.instance in excluded or view.is_away(record):
+        if record.instance in avoided or view.is_away(record):
             return False
-        return not self.statistics.leaving_servers.has(record)
+        return not self.statistics.leaving_servers.is_leaving(record)
 
-    def _is_up(
+    def _accepts_work_and_is_up(
         self,
         record: InstanceRecord,
         *,
@@ -252,12 +257,14 @@
     ) -> bool:
         if not accepts_work(record):
             return False
-        return not self.statistics.down.has(record.instance, now=now)
+        return not self.statistics.down_servers.is_down(
+            record.instance, now=now
+        )
 
-    def _find_accepted_share(
+    def _find_subset_weight(
         self, record: InstanceRecord, *, now: float
     ) -> float:
-        return self.statistics.limits.find_accepted_share(
+        return self.statistics.server_limits.find_limited_rank_share(
             record.instance, now=now
         )
 
--- a/wagtaildale/routing/speed.py
+++ b/wagtaildale/routing/slowness.py
@@ -34,17 +34,17 @@
 USUAL_SPEED_DECAY_SECONDS: Final = 60.0
 
 
-class Speed:
+class Slowness:
     """Slowness of one upstream: its time over the usual time of the class.
 
     Example:
-        >>> speed = Speed(now=0)
-        >>> speed.note_reported(0.6, usual_ratio=0.5, now=10)
-        >>> round(speed.find_slowness(10), 2), round(speed.find_slowness(12), 2)
+        >>> slowness = Slowness(now=0)
+        >>> slowness.note_reported_times(0.6, usual_ratio=0.5, now=10)
+        >>> round(slowness.estimate(10), 2), round(slowness.estimate(12), 2)
         (0.6, 0.56)
     """
 
-    __slots__ = ('_decay_seconds', '_noted_at', '_slowness', '_usual')
+    __slots__ = ('_decay_seconds', '_noted_at', '_slowness', '_usual_ratio')
 
     def __init__(self, *, now: float) -> None:
         """Start with an upstream that may be cold.
@@ -53,11 +53,11 @@
             now: current time, in seconds.
         """
         self._slowness = COLD_SLOWNESS
-        self._usual = float(1)
+        self._usual_ratio = float(1)
         self._noted_at = now
         self._decay_seconds = COLD_DECAY_SECONDS
 
-    def note_reported(
+    def note_reported_times(
         self,
         ratio: float,
         *,
@@ -72,10 +72,10 @@
                 usual time.
             now: current time, in seconds.
         """
-        self._usual = _bound(usual_ratio)
+        self._usual_ratio = _bound(usual_ratio)
         self._set_slowness(_bound(ratio), now)
 
-    def note_measured(self, ratio: float, *, now: float) -> None:
+    def note_measured_time(self, ratio: float, *, now: float) -> None:
         """Note the time of one answer, if the owner reports no times.
 
         Args:
@@ -85,26 +85,26 @@
         self._slowness += (_bound(ratio) - self._slowness) * MEASURED_GAIN
         self._noted_at = now
 
-    def note_condition(self, ratio: float, *, now: float) -> None:
+    def note_reported_slowness(self, ratio: float, *, now: float) -> None:
         """Note that the upstream has become slow, or recovered.
 
         Args:
             ratio: recent time of its answers over its own usual time.
             now: current time, in seconds.
         """
-        self._set_slowness(_bound(ratio * self._usual), now)
+        self._set_slowness(_bound(ratio * self._usual_ratio), now)
 
-    def note_overtaken(self, ratio: float, *, now: float) -> None:
+    def note_unfinished_attempt(self, ratio: float, *, now: float) -> None:
         """Note that another upstream answered the request first.
 
         Args:
             ratio: time waited for the answer over the fleet's usual time.
             now: current time, in seconds.
         """
-        if _bound(ratio) > self.find_slowness(now):
+        if _bound(ratio) > self.estimate(now):
             self._set_slowness(_bound(ratio), now)
 
-    def find_slowness(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Find the current estimate of the upstream's slowness.
 
         The estimate decays with time. Otherwise an upstream that gives a few
@@ -119,7 +119,7 @@
         """
         age = now - self._noted_at
         usual = decay_linearly(
-            self._usual, to=1, share=age / USUAL_SPEED_DECAY_SECONDS
+            self._usual_ratio, to=1, share=age / USUAL_SPEED_DECAY_SECONDS
         )
         if age >= self._decay_seconds:
             return usual
--- a/wagtaildale/routing/splits.py
+++ b/wagtaildale/routing/splits.py
@@ -35,7 +35,7 @@
         """
         self._shares = [share for share in shares if share.weight > 0]
         self._total = sum(share.weight for share in self._shares)
-        self._credit = [
+        self._current_weights = [
             random.uniform(0, share.weight) for share in self._shares
         ]
 
@@ -47,8 +47,8 @@
         """
         best = 0
         for index, share in enumerate(self._shares):
-            self._credit[index] += share.weight
-            if self._credit[index] > self._credit[best]:
+            self._current_weights[index] += share.weight
+            if self._current_weights[index] > self._current_weights[best]:
                 best = index
-        self._credit[best] -= self._total
+        self._current_weights[best] -= self._total
         return self._shares[best].service
--- a/wagtaildale/routing/statistics.py
+++ b/wagtaildale/routing/statistics.py
@@ -47,26 +47,26 @@
     """Statistics of all upstreams.
 
     Attributes:
-        limits: rate limits that the backend servers have set.
+        server_limits: rate limits that the backend servers have set.
         leaving_servers: servers that have announced that they leave.
-        down: upstreams whose backend servers accept no connections.
+        down_servers: upstreams whose backend servers accept no connections.
     """
 
     def __init__(self) -> None:
         """Start without any upstream."""
-        self.limits = KnownLimits()
+        self.server_limits = KnownLimits()
         self.leaving_servers = LeavingServers()
-        self.down = DownServers()
+        self.down_servers = DownServers()
         self._upstreams: dict[InstanceId, UpstreamStatistics] = {}
-        self._usual: dict[str, float] = {}
-        self._born: dict[InstanceId, int] = {}
+        self._usual_seconds_by_class: dict[str, float] = {}
+        self._started_ms: dict[InstanceId, int] = {}
 
-    def note_speed(
+    def note_run_time(
         self,
         upstream: UpstreamStatistics,
         report: OwnerReport,
         *,
-        work_class: str,
+        class_name: str,
         now: float,
     ) -> None:
         """Update the usual time of a class and the speed of an upstream.
@@ -74,21 +74,23 @@
         Args:
             upstream: statistics of the upstream that answered.
             report: the owner's report with the answer.
-            work_class: service and class of the request.
+            class_name: qualified name of the class, for example ``intake/lookup``.
             now: current time, in seconds.
         """
         if report.run_seconds <= 0:
             return
         seconds = report.class_usual_seconds or report.run_seconds
-        usual = self._usual.get(work_class, seconds)
-        self._usual[work_class] = usual + (seconds - usual) * USUAL_GAIN
-        upstream.note_speed(report, usual=usual, now=now)
+        usual = self._usual_seconds_by_class.get(class_name, seconds)
+        self._usual_seconds_by_class[class_name] = (
+            usual + (seconds - usual) * USUAL_GAIN
+        )
+        upstream.note_run_time(report, usual_seconds=usual, now=now)
 
-    def note_overtaken(
+    def note_unfinished_attempt(
         self,
         upstream: UpstreamStatistics,
         *,
-        work_class: str,
+        class_name: str,
         seconds: float,
         now: float,
     ) -> None:
@@ -100,24 +102,24 @@
 
         Args:
             upstream: statistics of the upstream that did not answer.
-            work_class: service and class of the request.
+            class_name: qualified name of the class, for example ``intake/lookup``.
             seconds: seconds that its answer was waited for.
             now: current time, in seconds.
         """
-        usual = self.find_usual_seconds(work_class)
+        usual = self.find_usual_seconds(class_name)
         if usual:
-            upstream.speed.note_overtaken(seconds / usual, now=now)
+            upstream.slowness.note_unfinished_attempt(seconds / usual, now=now)
 
-    def find_usual_seconds(self, work_class: str) -> float:
+    def find_usual_seconds(self, class_name: str) -> float:
         """Find the usual time of a class over all upstreams.
 
         Args:
-            work_class: service and class.
+            class_name: qualified name of the class, for example ``intake/lookup``.
 
         Returns:
             Smoothed seconds at the backend server; 0 before the first answer.
         """
-        return self._usual.get(work_class, 0)
+        return self._usual_seconds_by_class.get(class_name, 0)
 
     def estimate(
         self,
@@ -137,25 +139,25 @@
             The expected wait and run time of the request there.
         """
         upstream = self.find(instance, now=now)
-        usual = self.find_usual_seconds(request.work_class)
+        usual = self.find_usual_seconds(request.class_name)
         if not usual and request.slack_seconds < inf:
             # Without this guess, an entry that has just started would expect
             # an immediate answer from every upstream, and send all requests
             # to the same few.
             usual = max(0, request.slack_seconds) * ASSUMED_TARGET_SHARE
-        usual *= upstream.speed.find_slowness(now)
+        usual *= upstream.slowness.estimate(now)
         wait = upstream.estimate_wait(usual, now=now)
         return Estimate(
             wait=wait,
             run=usual,
-            fullness=upstream.measure_fullness(now),
+            fullness=upstream.estimate_fullness(now),
         )
 
-    def note_start(
+    def note_start_time(
         self,
         instance: InstanceId,
         *,
-        born: int,
+        started_ms: int,
         now: float,
     ) -> None:
         """Note the start time of an upstream, as listed.
@@ -166,12 +168,12 @@
 
         Args:
             instance: id of the upstream.
-            born: start time in Unix milliseconds; 0 if not known.
+            started_ms: start time in Unix milliseconds; 0 if not known.
             now: current time, in seconds.
         """
-        known = self._born.get(instance, born)
-        self._born[instance] = born
-        if known != born:
+        known = self._started_ms.get(instance, started_ms)
+        self._started_ms[instance] = started_ms
+        if known != started_ms:
             self._reset_upstream(instance, now)
 
     def note_server_state(
@@ -189,7 +191,7 @@
                 reports.
             now: current time, in seconds.
         """
-        if self.down.note(instance, is_up=is_up, now=now):
+        if self.down_servers.note(instance, is_up=is_up, now=now):
             self._reset_upstream(instance, now)
 
     def find(
@@ -236,14 +238,14 @@
             for instance, upstream in self._upstreams.items()
             if instance in listed or upstream.pending
         }
-        self.limits.keep_only(self._upstreams)
-        self._born = {
-            instance: born
-            for instance, born in self._born.items()
+        self.server_limits.keep_only(self._upstreams)
+        self._started_ms = {
+            instance: started_ms
+            for instance, started_ms in self._started_ms.items()
             if instance in listed
         }
 
     def _reset_upstream(self, instance: InstanceId, now: float) -> None:
         self._upstreams[instance] = UpstreamStatistics(instance, now=now)
-        self.limits.forget(instance)
+        self.server_limits.forget(instance)
         self.leaving_servers.forget(instance)
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -30,16 +30,16 @@
 # The statistics of each upstream must be recent, and with more upstreams each
 # of them gets fewer requests. A dozen servers with some slots each are enough
 # to even out the effect of single long requests on one of them.
-MAX_NEAR: Final = 12
+MAX_NEAR_WEIGHT: Final = 12
 # Services have 7 upstreams on average (2,500 in 360 services), so nearly all
 # are called whole; this bounds the rare large service.
-SUBSET_SIZE: Final = 12
+MIN_SUBSET_WEIGHT: Final = 12
 # An upstream that accepts a part of its requests counts as that part; this
 # bounds how many of them can replace a whole one.
 MAX_UPSTREAMS_PER_WEIGHT: Final = 3
 # Far upstreams beside a full set of near ones, to have capacity elsewhere and a
 # choice of it.
-MIN_FAR: Final = 4
+MIN_FAR_WEIGHT: Final = 4
 
 
 def _weigh_equally(_record: InstanceRecord) -> float:
@@ -63,21 +63,25 @@
         self,
         is_wanted: Callable[[InstanceRecord], bool],
         *,
-        weigh: Callable[[InstanceRecord], float] = _weigh_equally,
+        find_weight: Callable[[InstanceRecord], float] = _weigh_equally,
     ) -> list[InstanceRecord]:
         """Select a subset of the upstreams that satisfy a condition.
 
         Args:
             is_wanted: tells whether an upstream may be selected.
-            weigh: gives the share of its requests that an upstream accepts,
+            find_weight: gives the share of its requests that an upstream accepts,
                 from 0 to 1.
 
         Returns:
             The selected upstreams, near ones first.
         """
-        near = _select_first(self.near, is_wanted, weigh, MAX_NEAR)
-        far_weight = max(MIN_FAR, SUBSET_SIZE - sum(map(weigh, near)))
-        return near + _select_first(self.far, is_wanted, weigh, far_weight)
+        near = _select_first(self.near, is_wanted, find_weight, MAX_NEAR_WEIGHT)
+        far_weight = max(
+            MIN_FAR_WEIGHT, MIN_SUBSET_WEIGHT - sum(map(find_weight, near))
+        )
+        return near + _select_first(
+            self.far, is_wanted, find_weight, far_weight
+        )
 
 
 def rank_upstreams(
@@ -112,7 +116,7 @@
 def _select_first(
     records: Iterable[InstanceRecord],
     is_wanted: Callable[[InstanceRecord], bool],
-    weigh: Callable[[InstanceRecord], float],
+    find_weight: Callable[[InstanceRecord], float],
     max_weight: float,
 ) -> list[InstanceRecord]:
     selected: list[InstanceRecord] = []
@@ -125,5 +129,5 @@
             break
         if is_wanted(record):
             selected.append(record)
-            weight += weigh(record)
+            weight += find_weight(record)
     return selected
--- a/wagtaildale/routing/tests/test_placement.py
+++ b/wagtaildale/routing/tests/test_placement.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from wagtaildale.routing.choice import ChoiceName, RequestContext
+from wagtaildale.routing.choice import ChooserName, RequestContext
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.placement import Placement
 from wagtaildale.routing.statistics import FleetStatistics
@@ -42,7 +42,7 @@
     return Placement(
         InstanceId('entry'),
         data_centre=DataCentre('derby'),
-        chooser=make_chooser(ChoiceName.expected_time),
+        chooser=make_chooser(ChooserName.expected_time),
         statistics=FleetStatistics(),
     )
 
@@ -57,12 +57,12 @@
     placement: Placement,
     holder: ViewHolder,
     *,
-    excluded: tuple[str, ...] = (),
+    avoided: tuple[str, ...] = (),
 ) -> str:
     placed = placement.choose(
         holder.current,
         CASEFILES,
-        excluded=[InstanceId(name) for name in excluded],
+        avoided=[InstanceId(name) for name in avoided],
         request=RequestContext(data_centre=DataCentre('derby')),
         now=NOW,
     )
@@ -99,7 +99,7 @@
 
 def test_tried_upstream_is_used_again_if_there_is_no_other() -> None:
     placement = build_placement()
-    assert place(placement, build_view('a'), excluded=('a',)) == 'a'
+    assert place(placement, build_view('a'), avoided=('a',)) == 'a'
 
 
 def test_ejected_upstreams_are_replaced_from_the_whole_service() -> None:
@@ -222,7 +222,7 @@
     for number, name in enumerate(names):
         upstream = placement.statistics.find(InstanceId(name), now=NOW)
         seconds = 0.2 + number / 500
-        placement.statistics.note_speed(
+        placement.statistics.note_run_time(
             upstream,
             OwnerReport(
                 incarnation=Incarnation(1),
@@ -233,19 +233,19 @@
                 class_seconds=seconds,
                 class_usual_seconds=seconds,
             ),
-            work_class='lookup',
+            class_name='lookup',
             now=NOW,
         )
     request = RequestContext(
         data_centre=DataCentre('derby'),
-        work_class='lookup',
+        class_name='lookup',
         slack_seconds=0.6,
     )
     chosen = Counter(
         placement.choose(
             holder.current,
             CASEFILES,
-            excluded=(),
+            avoided=(),
             request=request,
             now=NOW,
         ).record.instance  # type: ignore[union-attr]
--- a/wagtaildale/routing/tests/test_speed.py
+++ b/wagtaildale/routing/tests/test_slowness.py
@@ -7,12 +7,12 @@
 import pytest
 
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.speed import (
+from wagtaildale.routing.slowness import (
     MIN_SLOWNESS,
     MAX_SLOWNESS,
     SLOWNESS_DECAY_SECONDS,
     USUAL_SPEED_DECAY_SECONDS,
-    Speed,
+    Slowness,
 )
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.upstream import OwnerReport
@@ -44,9 +44,9 @@
     names = [InstanceId(str(number)) for number in range(len(reports))]
     for name, report in zip(names, reports, strict=True):
         upstream = statistics.find(name, now=NOW)
-        statistics.note_speed(upstream, report, work_class='lookup', now=NOW)
+        statistics.note_run_time(upstream, report, class_name='lookup', now=NOW)
     last = statistics.find(names[-1], now=NOW)
-    return last.speed.find_slowness(NOW + after)
+    return last.slowness.estimate(NOW + after)
 
 
 def test_one_answer_shows_that_a_server_is_slow() -> None:
@@ -82,9 +82,9 @@
 
 @pytest.mark.parametrize('ratio', [0, 1e-9, 1e9, inf])
 def test_reported_ratio_is_bounded(ratio: float) -> None:
-    speed = Speed(now=NOW)
-    speed.note_reported(ratio, usual_ratio=ratio, now=NOW)
-    assert MIN_SLOWNESS <= speed.find_slowness(NOW) <= MAX_SLOWNESS
+    slowness = Slowness(now=NOW)
+    slowness.note_reported_times(ratio, usual_ratio=ratio, now=NOW)
+    assert MIN_SLOWNESS <= slowness.estimate(NOW) <= MAX_SLOWNESS
 
 
 def test_speed_without_reports_follows_measured_times() -> None:
@@ -96,5 +96,5 @@
     other = statistics.find(InstanceId('b'), now=NOW)
     for _answer in range(30):
         for each, report in ((other, usual), (upstream, silent)):
-            statistics.note_speed(each, report, work_class='lookup', now=NOW)
-    assert upstream.speed.find_slowness(NOW) > 1.3
+            statistics.note_run_time(each, report, class_name='lookup', now=NOW)
+    assert upstream.slowness.estimate(NOW) > 1.3
--- a/wagtaildale/routing/tests/test_statistics.py
+++ b/wagtaildale/routing/tests/test_statistics.py
@@ -11,11 +11,11 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.candidates import (
     leave_out_ejected,
-    list_candidates,
+    list_service_candidates,
 )
-from wagtaildale.routing.choice import ChoiceName, RequestContext
+from wagtaildale.routing.choice import ChooserName, RequestContext
 from wagtaildale.routing.choosers import make_chooser
-from wagtaildale.routing.ejection import LEAVING_SECONDS, Ejection
+from wagtaildale.routing.ejection import LEAVING_EJECTION_SECONDS, Ejection
 from wagtaildale.routing.leaving_servers import LeavingServers
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.upstream import OwnerReport
@@ -60,7 +60,7 @@
 ) -> None:
     report = structs.replace(build_answer(), run_seconds=seconds)
     upstream = statistics.find(record.instance, now=NOW)
-    statistics.note_speed(upstream, report, work_class='check', now=NOW)
+    statistics.note_run_time(upstream, report, class_name='check', now=NOW)
 
 
 def test_ejection_needs_several_failures_and_ends_with_a_probe() -> None:
@@ -92,7 +92,7 @@
     upstream.ejection.note_leaving(now)
     upstream.note_answer(build_answer(), now=NOW)
     assert upstream.ejection.is_ejected(now)
-    assert not upstream.ejection.is_ejected(now + LEAVING_SECONDS)
+    assert not upstream.ejection.is_ejected(now + LEAVING_EJECTION_SECONDS)
 
 
 def test_never_more_than_half_of_a_service_are_left_out() -> None:
@@ -118,9 +118,9 @@
 
 def test_new_incarnation_counts_as_cold() -> None:
     upstream = FleetStatistics().find(InstanceId('a'), now=NOW)
-    upstream.known_since -= 60
+    upstream.incarnation_known_since -= 60
     upstream.note_answer(build_answer(incarnation=1), now=NOW)
-    upstream.known_since -= 60
+    upstream.incarnation_known_since -= 60
     warm = upstream.measure_load(NOW)
     upstream.note_answer(build_answer(incarnation=2), now=NOW)
     assert upstream.measure_load(NOW) > warm + 0.4
@@ -136,10 +136,10 @@
         ),
     )
     holder.replace_away(frozenset((InstanceId('b'), InstanceId('c'))))
-    found = list_candidates(
+    found = list_service_candidates(
         holder.current,
         service=CASEFILES,
-        tried=(),
+        avoided=(),
         leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in found] == ['a']
@@ -151,33 +151,33 @@
         build_instances(build_record('a'), build_record('b'))
     )
     tried = (InstanceId('a'),)
-    found = list_candidates(
+    found = list_service_candidates(
         holder.current,
         service=CASEFILES,
-        tried=tried,
+        avoided=tried,
         leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in found] == ['b']
     holder.replace_away(frozenset((InstanceId('b'),)))
-    guess = list_candidates(
+    guess = list_service_candidates(
         holder.current,
         service=CASEFILES,
-        tried=tried,
+        avoided=tried,
         leaving_servers=LeavingServers(),
     )
     assert [record.instance for record in guess] == ['b']
     both = (InstanceId('a'), InstanceId('b'))
-    again = list_candidates(
+    again = list_service_candidates(
         holder.current,
         service=CASEFILES,
-        tried=both,
+        avoided=both,
         leaving_servers=LeavingServers(),
     )
     assert len(again) == 2
 
 
-@pytest.mark.parametrize('name', list(ChoiceName))
-def test_every_chooser_can_choose_each_candidate(name: ChoiceName) -> None:
+@pytest.mark.parametrize('name', list(ChooserName))
+def test_every_chooser_can_choose_each_candidate(name: ChooserName) -> None:
     records = [build_record(name) for name in 'abc']
     chooser = make_chooser(name)
     chosen = {
@@ -197,8 +197,8 @@
     far = build_record('far', data_centre='coventry')
     statistics = FleetStatistics()
     for record in (near, far):
-        statistics.find(record.instance, now=NOW).known_since -= 60
-    chooser = make_chooser(ChoiceName.least_loaded)
+        statistics.find(record.instance, now=NOW).incarnation_known_since -= 60
+    chooser = make_chooser(ChooserName.least_loaded)
     args = {
         'statistics': statistics,
         'request': RequestContext(data_centre=DERBY),
@@ -208,7 +208,7 @@
     statistics.find(near.instance, now=NOW).note_answer(
         build_answer(in_flight=9), now=NOW
     )
-    statistics.find(near.instance, now=NOW).known_since -= 60
+    statistics.find(near.instance, now=NOW).incarnation_known_since -= 60
     chosen = {
         chooser.choose((near, far), **args)  # type: ignore[arg-type]
         for _call in range(50)
@@ -224,12 +224,12 @@
     """
     statistics = FleetStatistics()
     name = InstanceId('a')
-    statistics.note_start(name, born=100, now=NOW)
+    statistics.note_start_time(name, started_ms=100, now=NOW)
     for _failure in range(3):
         statistics.find(name, now=NOW).ejection.note_failure(0)
-    statistics.note_start(name, born=100, now=NOW)
+    statistics.note_start_time(name, started_ms=100, now=NOW)
     assert statistics.find(name, now=NOW).ejection.is_ejected(0.5)
-    statistics.note_start(name, born=200, now=NOW)
+    statistics.note_start_time(name, started_ms=200, now=NOW)
     assert not statistics.find(name, now=NOW).ejection.is_ejected(0.5)
 
 
@@ -247,12 +247,12 @@
     full = structs.replace(build_answer(in_flight=18), slot_seconds=0.1)
     statistics.find(near.instance, now=NOW).note_answer(full, now=NOW)
     statistics.find(far.instance, now=NOW).note_answer(build_answer(), now=NOW)
-    chosen = make_chooser(ChoiceName.expected_time).choose(
+    chosen = make_chooser(ChooserName.expected_time).choose(
         (near, far),
         statistics=statistics,
         request=RequestContext(
             data_centre=near.data_centre,
-            work_class='check',
+            class_name='check',
             slack_seconds=0.1,
         ),
         now=NOW,
@@ -272,10 +272,10 @@
         note_time(statistics, record, seconds=0.1)
         full = structs.replace(build_answer(in_flight=60), slot_seconds=0.1)
         statistics.find(record.instance, now=NOW).note_answer(full, now=NOW)
-    chooser = make_chooser(ChoiceName.expected_time)
+    chooser = make_chooser(ChooserName.expected_time)
     request = RequestContext(
         data_centre=near.data_centre,
-        work_class='check',
+        class_name='check',
         slack_seconds=0.2,
     )
     choose = partial(chooser.choose, statistics=statistics, now=NOW)
@@ -288,7 +288,7 @@
     """Otherwise an entry's memory grows as servers come and go for months."""
     statistics = FleetStatistics()
     for name in 'abc':
-        statistics.note_start(InstanceId(name), born=1, now=NOW)
+        statistics.note_start_time(InstanceId(name), started_ms=1, now=NOW)
         statistics.find(InstanceId(name), now=NOW).slot_seconds = 9
     statistics.find(InstanceId('b'), now=NOW).note_begun(NOW)
     statistics.keep_only({InstanceId('a')})
--- a/wagtaildale/routing/tests/test_subsets.py
+++ b/wagtaildale/routing/tests/test_subsets.py
@@ -8,10 +8,10 @@
 
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.routing.subsets import (
-    MIN_FAR,
-    MAX_NEAR,
+    MIN_FAR_WEIGHT,
+    MAX_NEAR_WEIGHT,
     MAX_UPSTREAMS_PER_WEIGHT,
-    SUBSET_SIZE,
+    MIN_SUBSET_WEIGHT,
     rank_upstreams,
 )
 from wagtaildale.testing.builders import build_record
@@ -64,8 +64,8 @@
     for entry in range(200):
         subset = select(records, entry=entry, data_centre='derby')
         near = [each for each in subset if each.data_centre == 'derby']
-        assert len(near) == MAX_NEAR
-        assert len(subset) == MAX_NEAR + MIN_FAR
+        assert len(near) == MAX_NEAR_WEIGHT
+        assert len(subset) == MAX_NEAR_WEIGHT + MIN_FAR_WEIGHT
 
 
 def test_subsets_spread_over_a_large_service() -> None:
@@ -73,10 +73,10 @@
     used: Counter[str] = Counter()
     for entry in range(200):
         subset = select(records, entry=entry, data_centre='derby')
-        assert len(subset) == SUBSET_SIZE
+        assert len(subset) == MIN_SUBSET_WEIGHT
         used.update(record.instance for record in subset)
     assert len(used) == 100
-    assert max(used.values()) < 3 * 200 * SUBSET_SIZE / 100
+    assert max(used.values()) < 3 * 200 * MIN_SUBSET_WEIGHT / 100
 
 
 @pytest.mark.parametrize('near', [0, 1, 5])
@@ -87,7 +87,7 @@
         *build_service(60, DATA_CENTRES[1:]),
     ]
     subset = select(build_records(data_centres), entry=1, data_centre='derby')
-    assert len(subset) == SUBSET_SIZE
+    assert len(subset) == MIN_SUBSET_WEIGHT
     found = [each for each in subset if each.data_centre == 'derby']
     assert len(found) == near
 
@@ -113,10 +113,12 @@
         data_centre=DataCentre(DATA_CENTRES[0]),
     )
     whole = ranked.select(_want)
-    thirds = ranked.select(_want, weigh=lambda _record: 1 / 3)
-    nothing = ranked.select(_want, weigh=lambda _record: 0)
+    thirds = ranked.select(_want, find_weight=lambda _record: 1 / 3)
+    nothing = ranked.select(_want, find_weight=lambda _record: 0)
     assert len(thirds) == 3 * len(whole)
-    assert len(nothing) <= MAX_UPSTREAMS_PER_WEIGHT * (MAX_NEAR + SUBSET_SIZE)
+    assert len(nothing) <= MAX_UPSTREAMS_PER_WEIGHT * (
+        MAX_NEAR_WEIGHT + MIN_SUBSET_WEIGHT
+    )
 
 
 def _want(_record: InstanceRecord) -> bool:
--- a/wagtaildale/routing/throttling.py
+++ b/wagtaildale/routing/throttling.py
@@ -49,10 +49,10 @@
         return min(MAX_RETRY_SECONDS, spread * BASE_RETRY_SECONDS / self.share)
 
 
-def find_request_rank(
-    rank: int,
+def find_request_pass_rank(
+    priority: int,
     *,
-    work_class: str,
+    class_name: str,
     slack_seconds: float,
     statistics: FleetStatistics,
 ) -> int:
@@ -63,16 +63,16 @@
     otherwise most of the requests that pass would be answered late.
 
     Args:
-        rank: priority of the request's class; 0 is served first.
-        work_class: service and class.
+        priority: priority of the request's class; 0 is served first.
+        class_name: qualified name of the class, for example ``intake/lookup``.
         slack_seconds: seconds until the target of the class is missed.
         statistics: load, speed and failures of the upstreams.
 
     Returns:
         Rank as defined in ``admission.shares``.
     """
-    usual = statistics.find_usual_seconds(work_class)
-    return find_pass_rank(rank, is_late=slack_seconds < usual)
+    usual = statistics.find_usual_seconds(class_name)
+    return find_pass_rank(priority, is_late=slack_seconds < usual)
 
 
 def draw_upstreams(
@@ -99,11 +99,11 @@
     return [
         record
         for record in candidates
-        if _may_send(record.instance, limits, request, now)
+        if _draw_admits(record.instance, limits, request, now)
     ]
 
 
-def find_best_share(
+def find_largest_share(
     candidates: Sequence[InstanceRecord],
     *,
     limits: KnownLimits,
@@ -127,18 +127,18 @@
     )
 
 
-def _may_send(
+def _draw_admits(
     instance: InstanceId,
     limits: KnownLimits,
     request: RequestContext,
     now: float,
 ) -> bool:
-    if request.is_hedge and limits.has(instance):
+    if request.is_hedge and limits.is_limited(instance):
         # The capacity of a limited server is kept for requests that have no
         # other attempt under way.
         return False
     share = limits.find_share(instance, request.pass_rank, now=now)
-    if request.was_limited:
+    if request.was_rate_limited:
         # When every server of a service is limited, a request that was refused
         # once would otherwise be refused by one after the other.
         return share >= 1
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -12,7 +12,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.ejection import Ejection
 from wagtaildale.routing.known_limits import ServerLimit
-from wagtaildale.routing.speed import Speed, decay_linearly
+from wagtaildale.routing.slowness import Slowness, decay_linearly
 from wagtaildale.types import ANY_INCARNATION, Incarnation, InstanceId
 
 # Concurrency limit that is assumed before the first report.
@@ -25,7 +25,7 @@
 # come and go, but a busy server is likely to stay busy for a few of them.
 FULLNESS_DECAY_SECONDS: Final = 5.0
 # Failures of the upstream itself, not of a single request.
-UPSTREAM_FAULTS: Final = frozenset(
+UPSTREAM_FAULT_CODES: Final = frozenset(
     (
         Code.backend_cut,
         Code.backend_ended,
@@ -38,7 +38,7 @@
 
 
 # Answers with these codes do not end an ejection.
-NON_SUCCESS_CODES: Final = UPSTREAM_FAULTS | {Code.draining}
+CODES_KEEPING_EJECTION: Final = UPSTREAM_FAULT_CODES | {Code.draining}
 
 
 class OwnerReport(Struct, frozen=True, kw_only=True, gc=False):
@@ -88,10 +88,10 @@
         queued: number of requests waiting for a slot, as last reported.
         slot_seconds: smoothed seconds that a request of any class holds a
             slot, as last reported; 0 while unknown.
-        known_since: time when this entry first learned of the incarnation,
+        incarnation_known_since: time when this entry first learned of the incarnation,
             seconds.
         load_reported_at: time of the last load report, seconds.
-        speed: slowness of the upstream compared to the fleet.
+        slowness: slowness of the upstream compared to the fleet.
     """
 
     __slots__ = (
@@ -100,12 +100,12 @@
         'incarnation',
         'instance',
         'load_reported_at',
-        'known_since',
+        'incarnation_known_since',
         'limit',
         'pending',
         'queued',
         'slot_seconds',
-        'speed',
+        'slowness',
     )
 
     def __init__(self, instance: InstanceId, *, now: float) -> None:
@@ -123,9 +123,9 @@
         self.limit = INITIAL_LIMIT
         self.queued = 0
         self.slot_seconds = float(0)
-        self.known_since = now
-        self.load_reported_at = self.known_since
-        self.speed = Speed(now=now)
+        self.incarnation_known_since = now
+        self.load_reported_at = self.incarnation_known_since
+        self.slowness = Slowness(now=now)
 
     def note_begun(self, now: float) -> None:
         """Count a request that is sent to the upstream.
@@ -152,7 +152,7 @@
         """
         if report.incarnation != self.incarnation:
             self.incarnation = report.incarnation
-            self.known_since = now
+            self.incarnation_known_since = now
         self.note_load(
             in_flight=report.in_flight,
             limit=report.limit,
@@ -163,7 +163,7 @@
             self.slot_seconds = report.slot_seconds
         if report.code is Code.draining:
             self.ejection.note_leaving(now)
-        if report.code in NON_SUCCESS_CODES:
+        if report.code in CODES_KEEPING_EJECTION:
             return False
         return self.ejection.note_answer()
 
@@ -188,30 +188,32 @@
         self.queued = queued
         self.load_reported_at = now
 
-    def note_speed(
+    def note_run_time(
         self,
         report: OwnerReport,
         *,
-        usual: float,
+        usual_seconds: float,
         now: float,
     ) -> None:
         """Update the speed of the backend server.
 
         Args:
             report: the owner's report.
-            usual: usual seconds of the class over all upstreams.
+            usual_seconds: usual seconds of the class over all upstreams.
             now: current time, in seconds.
         """
-        if usual <= 0:
+        if usual_seconds <= 0:
             return
         if report.class_seconds > 0 and report.class_usual_seconds > 0:
-            self.speed.note_reported(
-                report.class_seconds / usual,
-                usual_ratio=report.class_usual_seconds / usual,
+            self.slowness.note_reported_times(
+                report.class_seconds / usual_seconds,
+                usual_ratio=report.class_usual_seconds / usual_seconds,
                 now=now,
             )
         else:
-            self.speed.note_measured(report.run_seconds / usual, now=now)
+            self.slowness.note_measured_time(
+                report.run_seconds / usual_seconds, now=now
+            )
 
     def measure_load_age(self, now: float) -> float:
         """Measure the age of the last load report.
@@ -224,7 +226,7 @@
         """
         return now - self.load_reported_at
 
-    def measure_fullness(self, now: float) -> float:
+    def estimate_fullness(self, now: float) -> float:
         """Estimate the fraction of the upstream's slots that are in use.
 
         Args:
@@ -240,7 +242,7 @@
             self.pending / self.limit,
         )
 
-    def estimate_wait(self, usual: float, *, now: float) -> float:
+    def estimate_wait(self, run_seconds: float, *, now: float) -> float:
         """Estimate how long a request would wait for a slot.
 
         A load report older than a second is ignored, because requests come
@@ -253,7 +255,7 @@
         full server while another one is idle.
 
         Args:
-            usual: usual seconds of the request at this upstream, used if
+            run_seconds: usual seconds of the request at this upstream, used if
                 ``slot_seconds`` is not known.
             now: current time, in seconds.
 
@@ -263,7 +265,7 @@
         ahead = float(self.pending)
         if self.measure_load_age(now) < STALE_LOAD_SECONDS:
             ahead = max(ahead, self.in_flight + self.queued)
-        slot_seconds = self.slot_seconds or usual
+        slot_seconds = self.slot_seconds or run_seconds
         return max(0, ahead + 1 - self.limit) * slot_seconds / self.limit
 
     def measure_load(self, now: float) -> float:
@@ -280,7 +282,7 @@
             Requests at the upstream or on their way to it, over its limit.
         """
         load = (self.in_flight + self.queued + self.pending) / self.limit
-        age = now - self.known_since
+        age = now - self.incarnation_known_since
         if age < WARM_UP_SECONDS:
             load += COLD_LOAD * (1 - age / WARM_UP_SECONDS)
         return load
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -36,21 +36,21 @@
         parts: parts of the configuration, by service.
         table: routing table of the configuration; nothing before the first
             version.
-        list_index: version of the instance list.
+        instances_version: version of the instance list.
         upstreams: listed instances, by service.
         records: listed instances, by id.
         away: instances and nodes that accept no new work.
-        limits: rate limits on callers, if the configuration has them.
+        caller_limits: rate limits on callers, if the configuration has them.
     """
 
     version: Version = NO_VERSION
     parts: dict[ServiceName, Part] = {}
     table: RoutingTable | None = None
-    list_index: Version = NO_VERSION
+    instances_version: Version = NO_VERSION
     upstreams: dict[ServiceName, tuple[InstanceRecord, ...]] = {}
     records: dict[InstanceId, InstanceRecord] = {}
     away: frozenset[InstanceId] = frozenset()
-    limits: PublishedLimits | None = None
+    caller_limits: PublishedLimits | None = None
 
     def is_away(self, record: InstanceRecord) -> bool:
         """Tell whether an instance accepts no new work.
@@ -95,8 +95,8 @@
         """Start with the empty view."""
         self.current = FleetView()
         self._listed: dict[InstanceId, InstanceRecord] = {}
-        self._lapsed: dict[InstanceId, InstanceRecord] = {}
-        self._held: dict[InstanceId, InstanceRecord] = {}
+        self._retained: dict[InstanceId, InstanceRecord] = {}
+        self._departed: dict[InstanceId, InstanceRecord] = {}
 
     def replace_configuration(self, document: Document) -> None:
         """Replace the routes by those of a later configuration.
@@ -109,10 +109,10 @@
             self.current,
             version=document.version,
             parts=configuration.parts,
-            limits=configuration.limits,
+            caller_limits=configuration.limits,
             table=RoutingTable(configuration),
         )
-        self._swap_records(self.current.list_index)
+        self._swap_records(self.current.instances_version)
 
     def replace_instances(self, document: Document) -> None:
         """Replace the instance list by a later one.
@@ -123,22 +123,22 @@
         self._listed = check_records(document.blobs).unwrap()
         self._swap_records(document.version)
 
-    def replace_lapsed(
+    def replace_overrides(
         self,
-        records: Iterable[InstanceRecord],
+        retained: Iterable[InstanceRecord],
         *,
-        held: Iterable[InstanceRecord] = (),
+        departed: Iterable[InstanceRecord] = (),
     ) -> None:
         """Replace the records that differ from the platform's list.
 
         Args:
-            records: records of instances that stay in use though the list no
+            retained: records of instances that stay in use though the list no
                 longer has them.
-            held: records to use in place of the listed ones.
+            departed: records to use in place of the listed ones.
         """
-        self._lapsed = {record.instance: record for record in records}
-        self._held = {record.instance: record for record in held}
-        self._swap_records(self.current.list_index)
+        self._retained = {record.instance: record for record in retained}
+        self._departed = {record.instance: record for record in departed}
+        self._swap_records(self.current.instances_version)
 
     def replace_away(self, away: frozenset[InstanceId]) -> None:
         """Replace the set of instances that accept no new work.
@@ -154,7 +154,7 @@
         # and a service that nobody published. As the later record at that
         # address it would replace the server, so records of services without
         # configuration are dropped; no route leads to them anyway.
-        records = {**self._lapsed, **self._listed, **self._held}
+        records = {**self._retained, **self._listed, **self._departed}
         parts = self.current.parts
         if not parts:
             return records
@@ -172,7 +172,7 @@
             upstreams[record.service] = (*known, record)
         self.current = structs.replace(
             self.current,
-            list_index=index,
+            instances_version=index,
             upstreams=upstreams,
             records=records,
         )
--- a/wagtaildale/settings/model.py
+++ b/wagtaildale/settings/model.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.distribution.tuning import Spread
 from wagtaildale.membership.records import Port
-from wagtaildale.routing.choice import ChoiceName
+from wagtaildale.routing.choice import ChooserName
 from wagtaildale.types import (
     DataCentre,
     InstanceId,
@@ -153,7 +153,7 @@
         hedges: whether slow idempotent requests get a second attempt.
     """
 
-    choice: ChoiceName = ChoiceName.least_loaded
+    choice: ChooserName = ChooserName.least_loaded
     admits: bool = True
     reserves: bool = True
     hedges: bool = True
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -90,7 +90,7 @@
     )
     metrics.add_gauge(
         'wagtaildale.upstreams.limited',
-        lambda: len(node.calls.entry.parts.placement.statistics.limits),
+        lambda: len(node.calls.entry.parts.placement.statistics.server_limits),
         unit='{upstream}',
         description='Upstreams that take a part of what may come.',
     )
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -20,7 +20,7 @@
 from wagtaildale.configuration.compiled import decode_part
 from wagtaildale.document.model import make_document
 from wagtaildale.invariants import Invariants
-from wagtaildale.routing.least_loaded import LeastLoaded
+from wagtaildale.routing.least_loaded import LeastLoadedChooser
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.telemetry.tallies import Tallies
 from wagtaildale.testing.builders import (
@@ -210,7 +210,7 @@
             body_bytes=BODY_BYTES,
             connections=CONNECTIONS,
         ),
-        chooser=LeastLoaded(),
+        chooser=LeastLoadedChooser(),
         dialect=dialect,
     )
 
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -12,7 +12,7 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.choice import RequestContext
-from wagtaildale.routing.throttling import Throttled, find_request_rank
+from wagtaildale.routing.throttling import Throttled, find_request_pass_rank
 from wagtaildale.testing.replay.servers import Job, ReplayServer
 from wagtaildale.types import ServiceName
 
@@ -125,7 +125,7 @@
             since=now,
             is_near=is_near,
             pass_rank=self._find_need_rank(),
-            share=placed.share,
+            share=placed.pass_share,
         )
         self._running.append(sent)
         entry.placement.statistics.find(instance, now=now).note_begun(now)
@@ -137,9 +137,9 @@
 
     def _find_need_rank(self) -> int:
         asked = self._asked
-        return find_request_rank(
+        return find_request_pass_rank(
             asked.work_class.rank,
-            work_class=asked.work_class.name,
+            class_name=asked.work_class.name,
             slack_seconds=asked.due - self._clock.now,
             statistics=self._entry.placement.statistics,
         )
@@ -151,15 +151,15 @@
         return self._entry.placement.choose(
             self._entry.mesh.view.current,
             asked.work_class.service,
-            excluded=attempts.list_excluded(),
+            avoided=attempts.list_excluded(),
             request=RequestContext(
                 data_centre=self._entry.data_centre,
-                work_class=asked.work_class.name,
+                class_name=asked.work_class.name,
                 slack_seconds=asked.due - now,
                 may_wait=bool(attempts.busy and attempts.refusals_left),
                 pass_rank=self._find_need_rank(),
                 is_hedge=spare,
-                was_limited=attempts.was_limited,
+                was_rate_limited=attempts.was_limited,
             ),
             now=now,
         )
@@ -253,11 +253,11 @@
         statistics = self._entry.placement.statistics
         upstream = statistics.find(instance, now=now)
         upstream.note_answer(report, now=now)
-        statistics.limits.note(instance, report.server_limit, now=now)
-        statistics.note_speed(
+        statistics.server_limits.note(instance, report.server_limit, now=now)
+        statistics.note_run_time(
             upstream,
             report,
-            work_class=work_class,
+            class_name=work_class,
             now=now,
         )
 
@@ -266,9 +266,9 @@
         statistics = self._entry.placement.statistics
         for sent in self._running:
             instance = sent.server.record.instance
-            statistics.note_overtaken(
+            statistics.note_unfinished_attempt(
                 statistics.find(instance, now=now),
-                work_class=self._asked.work_class.name,
+                class_name=self._asked.work_class.name,
                 seconds=now - sent.since,
                 now=now,
             )
@@ -296,7 +296,7 @@
         return any(
             record.instance not in self._attempts.tried
             and not statistics.is_ejected(record.instance, now=now)
-            and not statistics.limits.has(record.instance)
+            and not statistics.server_limits.is_limited(record.instance)
             for record in listed
         )
 
--- a/wagtaildale/testing/replay/entries.py
+++ b/wagtaildale/testing/replay/entries.py
@@ -8,7 +8,7 @@
 
 from wagtaildale.calls.budgets import RetryBudget
 from wagtaildale.calls.hedges import HedgeDelays
-from wagtaildale.routing.choice import ChoiceName
+from wagtaildale.routing.choice import ChooserName
 from wagtaildale.routing.choosers import make_chooser
 from wagtaildale.routing.placement import Placement
 from wagtaildale.routing.statistics import FleetStatistics
@@ -80,7 +80,7 @@
         self.placement = Placement(
             instance,
             data_centre=data_centre,
-            chooser=make_chooser(ChoiceName.expected_time),
+            chooser=make_chooser(ChooserName.expected_time),
             statistics=FleetStatistics(),
         )
         self._budgets: dict[str, RetryBudget] = {}
@@ -104,7 +104,9 @@
         """
         upstream = self._find_connected(server)
         if upstream is not None:
-            upstream.speed.note_condition(ratio, now=self.mesh.clock.now)
+            upstream.slowness.note_reported_slowness(
+                ratio, now=self.mesh.clock.now
+            )
 
     def note_limit(self, server: ReplayServer, named: ServerLimit) -> None:
         """Hear how many requests an upstream takes, if connected to it.
@@ -115,7 +117,7 @@
         """
         upstream = self._find_connected(server)
         if upstream is not None:
-            self.placement.statistics.limits.note(
+            self.placement.statistics.server_limits.note(
                 upstream.instance,
                 named,
                 now=self.mesh.clock.now,
