--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -117,6 +117,8 @@
     version: Version,
     digest: Digest,
 ) -> list[StoreEffect] | None:
+    # Returns the effects for a version that is held, refused, older or reused,
+    # and nothing for a version that is to be processed.
     held = state.held
     if version == held.version and digest == held.digest:
         return []
@@ -125,9 +127,9 @@
     if version < held.version:
         return [_reject(state, version, Code.version_older)]
     if version == held.version:
-        # A publisher used a version number twice, which would show as nodes
-        # with one version and different routes. A node keeps the document that
-        # it received first, so that it changes only to a higher version.
+        # The publisher used a version number twice, so that nodes may have
+        # different routes under one version. A node keeps the document that it
+        # received first, and changes only to a higher version.
         return [_reject(state, version, Code.version_reused)]
     return None
 
@@ -141,7 +143,7 @@
             code=code,
             where=f'{held.kind.name} version {version}',
             got=f'version {version}',
-            expected=f'a version above {held.version}',
+            expected=f'a valid version above {held.version}',
         ),
         should_report=code is Code.version_reused,
     )
--- a/wagtaildale/document/eras.py
+++ b/wagtaildale/document/eras.py
@@ -15,8 +15,8 @@
 Era = NewType('Era', int)
 
 FIRST_ERA: Final = Era(0)
-# A version has eight bytes: enough for a trillion revisions in each of eight
-# million eras.
+# A version fits into eight bytes, also as a signed integer: of 63 bits, 40 are
+# for the revision (a trillion in each era) and 23 for the era (eight million).
 REVISION_BITS: Final = 40
 REVISION_MASK: Final = (1 << REVISION_BITS) - 1
 
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -54,9 +54,11 @@
     Attributes:
         kind: kind of the document.
         version: offered version.
-        fault: reason; its code distinguishes a refused version from an
-            ignored older one.
-        should_report: whether the rejection is new and should be reported.
+        fault: reason; its code tells apart a version that fails or has failed
+            validation, an older version, a reused version number and a delta
+            with a wrong digest.
+        should_report: whether the rejection is logged as a refused version;
+            otherwise it is logged as an ignored one.
     """
 
     kind: Kind
--- a/wagtaildale/document/state.py
+++ b/wagtaildale/document/state.py
@@ -51,8 +51,8 @@
         held: version in force.
         check: validates a version as a whole.
         history: versions held earlier, for deltas to peers that are behind.
-        refused: faults of versions that failed validation, by version and
-            digest.
+        refused: faults of the latest versions that failed validation, by
+            version and digest.
         pending: later version that is not complete yet.
     """
 
@@ -67,7 +67,7 @@
     def find_document(
         self, version: Version, digest: Digest
     ) -> Document | None:
-        """Find a version that is held or was held earlier.
+        """Find the document of a version that is held or was held earlier.
 
         Args:
             version: version number.
@@ -96,7 +96,7 @@
         return None
 
     def note_refused(self, document: Document, fault: Fault) -> None:
-        """Remember a version that failed validation.
+        """Note a version that failed validation.
 
         Only the latest ``MAX_REFUSED_VERSIONS`` are kept.
 
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -27,16 +27,18 @@
 # Minimum time between two counted misses of a peer; digests go out once a
 # second.
 MISS_INTERVAL_SECONDS: Final = 0.75
+# A suspected node that does not refute the suspicion in this time is declared
+# dead.
 SUSPICION_TIMEOUT_SECONDS: Final = 6.0
 NEWS_PER_MESSAGE: Final = 16
 
 
 class AcceptedNews(Struct, frozen=True, kw_only=True):
-    """News that changed the view of the fleet.
+    """News that replaced older news of its node.
 
     Attributes:
-        news: news that is held from now on.
-        before: state of the node until now; nothing if it was not known.
+        news: the new news.
+        before: state of the node in the older news; nothing if there was none.
     """
 
     news: News
@@ -92,7 +94,7 @@
 
     Args:
         state: membership of the fleet, updated in place.
-        peer: instance that did not reply.
+        peer: id of the node that did not reply.
         now: current time, in seconds.
 
     Returns:
@@ -123,7 +125,7 @@
 
     Args:
         state: membership of the fleet, updated in place.
-        peer: instance that sent the message.
+        peer: id of the node that sent the message.
     """
     state.missed.pop(peer, None)
 
@@ -135,6 +137,9 @@
 ) -> list[AcceptedNews]:
     """Declare overdue suspects dead, and drop old news of unlisted nodes.
 
+    News of a node that is not listed is dropped after 36 s, which is well after
+    a suspected node has been declared dead.
+
     Args:
         state: membership of the fleet, updated in place.
         now: current time, in seconds.
@@ -161,7 +166,7 @@
 
     Args:
         state: membership of the fleet, updated in place.
-        records: current entries of the list, by node.
+        records: current records of the list, by id of the node.
     """
     state.records = records
     state.cached_topology = None
@@ -179,7 +184,7 @@
 
     Args:
         state: membership of the fleet; its send counters are updated.
-        to: instance that the message is for.
+        to: id of the node that the message is for.
 
     Returns:
         News of this node itself, then news of some others.
--- a/wagtaildale/membership/news.py
+++ b/wagtaildale/membership/news.py
@@ -1,8 +1,8 @@
 """Gossip about the states of nodes, which is faster than the platform's list.
 
-News of an instance is ordered by incarnation, then by a sequence number that
-only the instance itself raises, then by the precedence of the state. Merging
-keeps the greatest, so news may arrive late, repeatedly or out of order.
+News of a node is ordered by incarnation, then by a sequence number that only
+the node itself raises, then by the precedence of the state. Merging keeps the
+greatest, so news may arrive late, repeatedly or out of order.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
     """Reported state of one node.
 
     Attributes:
-        instance: instance of the node.
+        instance: id of the node (``InstanceRecord.node_id``).
         incarnation: number that rises with each start of the node's process.
         sequence: number that the node raises to refute a suspicion.
         state: reported state.
@@ -51,7 +51,7 @@
 
 
 def is_newer(news: News, *, than: News | None) -> bool:
-    """Tell whether news replaces the known news of the same instance.
+    """Tell whether news replaces the known news of the same node.
 
     Args:
         news: received news.
--- a/wagtaildale/membership/records.py
+++ b/wagtaildale/membership/records.py
@@ -41,8 +41,9 @@
         control_port: port of the node for control messages.
         admin_port: port of the node's administration API.
         state: live or leaving, as the platform lists it.
-        node: id of the node beside the instance; empty if it is the id of
-            the instance, which then does not change while the node runs.
+        node: id of the node beside the instance; empty if the node has the id
+            of the instance. A platform lists it if instance ids change while a
+            node runs.
         slots: number of requests that its backend server runs at once; 0 if
             not listed.
         backend_port: port of the backend server; 0 if not listed.
@@ -70,7 +71,7 @@
 
     @property
     def start_order(self) -> tuple[int, int]:
-        """Sort key of the instances at one address; the latest is greatest."""
+        """Sort key of the instances at one address; greatest for the latest."""
         return self.born, self.since
 
     @property
@@ -93,7 +94,8 @@
     """The platform's instance list.
 
     Attributes:
-        index: revision of the list, which only increases.
+        index: version of the list (see ``document.eras``), which only
+            increases.
         instances: all instances that are live or leaving.
     """
 
@@ -115,7 +117,8 @@
         The record.
 
     Raises:
-        ValidationError: of msgspec, if the bytes are not a valid record.
+        MsgspecError: of msgspec, if the bytes are not valid JSON or not a
+            valid record.
     """
     return record_decoder.decode(blob)
 
--- a/wagtaildale/membership/state.py
+++ b/wagtaildale/membership/state.py
@@ -18,12 +18,12 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
 
-# Number of retransmissions per bit of the fleet's size (its base-2 logarithm).
+# News is passed on this many times the base-2 logarithm of the number of nodes.
 RETRANSMIT_FACTOR: Final = 4
 
 
 class NewsEntry(Struct, kw_only=True):
-    """Latest news of an instance, with its transmission state.
+    """Latest news of a node, with its transmission state.
 
     Attributes:
         news: the latest news.
@@ -56,9 +56,9 @@
         incarnation: incarnation of this process.
         sequence: number that is raised to refute a suspicion of this node.
         state: state of this node.
-        records: entries of the platform's list, by node.
-        news_entries: latest news, by instance.
-        missed: missed replies, by peer.
+        records: records of the platform's list, by id of the node.
+        news_entries: latest news, by id of the node.
+        missed: missed replies, by id of the peer's node.
         cached_topology: topology for the current records and news; nothing
             after a change.
     """
@@ -86,10 +86,10 @@
         )
 
     def find_news(self, instance: InstanceId) -> News | None:
-        """Find the latest news of an instance.
+        """Find the latest news of a node.
 
         Args:
-            instance: id of the instance.
+            instance: id of the node.
 
         Returns:
             The news, or nothing if there is none yet.
@@ -98,12 +98,12 @@
         return entry.news if entry else None
 
     def list_away(self) -> frozenset[InstanceId]:
-        """List the instances that accept no new work.
+        """List the instances and nodes that accept no new work.
 
         Returns:
-            Instances that are leaving according to the list, instances that
-            are leaving, suspected or dead according to gossip, and this node
-            itself once it leaves.
+            Ids of instances that are leaving according to the list, ids of
+            nodes that are leaving, suspected or dead according to gossip, and
+            the id of this node once it leaves.
         """
         listed = (
             record.instance
@@ -159,10 +159,10 @@
         ]
 
     def list_members(self) -> list[Member]:
-        """List the present members of the fleet, this node included.
+        """List the members that are neither suspected nor dead.
 
         Returns:
-            The listed nodes that are neither suspected nor dead.
+            These listed nodes, also leaving ones, and this node itself.
         """
         gone = self._list_in_states(NodeState.dead, NodeState.suspect)
         members = [
@@ -183,7 +183,7 @@
 
 
 def get_topology(state: MembershipState) -> Topology:
-    """Return a node's topology, recomputed only after a change.
+    """Get a node's topology, computed again only after a change.
 
     Args:
         state: membership of the fleet; caches the topology.
--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -24,6 +24,8 @@
 
 HASH_BYTES: Final = 8
 HASH_CACHE_SIZE: Final = 65536
+# Number of hash rings over the nodes of a data centre. Each node gossips with
+# its successor on each of them, and on the ring over the whole fleet.
 LOCAL_RING_COUNT: Final = 3
 # Two, since one of them may just have ended.
 ROOTS_PER_DATA_CENTRE: Final = 2
@@ -31,7 +33,7 @@
 
 
 class Member(Struct, frozen=True, array_like=True):
-    """A member of the fleet: a node's instance and its data centre."""
+    """A member of the fleet: the id of a node and its data centre."""
 
     instance: InstanceId
     data_centre: DataCentre
@@ -148,11 +150,11 @@
     """Peers of one node.
 
     Attributes:
-        readers: instances of the data centre that do not leave, the best
-            ranked reader first.
-        tree: instances of the data centre in the order of the push tree.
-        neighbours: instances that digests are exchanged with.
-        roots: first two instances of the push tree of each other data centre.
+        readers: nodes of the data centre that are not leaving, in the order
+            in which they are appointed to read the platform's list.
+        tree: nodes of the data centre in the order of the push tree.
+        neighbours: nodes that digests are exchanged with.
+        roots: first two nodes of the push tree of each other data centre.
     """
 
     readers: tuple[InstanceId, ...]
--- a/wagtaildale/routing/baselines.py
+++ b/wagtaildale/routing/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline strategies for benchmarks, which ignore the load."""
+"""Baseline choosers for benchmarks, which ignore the load."""
 
 from __future__ import annotations
 
--- a/wagtaildale/routing/candidates.py
+++ b/wagtaildale/routing/candidates.py
@@ -25,22 +25,24 @@
 ) -> list[InstanceRecord]:
     """List the upstreams that may take an attempt.
 
-    In a rolling restart, gossip that an instance is back may arrive a moment
-    after gossip that the last other one leaves; a call in between would be
-    refused though a server is there. So upstreams that are away only
-    according to gossip are tried before any is tried a second time. A wrong
-    guess costs one refusal.
+    Upstreams that only gossip reports as away are used before any upstream is
+    tried a second time. In a rolling restart, gossip that an instance has
+    restarted may arrive a moment after gossip that the last other one leaves,
+    and a call in between would be refused although a server is ready. If the
+    gossip is right, the attempt costs one refusal.
 
     Args:
         view: snapshot that the call is routed by.
         service: service that the upstreams run.
-        avoided: instances that earlier attempts of the call went to.
+        avoided: ids of upstreams that earlier attempts of the call went to;
+            used only if there is no other.
         leaving_servers: servers that have announced that they leave.
 
     Returns:
-        Upstreams that are neither away nor tried; without any, untried ones
-        that are away only according to gossip; without these, all. Servers
-        that have announced that they leave are never included.
+        Upstreams that are neither away nor avoided; if there are none, those
+        that are not avoided and that only gossip reports as away; if there
+        are none either, all. Servers that have announced that they leave are
+        never included.
     """
     listed = [
         record
--- a/wagtaildale/routing/choice.py
+++ b/wagtaildale/routing/choice.py
@@ -1,7 +1,7 @@
-"""Interface of the strategies that choose the upstream of an attempt.
+"""Interface of the choosers, which choose the upstream of an attempt.
 
-Each strategy is a module with a subclass of ``Chooser``;
-``choosers.make_chooser`` creates one by name.
+Each chooser is a subclass of ``Chooser``; ``choosers.make_chooser`` creates
+one by name.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @final
 class ChooserName(Enum):
-    """Names of the strategies; the last two are baselines for benchmarks."""
+    """Names of the choosers; the last two are baselines for benchmarks."""
 
     least_loaded = 'least-loaded'
     expected_time = 'expected-time'
@@ -38,12 +38,12 @@
 
     Attributes:
         data_centre: data centre of the entry.
-        class_name: qualified name of the class, for example ``intake/lookup``.
+        class_name: name of service and class, for example ``intake/lookup``.
         slack_seconds: seconds until the target of the class is missed.
-        may_wait: whether the request can wait at an upstream that refused it
-            because it was full.
+        may_wait: whether an upstream that refused the request for being full
+            would queue it if it were sent there again.
         pass_rank: rank by which limited upstreams admit the request; see
-            ``admission.shares``.
+            ``admission.shares.find_pass_rank``.
         is_hedge: whether the attempt runs beside another one of the request
             that has not ended.
         was_rate_limited: whether an upstream refused the request for its rate
@@ -60,7 +60,7 @@
 
 
 class Chooser(ABC):
-    """Strategy that chooses among candidates."""
+    """Chooses one of the candidates for an attempt."""
 
     @abstractmethod
     def choose(
@@ -81,5 +81,5 @@
 
         Returns:
             The chosen upstream; nothing if the request should rather wait at
-            an upstream where it can (``request.may_wait``).
+            an upstream that refused it (see ``RequestContext.may_wait``).
         """
--- a/wagtaildale/routing/choosers.py
+++ b/wagtaildale/routing/choosers.py
@@ -12,7 +12,7 @@
     """Create a chooser by name.
 
     Args:
-        name: name of the strategy.
+        name: name of the chooser.
 
     Returns:
         A new chooser.
--- a/wagtaildale/routing/ejection.py
+++ b/wagtaildale/routing/ejection.py
@@ -1,7 +1,7 @@
 """Ejects an upstream from the choice for a while, and probes it afterwards.
 
-A server that fails at once, hangs or leaves looks idle, and would attract the
-calls that others could answer.
+A server that fails at once, hangs or leaves has a low load, so the choosers
+would prefer it to servers that could answer.
 """
 
 from __future__ import annotations
@@ -11,18 +11,21 @@
 FAILURES_TO_EJECT: Final = 3
 FIRST_EJECTION_SECONDS: Final = 1.0
 MAX_EJECTION_SECONDS: Final = 30.0
+# Time after which another probe is sent if one is not answered.
 PROBE_TIMEOUT_SECONDS: Final = 1.0
+# Duration of the ejection of an upstream that reports that it is leaving.
 LEAVING_EJECTION_SECONDS: Final = 3.0
-# Renewed with each unanswered ping to the owner, four a second.
+# Duration of the ejection after an unanswered ping to the owner. Each further
+# unanswered ping, four a second, renews it.
 UNANSWERED_PING_EJECTION_SECONDS: Final = 0.5
 
 
 class Ejection:
-    """Circuit breaker of one upstream.
+    """Ejection state of one upstream.
 
-    A server that fails quickly looks idle and attracts ever more calls. After
-    a few failures in a row it is ejected, for longer each time. It returns by
-    probes: one call at a time until one is answered.
+    An upstream is ejected after a few failures in a row, for longer each
+    time. After the ejection one call at a time is sent as a probe, and the
+    first answer ends the ejection.
     """
 
     __slots__ = (
@@ -58,11 +61,13 @@
     def is_leaving(self, now: float) -> bool:
         """Tell whether the upstream has lately reported that it is leaving.
 
+        The entry then opens no connection to it ahead of a request.
+
         Args:
             now: current time, in seconds.
 
         Returns:
-            Whether to open no connection to it ahead of a request.
+            Whether it reported so in the last ``LEAVING_EJECTION_SECONDS``.
         """
         return self._leaving_until > now
 
@@ -87,13 +92,13 @@
     def note_leaving(self, now: float) -> None:
         """Note that the upstream reports that it is leaving.
 
-        Its own refusal takes effect at once, while gossip about it may take
-        seconds. The ejection is short, so that an instance that comes back
-        under the same id is soon tried again.
+        The ejection starts with its first refusal, because gossip may arrive
+        seconds later. It is short, so that an instance that restarts under
+        the same id is soon tried again.
 
-        Unlike an ejection for failures, this one does not end with an answer:
-        the upstream still answers the work that it has, and each of these
-        answers would send it new work, which it refuses.
+        Unlike an ejection for failures, this one does not end with an answer.
+        The upstream still answers its running requests; if an answer ended
+        the ejection, new requests would be sent there and refused.
 
         Args:
             now: current time, in seconds.
@@ -104,8 +109,8 @@
         """Note that the upstream's owner does not answer pings.
 
         While a process hangs for some seconds, the kernel still accepts
-        connections on its port, and every call that is sent there would wait
-        for a second.
+        connections on its port. Every call that is sent there would wait until
+        the entry's failover time, one second, has passed.
 
         Args:
             now: current time, in seconds.
@@ -115,8 +120,8 @@
     def note_chosen(self, now: float) -> None:
         """Note that a call goes to the upstream.
 
-        After an ejection the call is a probe: no other call follows until it
-        is answered, or for ``PROBE_TIMEOUT_SECONDS``.
+        After an ejection the call is a probe: no other call is sent until it
+        is answered or ``PROBE_TIMEOUT_SECONDS`` have passed.
 
         Args:
             now: current time, in seconds.
--- a/wagtaildale/routing/expected_time.py
+++ b/wagtaildale/routing/expected_time.py
@@ -23,17 +23,18 @@
 
     from wagtaildale.routing.statistics import FleetStatistics
 
-# Multiple of the usual time that is reserved for a slower answer. With the
-# spread of times in users' services (a third of the mean), nine in ten answers
-# take less.
+# Multiple of the usual time that is reserved for a slower answer. Nine in ten
+# answers take less if times spread by a third of their mean, as they do in
+# users' services.
 SAFETY_FACTOR: Final = 1.5
-# As a fraction of the time left until the target: a wait up to this is short,
-# and upstreams whose costs differ by less count as equal.
+# Longest wait that counts as short, as a fraction of the time left until the
+# target. Upstreams whose costs differ by less count as equal.
 SHORT_WAIT_SHARE: Final = 0.1
-# As a fraction of the time left until the target: how much sooner an upstream
-# in another data centre must answer. If a service is full everywhere, its
-# queues differ by less, and no bytes between data centres are spent on it; a
-# slow or overloaded server differs from idle ones elsewhere by more.
+# How much sooner an upstream in another data centre must answer, as a fraction
+# of the time left until the target. It is small enough to leave a slow or
+# overloaded server for an idle one elsewhere, and large enough to stay in the
+# data centre if the service is full everywhere, when queues differ by less and
+# a change would only cost bytes between data centres.
 FAR_HANDICAP_SHARE: Final = 0.3
 
 
@@ -115,15 +116,16 @@
 def _choose_similar(
     options: list[ScoredUpstream], short_wait: float
 ) -> ScoredUpstream:
-    # Without the penalty all entries would choose the fastest of the servers
-    # that had room at their last report, until it has none. The fuller a server
-    # was, the more likely its slots are in use when the request arrives. The
-    # penalty is not used for far servers: their load is reported too seldom,
-    # and compared to them every near one would look full.
+    # The penalty spreads requests over servers by fullness, as reports are
+    # always a little old: the fuller a server was, the more likely its slots
+    # are in use when the request arrives. Without it, all entries would choose
+    # the fastest server with free slots until it has none. The penalty is not
+    # used for far servers: their load is reported too seldom, and compared to
+    # them every near one would look full.
     lowest_cost = min(map(_read_penalised_cost, options))
-    # Choosing at random among similar servers keeps all requests from going to
-    # the one that was minimally faster, which would leave the statistics of the
-    # others without updates for a minute.
+    # One of the similar servers is chosen at random. Otherwise all requests
+    # would go to the one that was minimally faster, and the statistics of the
+    # others would not be updated for a minute.
     similar = [
         option
         for option in options
--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -15,8 +15,8 @@
     from wagtaildale.types import InstanceId
 
 # An owner reports a changed share to its entries within a second. If a report
-# is lost, the last one counts in full for the first time and decays linearly
-# to no limit over the second.
+# is lost, the last one holds for REPORT_VALID_SECONDS and then decays linearly
+# to no limit over LIMIT_DECAY_SECONDS.
 REPORT_VALID_SECONDS: Final = 5.0
 LIMIT_DECAY_SECONDS: Final = 5.0
 
@@ -27,9 +27,9 @@
     Attributes:
         per_second: rate limit that the server has set, in requests a second;
             nothing if it has set none.
-        share: fraction of the requests of each rank that may be sent to the
-            server; also below 1 without a rate limit, if far more requests
-            come than the server has room for.
+        share: fraction of the requests of each pass rank that may be sent to
+            the server; also below 1 without a rate limit, if far more requests
+            arrive than the server has capacity for.
     """
 
     per_second: float | None = None
@@ -51,11 +51,11 @@
     reported_at: float
 
     def find_share(self, pass_rank: int, *, now: float) -> float:
-        """Find the share of the requests of a rank that may be sent there.
+        """Find the share of a pass rank's requests that may be sent there.
 
-        An old report counts for less. Otherwise, if the report that a server
-        accepts more again is lost, an entry with few requests would try the
-        server only once in minutes.
+        An old report counts for less. Otherwise, if the report of a raised
+        limit is lost, an entry with few requests would send one to the server
+        only every few minutes.
 
         Args:
             pass_rank: pass rank of the requests; see ``admission.shares``.
@@ -70,7 +70,7 @@
 
 
 class KnownLimits:
-    """Limits of the upstreams that do not accept all requests."""
+    """Known limits of the upstreams that do not accept all requests."""
 
     def __init__(self) -> None:
         """Start without any limit."""
@@ -152,7 +152,7 @@
         *,
         now: float,
     ) -> float:
-        """Find the share of the requests of a rank that an upstream accepts.
+        """Find the share of a pass rank's requests that an upstream accepts.
 
         Args:
             instance: id of the upstream.
@@ -168,15 +168,17 @@
     def find_limited_rank_share(
         self, instance: InstanceId, *, now: float
     ) -> float:
-        """Find the share of the first rank that is not accepted in full.
+        """Find the share of the most important pass rank that is limited.
+
+        It is the weight of the upstream in a subset.
 
         Args:
             instance: id of the upstream.
             now: current time, in seconds.
 
         Returns:
-            Share of the most important rank that is not accepted in full,
-            above 0; 1 if all ranks are.
+            Share of this rank's requests that the upstream accepts, above 0;
+            1 if no rank is limited.
         """
         known = self._limits.get(instance)
         if known is None:
--- a/wagtaildale/routing/least_loaded.py
+++ b/wagtaildale/routing/least_loaded.py
@@ -13,8 +13,9 @@
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.routing.statistics import FleetStatistics
 
-# Above half load a request may have to wait, and a wait costs more than the
-# round trip to another data centre.
+# Load from which upstreams in other data centres are considered. Above half
+# load a request may have to wait, and a wait costs more than the round trip to
+# another data centre.
 MIN_LOAD_FOR_FAR_CHOICE: Final = 0.5
 
 
--- a/wagtaildale/routing/leaving_servers.py
+++ b/wagtaildale/routing/leaving_servers.py
@@ -1,7 +1,7 @@
 """Remembers the servers that have announced that they leave.
 
-A server announces in its answers that it leaves. The platform's list may lag,
-lapse or list the server as ready all the while, and requests would go to it
+A server announces in its answers that it leaves. The platform's list may still
+list it as live, or not be updated at all, and requests would be sent to it
 again some seconds later. So the announcement holds until the server restarts.
 """
 
@@ -25,7 +25,7 @@
 
     Attributes:
         instance: id of the server's instance.
-        born: listed start time in Unix milliseconds; 0 if not known.
+        born: listed start time of the run, Unix milliseconds; 0 if not known.
     """
 
     instance: InstanceId
@@ -74,17 +74,17 @@
             instance: id of the server's instance.
 
         Returns:
-            Whether one has.
+            Whether an announcement is known, whatever its start time.
         """
         return instance in self._born_by_instance
 
     def is_leaving(self, record: InstanceRecord) -> bool:
-        """Tell whether a server has announced that it leaves.
+        """Tell whether the listed run of a server has announced that it leaves.
 
         Args:
             record: current record of the server in the instance list.
 
         Returns:
-            Whether the listed run of the server has announced it.
+            Whether an announcement with the record's start time is known.
         """
         return self._born_by_instance.get(record.instance) == record.born
--- a/wagtaildale/routing/placement.py
+++ b/wagtaildale/routing/placement.py
@@ -35,8 +35,8 @@
     Attributes:
         record: the upstream's record in the instance list.
         is_only_candidate: whether no other upstream may take the attempt.
-        pass_share: fraction of the requests of its rank that may be sent to the
-            upstream, from 0 to 1.
+        pass_share: fraction of the requests of the attempt's pass rank that
+            may be sent to the upstream, from 0 to 1.
     """
 
     record: InstanceRecord
@@ -64,7 +64,7 @@
         Args:
             entry: instance of the entry's node.
             data_centre: data centre of the entry.
-            chooser: strategy that picks among the candidates.
+            chooser: chooses one of the candidates.
             statistics: load, speed and failures of the upstreams.
         """
         self.statistics = statistics
@@ -110,14 +110,15 @@
         Args:
             view: snapshot that the call is routed by.
             service: service that the upstreams run.
-            avoided: upstreams to choose only if there is no other.
+            avoided: ids of upstreams that earlier attempts went to; chosen
+                again only if there is no other.
             request: properties of the request that the choice depends on.
             now: current time, in seconds.
 
         Returns:
             The upstream; ``Throttled`` if no upstream accepts more requests
-            of this rank for now; nothing if there is no upstream, or if the
-            request should rather wait at an upstream where it can
+            of this pass rank for now; nothing if there is no upstream, or if
+            the request should rather wait at an upstream that refused it
             (``request.may_wait``).
         """
         candidates = self._list_subset_candidates(
@@ -175,7 +176,8 @@
             view: snapshot that the call is routed by.
             service: service that the upstreams run.
             key: idempotency key set by the caller.
-            avoided: upstreams to choose only if there is no other.
+            avoided: ids of upstreams that earlier attempts went to; chosen
+                again only if there is no other.
 
         Returns:
             The upstream; nothing if there is none.
@@ -206,6 +208,7 @@
     ) -> Sequence[InstanceRecord]:
         ranked = self._rank(view, service)
         accepts_work = partial(self._accepts_work, view=view, avoided=avoided)
+        # A limited upstream weighs the share of its requests that it accepts.
         find_weight = partial(self._find_subset_weight, now=now)
         subset = ranked.select(
             partial(
@@ -213,8 +216,8 @@
             ),
             find_weight=find_weight,
         )
-        # If every server is reported down, one may have come back since the
-        # last report, so the down state is ignored.
+        # If every server is reported down, these reports are ignored: a server
+        # may have restarted since the last one.
         subset = subset or ranked.select(accepts_work, find_weight=find_weight)
         if not subset:
             candidates = list_service_candidates(
@@ -270,7 +273,7 @@
 
     def _rank(self, view: FleetView, service: ServiceName) -> RankedUpstreams:
         # Ranking a hundred upstreams takes longer than choosing among a
-        # dozen, so the ranking is cached for as long as the list is the same.
+        # dozen, so it is cached until the list changes.
         listed = view.upstreams.get(service, ())
         ranked = self._ranked.get(service)
         if ranked is None or ranked.listed is not listed:
--- a/wagtaildale/routing/slowness.py
+++ b/wagtaildale/routing/slowness.py
@@ -1,11 +1,11 @@
-"""Estimates how fast an upstream is, from the reports of its owner.
+"""Estimates how slow an upstream is, from the reports of its owner.
 
 Servers of one service may run on machines of different speed. In a large
-fleet an entry sends each of them a request only every few seconds. From these
-alone it would take a minute to learn that a server takes twice as long, and a
-slow server with an equal share of the requests is full while half of the
-service's slots are free. The owner measures every run at its server, so one
-report of it counts at once.
+fleet an entry sends each of them a request only every few seconds, and would
+need a minute to learn from these that a server takes twice as long. Until
+then, the slow server with an equal share of the requests is full while half of
+the service's slots are free. The owner measures every run at its server, so one
+report of the owner replaces the entry's estimate at once.
 """
 
 from __future__ import annotations
@@ -13,23 +13,24 @@
 from typing import Final
 
 # Bounds of a server's time over the usual time of the class. One answer in a
-# hundred takes several times the usual time on any server; it counts as slow,
-# not as a sign that the server hangs.
+# hundred takes several times the usual time on any server. The upper bound
+# keeps such an answer from looking like a hanging server.
 MAX_SLOWNESS: Final = 4.0
 MIN_SLOWNESS: Final = 0.25
 # A server that has just started takes about twice its usual time.
 COLD_SLOWNESS: Final = 2.0
 # Weight of the time of one answer, if the owner does not report times.
 MEASURED_GAIN: Final = 0.1
-# What makes a server slower than usual (a pause, a full disk, a cold start)
-# passes, but an entry that avoids the server does not see it end. The owner
-# reports the end; if that report is lost, the server is tried again after this
-# time. With 4 s, an entry with a dozen near servers and a few requests a second
-# would spend a third of its requests on such trials.
+# Slowness from a pause, a full disk or a cold start is temporary, but an entry
+# that avoids the server can't observe its end. The owner reports the end; if
+# that report is lost, the server is tried again after this time. With 4 s, an
+# entry with a dozen near servers and a few requests a second would send a third
+# of its requests to servers that are still slow.
 SLOWNESS_DECAY_SECONDS: Final = 15.0
-# A server without any report may have started a moment ago.
+# Time over which COLD_SLOWNESS decays if no report comes. A server without any
+# report may have just started.
 COLD_DECAY_SECONDS: Final = 4.0
-# A server's usual speed is that of its machine, and rarely changes. A wrong
+# A server's usual speed depends on its machine and rarely changes. A wrong
 # report keeps requests away from the server for at most this time.
 USUAL_SPEED_DECAY_SECONDS: Final = 60.0
 
@@ -67,7 +68,7 @@
         """Note the times that the owner reports.
 
         Args:
-            ratio: recent time of its answers over the fleet's usual time.
+            ratio: time of its recent answers over the fleet's usual time.
             usual_ratio: longer-term time of its answers over the fleet's
                 usual time.
             now: current time, in seconds.
@@ -86,16 +87,16 @@
         self._noted_at = now
 
     def note_reported_slowness(self, ratio: float, *, now: float) -> None:
-        """Note that the upstream has become slow, or recovered.
+        """Note the owner's report that the upstream is slow or has recovered.
 
         Args:
-            ratio: recent time of its answers over its own usual time.
+            ratio: time of its recent answers over its own usual time.
             now: current time, in seconds.
         """
         self._set_slowness(_bound(ratio * self._usual_ratio), now)
 
     def note_unfinished_attempt(self, ratio: float, *, now: float) -> None:
-        """Note that another upstream answered the request first.
+        """Note an attempt that was unfinished when another one was answered.
 
         Args:
             ratio: time waited for the answer over the fleet's usual time.
@@ -105,7 +106,7 @@
             self._set_slowness(_bound(ratio), now)
 
     def estimate(self, now: float) -> float:
-        """Find the current estimate of the upstream's slowness.
+        """Estimate the upstream's current slowness.
 
         The estimate decays with time. Otherwise an upstream that gives a few
         slow answers in a row would get no more requests, and nothing would
--- a/wagtaildale/routing/splits.py
+++ b/wagtaildale/routing/splits.py
@@ -16,9 +16,12 @@
     """Smooth weighted round robin over the services of one route.
 
     Any sequence of requests is split close to the weights, whereas a random
-    draw deviates by about the square root of their number. The credits start
-    at random: with equal ones, a configuration that changes often would send
-    the first request to the heaviest service each time.
+    draw deviates by about the square root of their number. With each request,
+    the current weight of every service grows by its weight, and the service
+    with the largest one is chosen and reduced by the sum of all weights.
+
+    The current weights start at random. With all at 0, the first request after
+    each change of the configuration would go to the heaviest service.
 
     Example:
         >>> from wagtaildale.configuration.model import Share
@@ -28,7 +31,7 @@
     """
 
     def __init__(self, shares: Sequence[Share]) -> None:
-        """Start with random credits.
+        """Start with random current weights.
 
         Args:
             shares: services with their weights, at least one above 0.
--- a/wagtaildale/routing/statistics.py
+++ b/wagtaildale/routing/statistics.py
@@ -23,8 +23,8 @@
     from wagtaildale.routing.upstream import OwnerReport
     from wagtaildale.types import InstanceId
 
-# Weight of one answer in the smoothed time of its class: about twenty answers
-# make up most of it.
+# Weight of one answer in the exponentially smoothed time of its class, whose
+# memory is about twenty answers.
 USUAL_GAIN: Final = 0.05
 
 
@@ -69,12 +69,13 @@
         class_name: str,
         now: float,
     ) -> None:
-        """Update the usual time of a class and the speed of an upstream.
+        """Update the usual time of a class and the slowness of an upstream.
 
         Args:
             upstream: statistics of the upstream that answered.
             report: the owner's report with the answer.
-            class_name: qualified name of the class, for example ``intake/lookup``.
+            class_name: name of service and class, for example
+                ``intake/lookup``.
             now: current time, in seconds.
         """
         if report.run_seconds <= 0:
@@ -94,15 +95,16 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Note an upstream that had not answered when another one did.
+        """Note an attempt that was unfinished when another one was answered.
 
-        If a server turns slow, a hedge answers before it each time and no
-        answer ever comes from the slow server. Counting the wait as a slow
-        answer keeps the next requests away from it.
+        If a server becomes slow, its attempts are cancelled each time because
+        a hedge is answered first, so no answer shows that it is slow. Counting
+        the wait as a slow answer keeps the next requests away from it.
 
         Args:
             upstream: statistics of the upstream that did not answer.
-            class_name: qualified name of the class, for example ``intake/lookup``.
+            class_name: name of service and class, for example
+                ``intake/lookup``.
             seconds: seconds that its answer was waited for.
             now: current time, in seconds.
         """
@@ -114,7 +116,8 @@
         """Find the usual time of a class over all upstreams.
 
         Args:
-            class_name: qualified name of the class, for example ``intake/lookup``.
+            class_name: name of service and class, for example
+                ``intake/lookup``.
 
         Returns:
             Smoothed seconds at the backend server; 0 before the first answer.
@@ -163,12 +166,13 @@
         """Note the start time of an upstream, as listed.
 
         A new start time resets the statistics of the upstream. A server that
-        crashed and started again under its id is cold and idle; by the old
-        statistics it would stay ejected for its failures, or pass for fast.
+        crashed and restarted under its id is cold and idle. With the old
+        statistics it would stay ejected for its failures, or be expected to
+        answer as fast as before the crash.
 
         Args:
             instance: id of the upstream.
-            started_ms: start time in Unix milliseconds; 0 if not known.
+            started_ms: listed start time, Unix milliseconds; 0 if not listed.
             now: current time, in seconds.
         """
         known = self._started_ms.get(instance, started_ms)
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -1,12 +1,13 @@
 """Selects the subset of a large service's upstreams that an entry calls.
 
-The entry keeps connections only to its subset. With a service of a hundred
-servers in several data centres, a subset drawn from the whole list has two
-near upstreams on average, and for some entries none, though fifteen are in
-the same data centre; answers then cross data centres without need. So
-upstreams in the entry's data centre ("near") are selected first. Some of the
-others ("far") stay in the subset for the case that the near ones are full,
-unreachable or gone; their connections are open by then.
+The entry keeps connections only to its subset. Upstreams in the entry's data
+centre ("near") are selected first. Some of the others ("far") are selected as
+well, so that connections to them are open when the near ones are full,
+unreachable or gone.
+
+A subset drawn from the whole list would cause needless traffic between data
+centres. With a hundred servers in several data centres, fifteen of them near,
+it would have two near upstreams on average, and for some entries none.
 
 Rendezvous hashing gives every entry a different subset, puts each upstream of
 a data centre into about the same number of subsets, and moves few of them
@@ -27,18 +28,19 @@
 
     from wagtaildale.types import DataCentre, InstanceId
 
-# The statistics of each upstream must be recent, and with more upstreams each
-# of them gets fewer requests. A dozen servers with some slots each are enough
-# to even out the effect of single long requests on one of them.
+# With more upstreams, each would get too few requests for recent statistics.
+# With less than a dozen, a single long request would take up much of the
+# subset's slots.
 MAX_NEAR_WEIGHT: Final = 12
-# Services have 7 upstreams on average (2,500 in 360 services), so nearly all
-# are called whole; this bounds the rare large service.
+# Far upstreams are added until the subset has this weight. Services have 7
+# upstreams on average (2,500 in 360 services), so entries call all upstreams of
+# nearly every service.
 MIN_SUBSET_WEIGHT: Final = 12
-# An upstream that accepts a part of its requests counts as that part; this
-# bounds how many of them can replace a whole one.
+# An upstream weighs the share of its requests that it accepts. At most this
+# many upstreams are selected for each unit of weight.
 MAX_UPSTREAMS_PER_WEIGHT: Final = 3
-# Far upstreams beside a full set of near ones, to have capacity elsewhere and a
-# choice of it.
+# Weight of far upstreams beside a full set of near ones, so that an entry can
+# choose among servers elsewhere if the near ones are full.
 MIN_FAR_WEIGHT: Final = 4
 
 
@@ -69,8 +71,8 @@
 
         Args:
             is_wanted: tells whether an upstream may be selected.
-            find_weight: gives the share of its requests that an upstream accepts,
-                from 0 to 1.
+            find_weight: returns the weight of an upstream: the share of its
+                requests that it accepts, from 0 to 1.
 
         Returns:
             The selected upstreams, near ones first.
--- a/wagtaildale/routing/suspected_requests.py
+++ b/wagtaildale/routing/suspected_requests.py
@@ -1,9 +1,9 @@
 """Restricts where a request that has crashed servers may run.
 
-A request that comes ten times a second and crashes each server that runs it
-would, if retried elsewhere, crash one server after the other while the first
-ones are still down. It is sent back to the server that it crashed before, so
-that no more than that one is down at a time.
+Such a request runs again only at servers that it has crashed, so that it takes
+down no others. A request that arrives ten times a second and is retried
+elsewhere would crash one server after the other while the first ones are still
+down.
 """
 
 from __future__ import annotations
@@ -37,7 +37,8 @@
         view: snapshot of routes and instances.
         service: service that the upstreams run.
         fingerprint: fingerprint of the request.
-        judgement: what is known about the request.
+        judgement: whether the request may run, and the nodes beside the
+            servers that ended while they ran it.
 
     Returns:
         The upstreams whose servers ended while they ran the request. If none
--- a/wagtaildale/routing/table.py
+++ b/wagtaildale/routing/table.py
@@ -111,12 +111,13 @@
     ) -> RouteMatch | None:
         """Find the route of a request.
 
-        If the host has prefix routes, the longest matching prefix is used.
-        Among templates a literal segment takes precedence over ``{name}``,
-        and that over ``{name*}``.
+        If the host has prefix routes, the longest matching prefix is used,
+        whatever the method, and path templates are not tried. Among templates
+        a literal segment takes precedence over ``{name}``, and that over
+        ``{name*}``.
 
         Args:
-            method: HTTP method.
+            method: HTTP method; ignored for prefix routes.
             path: percent-encoded path as received, without the query.
             host: value of the ``Host`` header, with or without a port.
 
@@ -187,8 +188,8 @@
     prefixes: Mapping[str, RouteMatch],
     path: str,
 ) -> RouteMatch | None:
-    # Prefixes end with a slash, so only the parts of the path that end at one
-    # of its slashes are looked up.
+    # Prefixes end with a slash, so the path is looked up only up to each of its
+    # slashes.
     end = path.rfind('/')
     while end >= 0:
         match = prefixes.get(path[: end + 1])
--- a/wagtaildale/routing/tests/test_slowness.py
+++ b/wagtaildale/routing/tests/test_slowness.py
@@ -1,4 +1,4 @@
-"""Tests of the estimated speed of an upstream."""
+"""Tests of the estimated slowness of an upstream."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def build_report(
     *,
     run: float = 0.2,
-    now: float = 0.2,
+    recent: float = 0.2,
     usual: float = 0.2,
 ) -> OwnerReport:
     return OwnerReport(
@@ -33,7 +33,7 @@
         limit=4,
         queued=0,
         run_seconds=run,
-        class_seconds=now,
+        class_seconds=recent,
         class_usual_seconds=usual,
         code=Code.ok,
     )
@@ -56,7 +56,7 @@
     measures single runs, while the owner has measured hundreds.
     """
     usual = build_report()
-    slow = build_report(run=0.2, now=0.4, usual=0.4)
+    slow = build_report(run=0.2, recent=0.4, usual=0.4)
     assert find_slowness(usual, slow) > 1.8
     assert find_slowness(usual, slow, after=SLOWNESS_DECAY_SECONDS) > 1.7
 
@@ -64,7 +64,7 @@
 def test_slowness_decays_sooner_than_the_usual_speed() -> None:
     """A server that hung for a moment must not be avoided for a minute."""
     usual = build_report()
-    paused = build_report(now=0.8, usual=0.2)
+    paused = build_report(recent=0.8, usual=0.2)
     assert find_slowness(usual, paused) > 3
     after = find_slowness(usual, paused, after=SLOWNESS_DECAY_SECONDS)
     assert after == pytest.approx(1, abs=0.1)
@@ -72,7 +72,7 @@
 
 def test_wrong_report_expires() -> None:
     """A nonsensical report must not keep a server unused for good."""
-    wrong = build_report(now=1e9, usual=1e9)
+    wrong = build_report(recent=1e9, usual=1e9)
     assert find_slowness(build_report(), wrong) <= MAX_SLOWNESS
     after = find_slowness(
         build_report(), wrong, after=USUAL_SPEED_DECAY_SECONDS
@@ -87,10 +87,10 @@
     assert MIN_SLOWNESS <= slowness.estimate(NOW) <= MAX_SLOWNESS
 
 
-def test_speed_without_reports_follows_measured_times() -> None:
+def test_slowness_without_reports_follows_measured_times() -> None:
     """Owners of an earlier build do not report the times of their runs."""
     usual = build_report()
-    silent = build_report(run=0.8, now=0, usual=0)
+    silent = build_report(run=0.8, recent=0, usual=0)
     statistics = FleetStatistics()
     upstream = statistics.find(InstanceId('a'), now=NOW)
     other = statistics.find(InstanceId('b'), now=NOW)
--- a/wagtaildale/routing/tests/test_subsets.py
+++ b/wagtaildale/routing/tests/test_subsets.py
@@ -27,7 +27,7 @@
 )
 
 
-def build_service(
+def spread_over_data_centres(
     count: int, data_centres: tuple[str, ...] = DATA_CENTRES
 ) -> list[str]:
     return [data_centres[number % len(data_centres)] for number in range(count)]
@@ -60,7 +60,7 @@
     With ninety servers in six data centres, a subset of twelve drawn from the
     whole list has two near ones on average, and for some entries none.
     """
-    records = build_records(build_service(90))
+    records = build_records(spread_over_data_centres(90))
     for entry in range(200):
         subset = select(records, entry=entry, data_centre='derby')
         near = [each for each in subset if each.data_centre == 'derby']
@@ -69,7 +69,7 @@
 
 
 def test_subsets_spread_over_a_large_service() -> None:
-    records = build_records(build_service(100, ('derby',)))
+    records = build_records(spread_over_data_centres(100, ('derby',)))
     used: Counter[str] = Counter()
     for entry in range(200):
         subset = select(records, entry=entry, data_centre='derby')
@@ -83,8 +83,8 @@
 def test_far_upstreams_fill_the_subset_if_few_are_near(near: int) -> None:
     """A data centre may have one server of a service, or none."""
     data_centres = [
-        *build_service(near, ('derby',)),
-        *build_service(60, DATA_CENTRES[1:]),
+        *spread_over_data_centres(near, ('derby',)),
+        *spread_over_data_centres(60, DATA_CENTRES[1:]),
     ]
     subset = select(build_records(data_centres), entry=1, data_centre='derby')
     assert len(subset) == MIN_SUBSET_WEIGHT
@@ -93,12 +93,12 @@
 
 
 def test_subset_of_a_small_service_has_all_upstreams() -> None:
-    records = build_records(build_service(7, DATA_CENTRES[:3]))
+    records = build_records(spread_over_data_centres(7, DATA_CENTRES[:3]))
     assert set(select(records, entry=1, data_centre='derby')) == set(records)
 
 
 def test_change_of_the_list_moves_few_upstreams() -> None:
-    records = build_records(build_service(90))
+    records = build_records(spread_over_data_centres(90))
     before = select(records, entry=1, data_centre='derby')
     after = select(records[6:], entry=1, data_centre='derby')
     assert len(set(before) - set(after)) <= 3
@@ -106,7 +106,7 @@
 
 def test_limited_upstreams_count_by_the_share_they_accept() -> None:
     """If all near servers accept a third, four far ones would get the rest."""
-    records = build_records(build_service(600))
+    records = build_records(spread_over_data_centres(600))
     ranked = rank_upstreams(
         records,
         entry=InstanceId('e1'),
@@ -114,9 +114,9 @@
     )
     whole = ranked.select(_want)
     thirds = ranked.select(_want, find_weight=lambda _record: 1 / 3)
-    nothing = ranked.select(_want, find_weight=lambda _record: 0)
+    accepting_nothing = ranked.select(_want, find_weight=lambda _record: 0)
     assert len(thirds) == 3 * len(whole)
-    assert len(nothing) <= MAX_UPSTREAMS_PER_WEIGHT * (
+    assert len(accepting_nothing) <= MAX_UPSTREAMS_PER_WEIGHT * (
         MAX_NEAR_WEIGHT + MIN_SUBSET_WEIGHT
     )
 
--- a/wagtaildale/routing/tests/test_throttling.py
+++ b/wagtaildale/routing/tests/test_throttling.py
@@ -19,7 +19,7 @@
 SEEDS: Final = (1, 2)
 # Time until all entries know a changed limit and the load has settled.
 SETTLE_SECONDS: Final = 3.0
-SECONDS: Final = 5.0
+MEASURED_SECONDS: Final = 5.0
 # Bounds relative to what a limited server accepts: the requests that it runs,
 # and those that are sent to its owner.
 MIN_RUN_SHARE: Final = 0.8
@@ -76,10 +76,12 @@
     mesh.count_anew()
 
 
-def assert_shared_out(mesh: ReplayMesh, per_second: float) -> None:
-    """Assert that limited servers get what they accept, with few refusals."""
+def assert_limits_are_used_and_kept(
+    mesh: ReplayMesh, per_second: float
+) -> None:
+    """Assert that limited servers run what they accept, with few refusals."""
     limited = [each for each in mesh.servers.values() if each.limit is not None]
-    accepted = per_second * len(limited) * SECONDS
+    accepted = per_second * len(limited) * MEASURED_SECONDS
     assert sum(each.runs for each in limited) >= MIN_RUN_SHARE * accepted
     assert sum(each.asked for each in limited) <= MAX_SENT_SHARE * accepted
 
@@ -93,8 +95,8 @@
     """Two of six servers are limited, which must not end in refusals."""
     mesh = build_mesh(seed=seed)
     set_limit(mesh, per_second, count=2)
-    mesh.run(SECONDS)
-    assert_shared_out(mesh, per_second)
+    mesh.run(MEASURED_SECONDS)
+    assert_limits_are_used_and_kept(mesh, per_second)
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.85
 
 
@@ -103,8 +105,8 @@
     """If every server is limited, each request would be refused by three."""
     mesh = build_mesh(seed=seed)
     set_limit(mesh, PER_SECOND / 3 / 6, count=6)
-    mesh.run(SECONDS)
-    assert_shared_out(mesh, PER_SECOND / 3 / 6)
+    mesh.run(MEASURED_SECONDS)
+    assert_limits_are_used_and_kept(mesh, PER_SECOND / 3 / 6)
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
     lookups = mesh.outcomes[LOOKUPS]
     # No class is rejected entirely in favour of a more important one.
@@ -112,11 +114,11 @@
 
 
 def test_many_limited_servers_are_shared_by_many_entries() -> None:
-    """Each of thirty entries would send a server what it accepts from all."""
+    """Prevents each of thirty entries from sending a server its whole limit."""
     mesh = build_mesh(seed=1, scale=5)
     set_limit(mesh, 10, count=30)
-    mesh.run(SECONDS)
-    assert_shared_out(mesh, 10)
+    mesh.run(MEASURED_SECONDS)
+    assert_limits_are_used_and_kept(mesh, 10)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -128,7 +130,7 @@
         server.limit = None
     mesh.run(SETTLE_SECONDS)
     mesh.count_anew()
-    mesh.run(SECONDS)
+    mesh.run(MEASURED_SECONDS)
     assert mesh.outcomes[LOOKUPS].share_in_time >= 0.95
 
 
@@ -142,8 +144,8 @@
     mesh = build_mesh(seed=seed)
     for per_second in limits:
         set_limit(mesh, per_second, count=6)
-        mesh.run(SECONDS)
-        assert_shared_out(mesh, per_second)
+        mesh.run(MEASURED_SECONDS)
+        assert_limits_are_used_and_kept(mesh, per_second)
 
 
 @pytest.mark.parametrize('seed', SEEDS)
@@ -157,10 +159,14 @@
     mesh.leave(gone)
     mesh.run(SETTLE_SECONDS)
     mesh.count_anew()
-    mesh.run(SECONDS)
+    mesh.run(MEASURED_SECONDS)
     remaining = list(mesh.servers.values())[gone:]
-    room = sum(each.record.slots for each in remaining) * SECONDS
-    assert sum(each.slot_seconds for each in remaining) >= 0.95 * room
+    capacity_seconds = (
+        sum(each.record.slots for each in remaining) * MEASURED_SECONDS
+    )
+    assert (
+        sum(each.slot_seconds for each in remaining) >= 0.95 * capacity_seconds
+    )
     runs = sum(each.runs for each in remaining)
     assert sum(each.asked for each in remaining) <= 4 * runs
     assert mesh.outcomes[BOOKINGS].share_in_time >= 0.8
--- a/wagtaildale/routing/tests/test_view.py
+++ b/wagtaildale/routing/tests/test_view.py
@@ -30,7 +30,7 @@
 def test_later_instance_at_an_address_replaces_the_earlier() -> None:
     """Prevents refusals of half of all requests after a power failure.
 
-    The entries of the dead servers stay in the list for some seconds, beside
+    The records of the dead servers stay in the list for some seconds, beside
     those of the servers that started at the same addresses. Requests for the
     dead ones reach the new ones, which refuse them.
     """
@@ -52,18 +52,19 @@
     assert list_known(first, second) == {'first', 'second'}
 
 
-def test_start_time_takes_precedence_over_entry_order() -> None:
+def test_start_time_takes_precedence_over_first_listed_revision() -> None:
     """Two servers are listed at one address, and one of them is gone."""
     dead = structs.replace(build_at('dead', port=8145, since=40), born=100)
     started = structs.replace(build_at('alive', port=8145, since=3), born=900)
     assert list_known(dead, started) == {'alive'}
 
 
-def test_entry_of_an_unpublished_service_replaces_no_server() -> None:
+def test_record_of_an_unpublished_service_replaces_no_server() -> None:
     """Prevents a running server from disappearing from its service.
 
-    Another writer lists an entry with the server's address and a service that
-    nobody published; as the later entry it would replace the server.
+    Another program adds a record with the server's address and a service that
+    is not published to the list. As the later record it would replace the
+    server.
     """
     view = ViewHolder()
     view.replace_configuration(build_configuration())
--- a/wagtaildale/routing/throttling.py
+++ b/wagtaildale/routing/throttling.py
@@ -25,7 +25,8 @@
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.types import InstanceId
 
-# Delay before a retry if nearly all requests pass; it grows as fewer pass.
+# Delay before a retry if all requests are accepted; it is divided by the share
+# that is accepted.
 BASE_RETRY_SECONDS: Final = 0.2
 MAX_RETRY_SECONDS: Final = 5.0
 # Random spread of the delay, so that callers that were rejected together do
@@ -34,10 +35,11 @@
 
 
 class Throttled(Struct, frozen=True, kw_only=True, gc=False):
-    """Result if no upstream accepts more requests of a rank for now.
+    """Result if the random draw admits a request to no upstream.
 
     Attributes:
-        share: largest share of such requests that any of them accepts.
+        share: largest share of the requests of its pass rank that any
+            upstream accepts.
     """
 
     share: float
@@ -56,20 +58,20 @@
     slack_seconds: float,
     statistics: FleetStatistics,
 ) -> int:
-    """Find the rank by which limited upstreams admit a request.
+    """Find the pass rank by which limited upstreams admit a request.
 
-    Requests that are expected to miss their target rank lower. If a service
-    accepts only a part of its load, callers retry until they are late, and
-    otherwise most of the requests that pass would be answered late.
+    A request that will probably miss its target gets a lower rank. Otherwise,
+    while a service rejects a part of its load, most of the requests that pass
+    would be late retries.
 
     Args:
         priority: priority of the request's class; 0 is served first.
-        class_name: qualified name of the class, for example ``intake/lookup``.
+        class_name: name of service and class, for example ``intake/lookup``.
         slack_seconds: seconds until the target of the class is missed.
         statistics: load, speed and failures of the upstreams.
 
     Returns:
-        Rank as defined in ``admission.shares``.
+        Pass rank as defined in ``admission.shares``.
     """
     usual = statistics.find_usual_seconds(class_name)
     return find_pass_rank(priority, is_late=slack_seconds < usual)
@@ -110,7 +112,7 @@
     request: RequestContext,
     now: float,
 ) -> float:
-    """Find the largest share of such requests that any upstream accepts.
+    """Find the largest share of a request's pass rank that is accepted.
 
     Args:
         candidates: upstreams that may take the attempt; at least one.
@@ -119,7 +121,7 @@
         now: current time, in seconds.
 
     Returns:
-        Share above 0, at most 1.
+        Largest share that any candidate accepts, above 0 and at most 1.
     """
     return max(
         limits.find_share(record.instance, request.pass_rank, now=now)
@@ -139,7 +141,8 @@
         return False
     share = limits.find_share(instance, request.pass_rank, now=now)
     if request.was_rate_limited:
-        # When every server of a service is limited, a request that was refused
-        # once would otherwise be refused by one after the other.
+        # A request that was refused for a rate limit is sent only to servers
+        # without a limit for its rank. Otherwise, if every server of a service
+        # is limited, one after the other would refuse it.
         return share >= 1
     return random.random() < share
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -18,13 +18,17 @@
 # Concurrency limit that is assumed before the first report.
 INITIAL_LIMIT: Final = 10
 WARM_UP_SECONDS: Final = 10.0
-# Additional load that a new incarnation counts with at first.
+# Addition to the load of a new incarnation, as a fraction of its limit. It
+# falls to 0 over WARM_UP_SECONDS.
 COLD_LOAD: Final = 0.5
+# A load report older than this is not used to estimate waits.
 STALE_LOAD_SECONDS: Final = 1.0
-# A reported fullness decays linearly to 0 over this time: single requests
-# come and go, but a busy server is likely to stay busy for a few of them.
+# A reported fullness decays linearly to 0 over this time, as a server that was
+# busy usually stays so for several request durations.
 FULLNESS_DECAY_SECONDS: Final = 5.0
-# Failures of the upstream itself, not of a single request.
+# Failures that count towards an ejection, as they are caused by the upstream
+# and not by the request. A missed deadline counts, because a server that hangs
+# may cause no other failure.
 UPSTREAM_FAULT_CODES: Final = frozenset(
     (
         Code.backend_cut,
@@ -37,7 +41,8 @@
 )
 
 
-# Answers with these codes do not end an ejection.
+# Answers with these codes do not end an ejection. An answer with any other
+# code does, also if it is a refusal.
 CODES_KEEPING_EJECTION: Final = UPSTREAM_FAULT_CODES | {Code.draining}
 
 
@@ -80,7 +85,7 @@
     Attributes:
         instance: id of the upstream.
         incarnation: incarnation of its node's process, as last reported.
-        ejection: tells whether the upstream is ejected for failures.
+        ejection: ejection for failures, for leaving or for unanswered pings.
         pending: number of this entry's requests that are under way there.
         in_flight: number of requests running at its backend server, as last
             reported.
@@ -88,10 +93,10 @@
         queued: number of requests waiting for a slot, as last reported.
         slot_seconds: smoothed seconds that a request of any class holds a
             slot, as last reported; 0 while unknown.
-        incarnation_known_since: time when this entry first learned of the incarnation,
-            seconds.
+        incarnation_known_since: time when this entry first learned of the
+            incarnation, seconds.
         load_reported_at: time of the last load report, seconds.
-        slowness: slowness of the upstream compared to the fleet.
+        slowness: time of its answers over the usual time in the fleet.
     """
 
     __slots__ = (
@@ -195,7 +200,7 @@
         usual_seconds: float,
         now: float,
     ) -> None:
-        """Update the speed of the backend server.
+        """Update the slowness of the backend server.
 
         Args:
             report: the owner's report.
@@ -233,7 +238,9 @@
             now: current time, in seconds.
 
         Returns:
-            Requests at the upstream over its limit; above 1 if some wait.
+            The larger of the requests that were last reported, which decay
+            with the age of the report, and the entry's own pending ones, over
+            the limit; above 1 if some wait.
         """
         reported = (self.in_flight + self.queued) / self.limit
         share = self.measure_load_age(now) / FULLNESS_DECAY_SECONDS
@@ -245,9 +252,9 @@
     def estimate_wait(self, run_seconds: float, *, now: float) -> float:
         """Estimate how long a request would wait for a slot.
 
-        A load report older than a second is ignored, because requests come
-        and go faster than that. Only the entry's own pending requests count
-        then, so that the upstream is tried again.
+        A load report older than a second is ignored, as requests change
+        faster than that, and an upstream that gets no requests would stay
+        avoided. Only the entry's own pending requests count then.
 
         The requests ahead are assumed to hold their slots for the smoothed
         time of all classes. With the time of the request's own class, a short
@@ -255,8 +262,8 @@
         full server while another one is idle.
 
         Args:
-            run_seconds: usual seconds of the request at this upstream, used if
-                ``slot_seconds`` is not known.
+            run_seconds: expected seconds of the request at this upstream;
+                used if ``slot_seconds`` is not known.
             now: current time, in seconds.
 
         Returns:
@@ -271,15 +278,16 @@
     def measure_load(self, now: float) -> float:
         """Measure the load of the upstream.
 
-        A new incarnation counts as half full at first, and less with each
-        second of its warm-up: it starts cold, and all entries would send it
-        their requests at once.
+        ``COLD_LOAD`` is added to the load of a new incarnation, and less of it
+        with each second of its warm-up. Otherwise all entries would send their
+        requests at once to a server that starts cold.
 
         Args:
             now: current time, in seconds.
 
         Returns:
-            Requests at the upstream or on their way to it, over its limit.
+            Sum of the requests that were last reported and the entry's own
+            pending ones, over the limit, plus the addition for a cold start.
         """
         load = (self.in_flight + self.queued + self.pending) / self.limit
         age = now - self.incarnation_known_since
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -37,9 +37,11 @@
         table: routing table of the configuration; nothing before the first
             version.
         instances_version: version of the instance list.
-        upstreams: listed instances, by service.
-        records: listed instances, by id.
-        away: instances and nodes that accept no new work.
+        upstreams: records of the instances in use, by service: the listed ones
+            with the overrides of ``ViewHolder.replace_overrides``, without
+            replaced ones and those of services without configuration.
+        records: the same records, by instance id.
+        away: ids of instances and nodes that accept no new work.
         caller_limits: rate limits on callers, if the configuration has them.
     """
 
@@ -75,7 +77,7 @@
         return len({record.node_id for record in self.records.values()})
 
     def list_records(self) -> Iterator[InstanceRecord]:
-        """List the instances of all services.
+        """List the records of the instances of all services.
 
         Yields:
             The record of each instance.
@@ -132,28 +134,30 @@
         """Replace the records that differ from the platform's list.
 
         Args:
-            retained: records of instances that stay in use though the list no
-                longer has them.
-            departed: records to use in place of the listed ones.
+            retained: records of instances that stay in use although the list
+                no longer has them.
+            departed: records of instances that have left although the list
+                still shows them as live; used in place of the listed ones.
         """
         self._retained = {record.instance: record for record in retained}
         self._departed = {record.instance: record for record in departed}
         self._swap_records(self.current.instances_version)
 
     def replace_away(self, away: frozenset[InstanceId]) -> None:
-        """Replace the set of instances that accept no new work.
+        """Replace the set of instances and nodes that accept no new work.
 
         Args:
-            away: instances that the list or gossip reports as leaving,
-                suspected or dead.
+            away: ids of instances and nodes that the list or gossip reports as
+                leaving, suspected or dead.
         """
         self.current = structs.replace(self.current, away=away)
 
     def _merge_records(self) -> dict[InstanceId, InstanceRecord]:
-        # Another writer may list a record with the address of a running server
-        # and a service that nobody published. As the later record at that
-        # address it would replace the server, so records of services without
-        # configuration are dropped; no route leads to them anyway.
+        # Another program that writes to the platform's list may add a record
+        # with the address of a running server and a service that is not
+        # published. As the later record at that address it would replace the
+        # server. So records of services without configuration are dropped; no
+        # route leads to them anyway.
         records = {**self._retained, **self._listed, **self._departed}
         parts = self.current.parts
         if not parts:
