--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -27,7 +27,7 @@
 # Number of hash rings over the nodes of a data centre. Each node gossips with
 # its successor on each of them, and on the ring over the whole fleet.
 LOCAL_RING_COUNT: Final = 3
-# Two, since one of them may just have ended.
+# Two, because one of these nodes may have just ended.
 ROOTS_PER_DATA_CENTRE: Final = 2
 FLEET_RING_SALT: Final = 'fleet'
 
@@ -150,8 +150,8 @@
     """Peers of one node.
 
     Attributes:
-        readers: nodes of the data centre that are not leaving, in the order
-            in which they are appointed to read the platform's list.
+        readers: nodes of the data centre that are not leaving, by their rank
+            as readers of the platform's list, best first.
         tree: nodes of the data centre in the order of the push tree.
         neighbours: nodes that digests are exchanged with.
         roots: first two nodes of the push tree of each other data centre.
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -28,9 +28,9 @@
 
     from wagtaildale.types import DataCentre, InstanceId
 
-# With more upstreams, each would get too few requests for recent statistics.
-# With less than a dozen, a single long request would take up much of the
-# subset's slots.
+# With more upstreams, each would get too few requests for recent statistics. A
+# dozen servers with several slots each are enough that a single long request
+# at one of them has little effect.
 MAX_NEAR_WEIGHT: Final = 12
 # Far upstreams are added until the subset has this weight. Services have 7
 # upstreams on average (2,500 in 360 services), so entries call all upstreams of
--- a/wagtaildale/routing/view.py
+++ b/wagtaildale/routing/view.py
@@ -39,7 +39,8 @@
         instances_version: version of the instance list.
         upstreams: records of the instances in use, by service: the listed ones
             with the overrides of ``ViewHolder.replace_overrides``, without
-            replaced ones and those of services without configuration.
+            those whose address a later instance uses and those of services
+            without configuration.
         records: the same records, by instance id.
         away: ids of instances and nodes that accept no new work.
         caller_limits: rate limits on callers, if the configuration has them.
