--- a/wagtaildale/routing/leaving_servers.py
+++ b/wagtaildale/routing/leaving_servers.py
@@ -37,11 +37,11 @@
 
     def __init__(self) -> None:
         """Start without any."""
-        self._born_by_instance: dict[InstanceId, int] = {}
+        self._started_ms_by_instance: dict[InstanceId, int] = {}
 
     def __bool__(self) -> bool:
         """Tell whether any server has announced that it leaves."""
-        return bool(self._born_by_instance)
+        return bool(self._started_ms_by_instance)
 
     def note(self, server: LeavingServer) -> bool:
         """Note that a server has announced that it leaves.
@@ -52,11 +52,16 @@
         Returns:
             Whether that was not known before.
         """
-        born = server.born
-        is_known = self._born_by_instance.pop(server.instance, None) == born
-        self._born_by_instance[server.instance] = born
-        if len(self._born_by_instance) > MAX_LEAVING_SERVERS:
-            self._born_by_instance.pop(next(iter(self._born_by_instance)))
+        started_ms = server.born
+        is_known = (
+            self._started_ms_by_instance.pop(server.instance, None)
+            == started_ms
+        )
+        self._started_ms_by_instance[server.instance] = started_ms
+        if len(self._started_ms_by_instance) > MAX_LEAVING_SERVERS:
+            self._started_ms_by_instance.pop(
+                next(iter(self._started_ms_by_instance))
+            )
         return not is_known
 
     def forget(self, instance: InstanceId) -> None:
@@ -65,7 +70,7 @@
         Args:
             instance: id of the server's instance.
         """
-        self._born_by_instance.pop(instance, None)
+        self._started_ms_by_instance.pop(instance, None)
 
     def has_any_run(self, instance: InstanceId) -> bool:
         """Tell whether any run of a server has announced that it leaves.
@@ -76,7 +81,7 @@
         Returns:
             Whether an announcement is known, whatever its start time.
         """
-        return instance in self._born_by_instance
+        return instance in self._started_ms_by_instance
 
     def is_leaving(self, record: InstanceRecord) -> bool:
         """Tell whether the listed run of a server has announced that it leaves.
@@ -87,4 +92,4 @@
         Returns:
             Whether an announcement with the record's start time is known.
         """
-        return self._born_by_instance.get(record.instance) == record.born
+        return self._started_ms_by_instance.get(record.instance) == record.born
