--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -147,12 +147,12 @@
         record
         for record in allowed
         if record.instance not in attempts.tried
-        and not statistics.leaving_servers.has(record)
+        and not statistics.leaving_servers.is_leaving(record)
     ]
     up = [
         record
         for record in untried
-        if not statistics.down.has(record.instance, now=now)
+        if not statistics.down_servers.is_down(record.instance, now=now)
     ]
     if not untried:
         raise build_suspect_rejection(
--- a/wagtaildale/calls/tests/test_slow_servers.py
+++ b/wagtaildale/calls/tests/test_slow_servers.py
@@ -22,7 +22,7 @@
     upstream = placement.statistics.find(
         pair.owner_node.record.instance, now=now
     )
-    return upstream.speed.find_slowness(now)
+    return upstream.slowness.estimate(now)
 
 
 def set_slowness(pair: Pair, ratio: float) -> None:
--- a/wagtaildale/document/state.py
+++ b/wagtaildale/document/state.py
@@ -51,8 +51,8 @@
         held: version in force.
         check: validates a version as a whole.
         history: versions held earlier, for deltas to peers that are behind.
-        refused: faults of versions that failed validation, by version and
-            digest.
+        refused: faults of the latest versions that failed validation, by
+            version and digest.
         pending: later version that is not complete yet.
     """
 
@@ -64,8 +64,10 @@
     refused: dict[tuple[Version, Digest], Fault] = field(default_factory=dict)
     pending: PendingVersion | None = None
 
-    def find_version(self, version: Version, digest: Digest) -> Document | None:
-        """Find a version that is held or was held earlier.
+    def find_document(
+        self, version: Version, digest: Digest
+    ) -> Document | None:
+        """Find the document of a version that is held or was held earlier.
 
         Args:
             version: version number.
@@ -93,8 +95,8 @@
                 return self.held.blobs[name]
         return None
 
-    def remember_refused(self, document: Document, fault: Fault) -> None:
-        """Remember a version that failed validation.
+    def note_refused(self, document: Document, fault: Fault) -> None:
+        """Note a version that failed validation.
 
         Only the latest ``MAX_REFUSED_VERSIONS`` are kept.
 
--- a/wagtaildale/membership/decisions.py
+++ b/wagtaildale/membership/decisions.py
@@ -27,16 +27,18 @@
 # Minimum time between two counted misses of a peer; digests go out once a
 # second.
 MISS_INTERVAL_SECONDS: Final = 0.75
-SUSPECT_SECONDS: Final = 6.0
+# A suspected node that does not refute the suspicion in this time is declared
+# dead.
+SUSPICION_TIMEOUT_SECONDS: Final = 6.0
 NEWS_PER_MESSAGE: Final = 16
 
 
-class NewsTaken(Struct, frozen=True, kw_only=True):
-    """News that changed the view of the fleet.
+class AcceptedNews(Struct, frozen=True, kw_only=True):
+    """News that replaced older news of its node.
 
     Attributes:
-        news: news that is held from now on.
-        before: state of the node until now; nothing if it was not known.
+        news: the new news.
+        before: state of the node in the older news; nothing if there was none.
     """
 
     news: News
@@ -48,7 +50,7 @@
     *,
     received: Iterable[News],
     now: float,
-) -> list[NewsTaken]:
+) -> list[AcceptedNews]:
     """Merge news from another node.
 
     A node that was only slow may be declared dead, and its neighbours then
@@ -64,7 +66,7 @@
     Returns:
         News that changed the view of the fleet.
     """
-    taken: list[NewsTaken] = []
+    accepted: list[AcceptedNews] = []
     for news in received:
         if news.instance == state.own.instance:
             _refute_own(state, news)
@@ -78,8 +80,8 @@
                 is_worth_sending=_is_worth_sending(news, known),
             )
             before = known.state if known else None
-            taken.append(NewsTaken(news=news, before=before))
-    return taken
+            accepted.append(AcceptedNews(news=news, before=before))
+    return accepted
 
 
 def note_missed_reply(
@@ -87,12 +89,12 @@
     *,
     peer: InstanceId,
     now: float,
-) -> list[NewsTaken]:
+) -> list[AcceptedNews]:
     """Note that a peer did not reply to a digest or a push.
 
     Args:
         state: membership of the fleet, updated in place.
-        peer: instance that did not reply.
+        peer: id of the node that did not reply.
         now: current time, in seconds.
 
     Returns:
@@ -123,18 +125,21 @@
 
     Args:
         state: membership of the fleet, updated in place.
-        peer: instance that sent the message.
+        peer: id of the node that sent the message.
     """
     state.missed.pop(peer, None)
 
 
-def expire_suspects(
+def expire_news(
     state: MembershipState,
     *,
     now: float,
-) -> list[NewsTaken]:
+) -> list[AcceptedNews]:
     """Declare overdue suspects dead, and drop old news of unlisted nodes.
 
+    News of a node that is not listed is dropped after 36 s, which is well after
+    a suspected node has been declared dead.
+
     Args:
         state: membership of the fleet, updated in place.
         now: current time, in seconds.
@@ -144,9 +149,9 @@
     """
     due = [
         structs.replace(suspect.news, state=NodeState.dead)
-        for suspect in state.entries.values()
+        for suspect in state.news_entries.values()
         if suspect.news.state is NodeState.suspect
-        and now - suspect.since > SUSPECT_SECONDS
+        and now - suspect.since > SUSPICION_TIMEOUT_SECONDS
     ]
     _forget_unlisted(state, now)
     return merge_news(state, received=due, now=now)
@@ -161,7 +166,7 @@
 
     Args:
         state: membership of the fleet, updated in place.
-        records: current entries of the list, by node.
+        records: current records of the list, by id of the node.
     """
     state.records = records
     state.cached_topology = None
@@ -179,13 +184,15 @@
 
     Args:
         state: membership of the fleet; its send counters are updated.
-        to: instance that the message is for.
+        to: id of the node that the message is for.
 
     Returns:
         News of this node itself, then news of some others.
     """
     sendable = [
-        entry for entry in state.entries.values() if entry.retransmits_left > 0
+        entry
+        for entry in state.news_entries.values()
+        if entry.retransmits_left > 0
     ]
     sendable.sort(key=_read_retransmits_left, reverse=True)
     chosen = sendable[:NEWS_PER_MESSAGE]
@@ -223,7 +230,7 @@
     *,
     is_worth_sending: bool,
 ) -> None:
-    state.entries[news.instance] = NewsEntry(
+    state.news_entries[news.instance] = NewsEntry(
         news=news,
         since=now,
         retransmits_left=state.compute_retransmits() if is_worth_sending else 0,
@@ -237,10 +244,11 @@
 def _forget_unlisted(state: MembershipState, now: float) -> None:
     forgotten = [
         name
-        for name, entry in state.entries.items()
+        for name, entry in state.news_entries.items()
         if name not in state.records
-        and now - entry.since > SUSPECT_SECONDS * SUSPECT_SECONDS
+        and now - entry.since
+        > SUSPICION_TIMEOUT_SECONDS * SUSPICION_TIMEOUT_SECONDS
     ]
     for name in forgotten:
-        state.entries.pop(name)
+        state.news_entries.pop(name)
         state.missed.pop(name, None)
--- a/wagtaildale/membership/records.py
+++ b/wagtaildale/membership/records.py
@@ -41,8 +41,9 @@
         control_port: port of the node for control messages.
         admin_port: port of the node's administration API.
         state: live or leaving, as the platform lists it.
-        node: id of the node beside the instance; empty if it is the id of
-            the instance, which then does not change while the node runs.
+        node: id of the node beside the instance; empty if the node has the id
+            of the instance. A platform lists it if instance ids change while a
+            node runs.
         slots: number of requests that its backend server runs at once; 0 if
             not listed.
         backend_port: port of the backend server; 0 if not listed.
@@ -69,8 +70,8 @@
     born: int = 0
 
     @property
-    def age_key(self) -> tuple[int, int]:
-        """Sort key of the instances at one address; the latest is greatest."""
+    def start_order(self) -> tuple[int, int]:
+        """Sort key of the instances at one address; greatest for the latest."""
         return self.born, self.since
 
     @property
@@ -93,7 +94,8 @@
     """The platform's instance list.
 
     Attributes:
-        index: revision of the list, which only increases.
+        index: version of the list (see ``document.eras``), which only
+            increases.
         instances: all instances that are live or leaving.
     """
 
@@ -115,7 +117,8 @@
         The record.
 
     Raises:
-        ValidationError: of msgspec, if the bytes are not a valid record.
+        MsgspecError: of msgspec, if the bytes are not valid JSON or not a
+            valid record.
     """
     return record_decoder.decode(blob)
 
@@ -154,13 +157,13 @@
     """
     latest: dict[tuple[str, int], tuple[int, int]] = {}
     for record in records.values():
-        known = latest.get(record.backend_address, record.age_key)
-        latest[record.backend_address] = max(known, record.age_key)
+        known = latest.get(record.backend_address, record.start_order)
+        latest[record.backend_address] = max(known, record.start_order)
     return {
         name: listed
         for name, listed in records.items()
         if not listed.backend_port
-        or latest[listed.backend_address] == listed.age_key
+        or latest[listed.backend_address] == listed.start_order
     }
 
 
@@ -180,14 +183,14 @@
         try:
             record = decode_record(blob)
         except MsgspecError as error:
-            return Err(_describe(name, str(error)))
+            return Err(_make_fault(name, str(error)))
         if record.instance != name:
-            return Err(_describe(name, record.instance))
+            return Err(_make_fault(name, record.instance))
         records[record.instance] = record
     return Ok(records)
 
 
-def _describe(name: str, got: str) -> Fault:
+def _make_fault(name: str, got: str) -> Fault:
     return Fault(
         code=Code.part_corrupt,
         where=f'instance {name}',
--- a/wagtaildale/membership/topology.py
+++ b/wagtaildale/membership/topology.py
@@ -24,14 +24,16 @@
 
 HASH_BYTES: Final = 8
 HASH_CACHE_SIZE: Final = 65536
-LOCAL_RINGS: Final = 3
-# Two, since one of them may just have ended.
+# Number of hash rings over the nodes of a data centre. Each node gossips with
+# its successor on each of them, and on the ring over the whole fleet.
+LOCAL_RING_COUNT: Final = 3
+# Two, because one of these nodes may have just ended.
 ROOTS_PER_DATA_CENTRE: Final = 2
-FLEET_RING: Final = 'fleet'
+FLEET_RING_SALT: Final = 'fleet'
 
 
 class Member(Struct, frozen=True, array_like=True):
-    """A member of the fleet: a node's instance and its data centre."""
+    """A member of the fleet: the id of a node and its data centre."""
 
     instance: InstanceId
     data_centre: DataCentre
@@ -148,11 +150,11 @@
     """Peers of one node.
 
     Attributes:
-        readers: instances of the data centre that do not leave, the best
-            ranked reader first.
-        tree: instances of the data centre in the order of the push tree.
-        neighbours: instances that digests are exchanged with.
-        roots: first two instances of the push tree of each other data centre.
+        readers: nodes of the data centre that are not leaving, by their rank
+            as readers of the platform's list, best first.
+        tree: nodes of the data centre in the order of the push tree.
+        neighbours: nodes that digests are exchanged with.
+        roots: first two nodes of the push tree of each other data centre.
     """
 
     readers: tuple[InstanceId, ...]
@@ -179,8 +181,8 @@
         The node's topology.
     """
     local = list_local(members, data_centre=own.data_centre)
-    rings = [(f'ring{number}', local) for number in range(LOCAL_RINGS)]
-    rings.append((FLEET_RING, [member.instance for member in members]))
+    rings = [(f'ring{number}', local) for number in range(LOCAL_RING_COUNT)]
+    rings.append((FLEET_RING_SALT, [member.instance for member in members]))
     found = (
         find_successor(
             rank_instances(salt, instances=ring_members),
--- a/wagtaildale/routing/candidates.py
+++ b/wagtaildale/routing/candidates.py
@@ -16,38 +16,40 @@
     from wagtaildale.types import InstanceId, ServiceName
 
 
-def list_candidates(
+def list_service_candidates(
     view: FleetView,
     *,
     service: ServiceName,
-    tried: Collection[InstanceId],
+    avoided: Collection[InstanceId],
     leaving_servers: LeavingServers,
 ) -> list[InstanceRecord]:
     """List the upstreams that may take an attempt.
 
-    In a rolling restart, gossip that an instance is back may arrive a moment
-    after gossip that the last other one leaves; a call in between would be
-    refused though a server is there. So upstreams that are away only
-    according to gossip are tried before any is tried a second time. A wrong
-    guess costs one refusal.
+    Upstreams that only gossip reports as away are used before any upstream is
+    tried a second time. In a rolling restart, gossip that an instance has
+    restarted may arrive a moment after gossip that the last other one leaves,
+    and a call in between would be refused although a server is ready. If the
+    gossip is right, the attempt costs one refusal.
 
     Args:
         view: snapshot that the call is routed by.
         service: service that the upstreams run.
-        tried: instances that earlier attempts of the call went to.
+        avoided: ids of upstreams that earlier attempts of the call went to;
+            used only if there is no other.
         leaving_servers: servers that have announced that they leave.
 
     Returns:
-        Upstreams that are neither away nor tried; without any, untried ones
-        that are away only according to gossip; without these, all. Servers
-        that have announced that they leave are never included.
+        Upstreams that are neither away nor avoided; if there are none, those
+        that are not avoided and that only gossip reports as away; if there
+        are none either, all. Servers that have announced that they leave are
+        never included.
     """
     listed = [
         record
         for record in view.upstreams.get(service, ())
-        if not leaving_servers.has(record)
+        if not leaving_servers.is_leaving(record)
     ]
-    untried = [record for record in listed if record.instance not in tried]
+    untried = [record for record in listed if record.instance not in avoided]
     present = [record for record in untried if not view.is_away(record)]
     listed_live = [
         record for record in untried if record.state is ListedState.live
--- a/wagtaildale/routing/known_limits.py
+++ b/wagtaildale/routing/known_limits.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from wagtaildale.admission.shares import ALL_PASS, PassShare
-from wagtaildale.routing.speed import decay_linearly
+from wagtaildale.routing.slowness import decay_linearly
 
 if TYPE_CHECKING:
     from collections.abc import Container
@@ -15,10 +15,10 @@
     from wagtaildale.types import InstanceId
 
 # An owner reports a changed share to its entries within a second. If a report
-# is lost, the last one counts in full for the first time and decays linearly
-# to no limit over the second.
-FULL_WEIGHT_SECONDS: Final = 5.0
-DECAY_SECONDS: Final = 5.0
+# is lost, the last one holds for REPORT_VALID_SECONDS and then decays linearly
+# to no limit over LIMIT_DECAY_SECONDS.
+REPORT_VALID_SECONDS: Final = 5.0
+LIMIT_DECAY_SECONDS: Final = 5.0
 
 
 class ServerLimit(Struct, frozen=True, kw_only=True, gc=False):
@@ -27,9 +27,9 @@
     Attributes:
         per_second: rate limit that the server has set, in requests a second;
             nothing if it has set none.
-        share: fraction of the requests of each rank that may be sent to the
-            server; also below 1 without a rate limit, if far more requests
-            come than the server has room for.
+        share: fraction of the requests of each pass rank that may be sent to
+            the server; also below 1 without a rate limit, if far more requests
+            arrive than the server has capacity for.
     """
 
     per_second: float | None = None
@@ -50,27 +50,27 @@
     server_limit: ServerLimit
     reported_at: float
 
-    def find_share(self, rank: int, *, now: float) -> float:
-        """Find the share of the requests of a rank that may be sent there.
+    def find_share(self, pass_rank: int, *, now: float) -> float:
+        """Find the share of a pass rank's requests that may be sent there.
 
-        An old report counts for less. Otherwise, if the report that a server
-        accepts more again is lost, an entry with few requests would try the
-        server only once in minutes.
+        An old report counts for less. Otherwise, if the report of a raised
+        limit is lost, an entry with few requests would send one to the server
+        only every few minutes.
 
         Args:
-            rank: rank of the requests; see ``admission.shares``.
+            pass_rank: pass rank of the requests; see ``admission.shares``.
             now: current time, in seconds.
 
         Returns:
             Share above 0, at most 1.
         """
-        overdue = max(0, now - self.reported_at - FULL_WEIGHT_SECONDS)
-        share = self.server_limit.share.find(rank)
-        return decay_linearly(share, to=1, share=overdue / DECAY_SECONDS)
+        overdue = max(0, now - self.reported_at - REPORT_VALID_SECONDS)
+        share = self.server_limit.share.find(pass_rank)
+        return decay_linearly(share, to=1, share=overdue / LIMIT_DECAY_SECONDS)
 
 
 class KnownLimits:
-    """Limits of the upstreams that do not accept all requests."""
+    """Known limits of the upstreams that do not accept all requests."""
 
     def __init__(self) -> None:
         """Start without any limit."""
@@ -122,7 +122,7 @@
             if instance not in listed:
                 self.forget(instance)
 
-    def has(self, instance: InstanceId) -> bool:
+    def is_limited(self, instance: InstanceId) -> bool:
         """Tell whether an upstream does not accept all requests.
 
         Args:
@@ -148,33 +148,37 @@
     def find_share(
         self,
         instance: InstanceId,
-        rank: int,
+        pass_rank: int,
         *,
         now: float,
     ) -> float:
-        """Find the share of the requests of a rank that an upstream accepts.
+        """Find the share of a pass rank's requests that an upstream accepts.
 
         Args:
             instance: id of the upstream.
-            rank: rank of the requests; see ``admission.shares``.
+            pass_rank: pass rank of the requests; see ``admission.shares``.
             now: current time, in seconds.
 
         Returns:
             Share above 0, at most 1.
         """
         known = self._limits.get(instance)
-        return 1 if known is None else known.find_share(rank, now=now)
+        return 1 if known is None else known.find_share(pass_rank, now=now)
 
-    def find_accepted_share(self, instance: InstanceId, *, now: float) -> float:
-        """Find the share of the first rank that is not accepted in full.
+    def find_limited_rank_share(
+        self, instance: InstanceId, *, now: float
+    ) -> float:
+        """Find the share of the most important pass rank that is limited.
+
+        It is the weight of the upstream in a subset.
 
         Args:
             instance: id of the upstream.
             now: current time, in seconds.
 
         Returns:
-            Share of the most important rank that is not accepted in full,
-            above 0; 1 if all ranks are.
+            Share of this rank's requests that the upstream accepts, above 0;
+            1 if no rank is limited.
         """
         known = self._limits.get(instance)
         if known is None:
--- a/wagtaildale/routing/speed.py
+++ b/wagtaildale/routing/slowness.py
@@ -1,11 +1,11 @@
-"""Estimates how fast an upstream is, from the reports of its owner.
+"""Estimates how slow an upstream is, from the reports of its owner.
 
 Servers of one service may run on machines of different speed. In a large
-fleet an entry sends each of them a request only every few seconds. From these
-alone it would take a minute to learn that a server takes twice as long, and a
-slow server with an equal share of the requests is full while half of the
-service's slots are free. The owner measures every run at its server, so one
-report of it counts at once.
+fleet an entry sends each of them a request only every few seconds, and would
+need a minute to learn from these that a server takes twice as long. Until
+then, the slow server with an equal share of the requests is full while half of
+the service's slots are free. The owner measures every run at its server, so one
+report of the owner replaces the entry's estimate at once.
 """
 
 from __future__ import annotations
@@ -13,38 +13,39 @@
 from typing import Final
 
 # Bounds of a server's time over the usual time of the class. One answer in a
-# hundred takes several times the usual time on any server; it counts as slow,
-# not as a sign that the server hangs.
+# hundred takes several times the usual time on any server. The upper bound
+# keeps such an answer from looking like a hanging server.
 MAX_SLOWNESS: Final = 4.0
 MIN_SLOWNESS: Final = 0.25
 # A server that has just started takes about twice its usual time.
 COLD_SLOWNESS: Final = 2.0
 # Weight of the time of one answer, if the owner does not report times.
 MEASURED_GAIN: Final = 0.1
-# What makes a server slower than usual (a pause, a full disk, a cold start)
-# passes, but an entry that avoids the server does not see it end. The owner
-# reports the end; if that report is lost, the server is tried again after this
-# time. With 4 s, an entry with a dozen near servers and a few requests a second
-# would spend a third of its requests on such trials.
+# Slowness from a pause, a full disk or a cold start is temporary, but an entry
+# that avoids the server can't observe its end. The owner reports the end; if
+# that report is lost, the server is tried again after this time. With 4 s, an
+# entry with a dozen near servers and a few requests a second would send a third
+# of its requests to servers that are still slow.
 SLOWNESS_DECAY_SECONDS: Final = 15.0
-# A server without any report may have started a moment ago.
+# Time over which COLD_SLOWNESS decays if no report comes. A server without any
+# report may have just started.
 COLD_DECAY_SECONDS: Final = 4.0
-# A server's usual speed is that of its machine, and rarely changes. A wrong
+# A server's usual speed depends on its machine and rarely changes. A wrong
 # report keeps requests away from the server for at most this time.
 USUAL_SPEED_DECAY_SECONDS: Final = 60.0
 
 
-class Speed:
+class Slowness:
     """Slowness of one upstream: its time over the usual time of the class.
 
     Example:
-        >>> speed = Speed(now=0)
-        >>> speed.note_reported(0.6, usual_ratio=0.5, now=10)
-        >>> round(speed.find_slowness(10), 2), round(speed.find_slowness(12), 2)
+        >>> slowness = Slowness(now=0)
+        >>> slowness.note_reported_times(0.6, usual_ratio=0.5, now=10)
+        >>> round(slowness.estimate(10), 2), round(slowness.estimate(12), 2)
         (0.6, 0.56)
     """
 
-    __slots__ = ('_decay_seconds', '_noted_at', '_slowness', '_usual')
+    __slots__ = ('_decay_seconds', '_noted_at', '_slowness', '_usual_ratio')
 
     def __init__(self, *, now: float) -> None:
         """Start with an upstream that may be cold.
@@ -53,11 +54,11 @@
             now: current time, in seconds.
         """
         self._slowness = COLD_SLOWNESS
-        self._usual = float(1)
+        self._usual_ratio = float(1)
         self._noted_at = now
         self._decay_seconds = COLD_DECAY_SECONDS
 
-    def note_reported(
+    def note_reported_times(
         self,
         ratio: float,
         *,
@@ -67,15 +68,15 @@
         """Note the times that the owner reports.
 
         Args:
-            ratio: recent time of its answers over the fleet's usual time.
+            ratio: time of its recent answers over the fleet's usual time.
             usual_ratio: longer-term time of its answers over the fleet's
                 usual time.
             now: current time, in seconds.
         """
-        self._usual = _bound(usual_ratio)
+        self._usual_ratio = _bound(usual_ratio)
         self._set_slowness(_bound(ratio), now)
 
-    def note_measured(self, ratio: float, *, now: float) -> None:
+    def note_measured_time(self, ratio: float, *, now: float) -> None:
         """Note the time of one answer, if the owner reports no times.
 
         Args:
@@ -85,27 +86,27 @@
         self._slowness += (_bound(ratio) - self._slowness) * MEASURED_GAIN
         self._noted_at = now
 
-    def note_condition(self, ratio: float, *, now: float) -> None:
-        """Note that the upstream has become slow, or recovered.
+    def note_reported_slowness(self, ratio: float, *, now: float) -> None:
+        """Note the owner's report that the upstream is slow or has recovered.
 
         Args:
-            ratio: recent time of its answers over its own usual time.
+            ratio: time of its recent answers over its own usual time.
             now: current time, in seconds.
         """
-        self._set_slowness(_bound(ratio * self._usual), now)
+        self._set_slowness(_bound(ratio * self._usual_ratio), now)
 
-    def note_overtaken(self, ratio: float, *, now: float) -> None:
-        """Note that another upstream answered the request first.
+    def note_unfinished_attempt(self, ratio: float, *, now: float) -> None:
+        """Note an attempt that was unfinished when another one was answered.
 
         Args:
             ratio: time waited for the answer over the fleet's usual time.
             now: current time, in seconds.
         """
-        if _bound(ratio) > self.find_slowness(now):
+        if _bound(ratio) > self.estimate(now):
             self._set_slowness(_bound(ratio), now)
 
-    def find_slowness(self, now: float) -> float:
-        """Find the current estimate of the upstream's slowness.
+    def estimate(self, now: float) -> float:
+        """Estimate the upstream's current slowness.
 
         The estimate decays with time. Otherwise an upstream that gives a few
         slow answers in a row would get no more requests, and nothing would
@@ -119,7 +120,7 @@
         """
         age = now - self._noted_at
         usual = decay_linearly(
-            self._usual, to=1, share=age / USUAL_SPEED_DECAY_SECONDS
+            self._usual_ratio, to=1, share=age / USUAL_SPEED_DECAY_SECONDS
         )
         if age >= self._decay_seconds:
             return usual
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -1,12 +1,13 @@
 """Selects the subset of a large service's upstreams that an entry calls.
 
-The entry keeps connections only to its subset. With a service of a hundred
-servers in several data centres, a subset drawn from the whole list has two
-near upstreams on average, and for some entries none, though fifteen are in
-the same data centre; answers then cross data centres without need. So
-upstreams in the entry's data centre ("near") are selected first. Some of the
-others ("far") stay in the subset for the case that the near ones are full,
-unreachable or gone; their connections are open by then.
+The entry keeps connections only to its subset. Upstreams in the entry's data
+centre ("near") are selected first. Some of the others ("far") are selected as
+well, so that connections to them are open when the near ones are full,
+unreachable or gone.
+
+A subset drawn from the whole list would cause needless traffic between data
+centres. With a hundred servers in several data centres, fifteen of them near,
+it would have two near upstreams on average, and for some entries none.
 
 Rendezvous hashing gives every entry a different subset, puts each upstream of
 a data centre into about the same number of subsets, and moves few of them
@@ -27,19 +28,20 @@
 
     from wagtaildale.types import DataCentre, InstanceId
 
-# The statistics of each upstream must be recent, and with more upstreams each
-# of them gets fewer requests. A dozen servers with some slots each are enough
-# to even out the effect of single long requests on one of them.
-MAX_NEAR: Final = 12
-# Services have 7 upstreams on average (2,500 in 360 services), so nearly all
-# are called whole; this bounds the rare large service.
-SUBSET_SIZE: Final = 12
-# An upstream that accepts a part of its requests counts as that part; this
-# bounds how many of them can replace a whole one.
+# With more upstreams, each would get too few requests for recent statistics. A
+# dozen servers with several slots each are enough that a single long request
+# at one of them has little effect.
+MAX_NEAR_WEIGHT: Final = 12
+# Far upstreams are added until the subset has this weight. Services have 7
+# upstreams on average (2,500 in 360 services), so entries call all upstreams of
+# nearly every service.
+MIN_SUBSET_WEIGHT: Final = 12
+# An upstream weighs the share of its requests that it accepts. At most this
+# many upstreams are selected for each unit of weight.
 MAX_UPSTREAMS_PER_WEIGHT: Final = 3
-# Far upstreams beside a full set of near ones, to have capacity elsewhere and a
-# choice of it.
-MIN_FAR: Final = 4
+# Weight of far upstreams beside a full set of near ones, so that an entry can
+# choose among servers elsewhere if the near ones are full.
+MIN_FAR_WEIGHT: Final = 4
 
 
 def _weigh_equally(_record: InstanceRecord) -> float:
@@ -63,21 +65,25 @@
         self,
         is_wanted: Callable[[InstanceRecord], bool],
         *,
-        weigh: Callable[[InstanceRecord], float] = _weigh_equally,
+        find_weight: Callable[[InstanceRecord], float] = _weigh_equally,
     ) -> list[InstanceRecord]:
         """Select a subset of the upstreams that satisfy a condition.
 
         Args:
             is_wanted: tells whether an upstream may be selected.
-            weigh: gives the share of its requests that an upstream accepts,
-                from 0 to 1.
+            find_weight: returns the weight of an upstream: the share of its
+                requests that it accepts, from 0 to 1.
 
         Returns:
             The selected upstreams, near ones first.
         """
-        near = _select_first(self.near, is_wanted, weigh, MAX_NEAR)
-        far_weight = max(MIN_FAR, SUBSET_SIZE - sum(map(weigh, near)))
-        return near + _select_first(self.far, is_wanted, weigh, far_weight)
+        near = _select_first(self.near, is_wanted, find_weight, MAX_NEAR_WEIGHT)
+        far_weight = max(
+            MIN_FAR_WEIGHT, MIN_SUBSET_WEIGHT - sum(map(find_weight, near))
+        )
+        return near + _select_first(
+            self.far, is_wanted, find_weight, far_weight
+        )
 
 
 def rank_upstreams(
@@ -112,7 +118,7 @@
 def _select_first(
     records: Iterable[InstanceRecord],
     is_wanted: Callable[[InstanceRecord], bool],
-    weigh: Callable[[InstanceRecord], float],
+    find_weight: Callable[[InstanceRecord], float],
     max_weight: float,
 ) -> list[InstanceRecord]:
     selected: list[InstanceRecord] = []
@@ -125,5 +131,5 @@
             break
         if is_wanted(record):
             selected.append(record)
-            weight += weigh(record)
+            weight += find_weight(record)
     return selected
--- a/wagtaildale/routing/tests/test_speed.py
+++ b/wagtaildale/routing/tests/test_slowness.py
@@ -1,4 +1,4 @@
-"""Tests of the estimated speed of an upstream."""
+"""Tests of the estimated slowness of an upstream."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import pytest
 
 from wagtaildale.errors.codes import Code
-from wagtaildale.routing.speed import (
+from wagtaildale.routing.slowness import (
     MIN_SLOWNESS,
     MAX_SLOWNESS,
     SLOWNESS_DECAY_SECONDS,
     USUAL_SPEED_DECAY_SECONDS,
-    Speed,
+    Slowness,
 )
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.upstream import OwnerReport
@@ -24,7 +24,7 @@
 def build_report(
     *,
     run: float = 0.2,
-    now: float = 0.2,
+    recent: float = 0.2,
     usual: float = 0.2,
 ) -> OwnerReport:
     return OwnerReport(
@@ -33,7 +33,7 @@
         limit=4,
         queued=0,
         run_seconds=run,
-        class_seconds=now,
+        class_seconds=recent,
         class_usual_seconds=usual,
         code=Code.ok,
     )
@@ -44,9 +44,9 @@
     names = [InstanceId(str(number)) for number in range(len(reports))]
     for name, report in zip(names, reports, strict=True):
         upstream = statistics.find(name, now=NOW)
-        statistics.note_speed(upstream, report, work_class='lookup', now=NOW)
+        statistics.note_run_time(upstream, report, class_name='lookup', now=NOW)
     last = statistics.find(names[-1], now=NOW)
-    return last.speed.find_slowness(NOW + after)
+    return last.slowness.estimate(NOW + after)
 
 
 def test_one_answer_shows_that_a_server_is_slow() -> None:
@@ -56,7 +56,7 @@
     measures single runs, while the owner has measured hundreds.
     """
     usual = build_report()
-    slow = build_report(run=0.2, now=0.4, usual=0.4)
+    slow = build_report(run=0.2, recent=0.4, usual=0.4)
     assert find_slowness(usual, slow) > 1.8
     assert find_slowness(usual, slow, after=SLOWNESS_DECAY_SECONDS) > 1.7
 
@@ -64,7 +64,7 @@
 def test_slowness_decays_sooner_than_the_usual_speed() -> None:
     """A server that hung for a moment must not be avoided for a minute."""
     usual = build_report()
-    paused = build_report(now=0.8, usual=0.2)
+    paused = build_report(recent=0.8, usual=0.2)
     assert find_slowness(usual, paused) > 3
     after = find_slowness(usual, paused, after=SLOWNESS_DECAY_SECONDS)
     assert after == pytest.approx(1, abs=0.1)
@@ -72,7 +72,7 @@
 
 def test_wrong_report_expires() -> None:
     """A nonsensical report must not keep a server unused for good."""
-    wrong = build_report(now=1e9, usual=1e9)
+    wrong = build_report(recent=1e9, usual=1e9)
     assert find_slowness(build_report(), wrong) <= MAX_SLOWNESS
     after = find_slowness(
         build_report(), wrong, after=USUAL_SPEED_DECAY_SECONDS
@@ -82,19 +82,19 @@
 
 @pytest.mark.parametrize('ratio', [0, 1e-9, 1e9, inf])
 def test_reported_ratio_is_bounded(ratio: float) -> None:
-    speed = Speed(now=NOW)
-    speed.note_reported(ratio, usual_ratio=ratio, now=NOW)
-    assert MIN_SLOWNESS <= speed.find_slowness(NOW) <= MAX_SLOWNESS
+    slowness = Slowness(now=NOW)
+    slowness.note_reported_times(ratio, usual_ratio=ratio, now=NOW)
+    assert MIN_SLOWNESS <= slowness.estimate(NOW) <= MAX_SLOWNESS
 
 
-def test_speed_without_reports_follows_measured_times() -> None:
+def test_slowness_without_reports_follows_measured_times() -> None:
     """Owners of an earlier build do not report the times of their runs."""
     usual = build_report()
-    silent = build_report(run=0.8, now=0, usual=0)
+    silent = build_report(run=0.8, recent=0, usual=0)
     statistics = FleetStatistics()
     upstream = statistics.find(InstanceId('a'), now=NOW)
     other = statistics.find(InstanceId('b'), now=NOW)
     for _answer in range(30):
         for each, report in ((other, usual), (upstream, silent)):
-            statistics.note_speed(each, report, work_class='lookup', now=NOW)
-    assert upstream.speed.find_slowness(NOW) > 1.3
+            statistics.note_run_time(each, report, class_name='lookup', now=NOW)
+    assert upstream.slowness.estimate(NOW) > 1.3
--- a/wagtaildale/routing/upstream.py
+++ b/wagtaildale/routing/upstream.py
@@ -12,20 +12,24 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.ejection import Ejection
 from wagtaildale.routing.known_limits import ServerLimit
-from wagtaildale.routing.speed import Speed, decay_linearly
+from wagtaildale.routing.slowness import Slowness, decay_linearly
 from wagtaildale.types import UNKNOWN_INCARNATION, Incarnation, InstanceId
 
 # Concurrency limit that is assumed before the first report.
 INITIAL_LIMIT: Final = 10
 WARM_UP_SECONDS: Final = 10.0
-# Additional load that a new incarnation counts with at first.
+# Addition to the load of a new incarnation, as a fraction of its limit. It
+# falls to 0 over WARM_UP_SECONDS.
 COLD_LOAD: Final = 0.5
+# A load report older than this is not used to estimate waits.
 STALE_LOAD_SECONDS: Final = 1.0
-# A reported fullness decays linearly to 0 over this time: single requests
-# come and go, but a busy server is likely to stay busy for a few of them.
+# A reported fullness decays linearly to 0 over this time, as a server that was
+# busy usually stays so for several request durations.
 FULLNESS_DECAY_SECONDS: Final = 5.0
-# Failures of the upstream itself, not of a single request.
-UPSTREAM_FAULTS: Final = frozenset(
+# Failures that count towards an ejection, as they are caused by the upstream
+# and not by the request. A missed deadline counts, because a server that hangs
+# may cause no other failure.
+UPSTREAM_FAULT_CODES: Final = frozenset(
     (
         Code.backend_cut,
         Code.backend_ended,
@@ -37,8 +41,9 @@
 )
 
 
-# Answers with these codes do not end an ejection.
-NON_SUCCESS_CODES: Final = UPSTREAM_FAULTS | {Code.draining}
+# Answers with these codes do not end an ejection. An answer with any other
+# code does, also if it is a refusal.
+CODES_KEEPING_EJECTION: Final = UPSTREAM_FAULT_CODES | {Code.draining}
 
 
 class OwnerReport(Struct, frozen=True, kw_only=True, gc=False):
@@ -80,7 +85,7 @@
     Attributes:
         instance: id of the upstream.
         incarnation: incarnation of its node's process, as last reported.
-        ejection: tells whether the upstream is ejected for failures.
+        ejection: ejection for failures, for leaving or for unanswered pings.
         pending: number of this entry's requests that are under way there.
         in_flight: number of requests running at its backend server, as last
             reported.
@@ -88,10 +93,10 @@
         queued: number of requests waiting for a slot, as last reported.
         slot_seconds: smoothed seconds that a request of any class holds a
             slot, as last reported; 0 while unknown.
-        known_since: time when this entry first learned of the incarnation,
-            seconds.
+        incarnation_known_since: time when this entry first learned of the
+            incarnation, seconds.
         load_reported_at: time of the last load report, seconds.
-        speed: slowness of the upstream compared to the fleet.
+        slowness: time of its answers over the usual time in the fleet.
     """
 
     __slots__ = (
@@ -100,12 +105,12 @@
         'incarnation',
         'instance',
         'load_reported_at',
-        'known_since',
+        'incarnation_known_since',
         'limit',
         'pending',
         'queued',
         'slot_seconds',
-        'speed',
+        'slowness',
     )
 
     def __init__(self, instance: InstanceId, *, now: float) -> None:
@@ -123,9 +128,9 @@
         self.limit = INITIAL_LIMIT
         self.queued = 0
         self.slot_seconds = float(0)
-        self.known_since = now
-        self.load_reported_at = self.known_since
-        self.speed = Speed(now=now)
+        self.incarnation_known_since = now
+        self.load_reported_at = self.incarnation_known_since
+        self.slowness = Slowness(now=now)
 
     def note_begun(self, now: float) -> None:
         """Count a request that is sent to the upstream.
@@ -152,7 +157,7 @@
         """
         if report.incarnation != self.incarnation:
             self.incarnation = report.incarnation
-            self.known_since = now
+            self.incarnation_known_since = now
         self.note_load(
             in_flight=report.in_flight,
             limit=report.limit,
@@ -163,7 +168,7 @@
             self.slot_seconds = report.slot_seconds
         if report.code is Code.draining:
             self.ejection.note_leaving(now)
-        if report.code in NON_SUCCESS_CODES:
+        if report.code in CODES_KEEPING_EJECTION:
             return False
         return self.ejection.note_answer()
 
@@ -188,30 +193,32 @@
         self.queued = queued
         self.load_reported_at = now
 
-    def note_speed(
+    def note_run_time(
         self,
         report: OwnerReport,
         *,
-        usual: float,
+        usual_seconds: float,
         now: float,
     ) -> None:
-        """Update the speed of the backend server.
+        """Update the slowness of the backend server.
 
         Args:
             report: the owner's report.
-            usual: usual seconds of the class over all upstreams.
+            usual_seconds: usual seconds of the class over all upstreams.
             now: current time, in seconds.
         """
-        if usual <= 0:
+        if usual_seconds <= 0:
             return
         if report.class_seconds > 0 and report.class_usual_seconds > 0:
-            self.speed.note_reported(
-                report.class_seconds / usual,
-                usual_ratio=report.class_usual_seconds / usual,
+            self.slowness.note_reported_times(
+                report.class_seconds / usual_seconds,
+                usual_ratio=report.class_usual_seconds / usual_seconds,
                 now=now,
             )
         else:
-            self.speed.note_measured(report.run_seconds / usual, now=now)
+            self.slowness.note_measured_time(
+                report.run_seconds / usual_seconds, now=now
+            )
 
     def measure_load_age(self, now: float) -> float:
         """Measure the age of the last load report.
@@ -224,14 +231,16 @@
         """
         return now - self.load_reported_at
 
-    def measure_fullness(self, now: float) -> float:
+    def estimate_fullness(self, now: float) -> float:
         """Estimate the fraction of the upstream's slots that are in use.
 
         Args:
             now: current time, in seconds.
 
         Returns:
-            Requests at the upstream over its limit; above 1 if some wait.
+            The larger of the requests that were last reported, which decay
+            with the age of the report, and the entry's own pending ones, over
+            the limit; above 1 if some wait.
         """
         reported = (self.in_flight + self.queued) / self.limit
         share = self.measure_load_age(now) / FULLNESS_DECAY_SECONDS
@@ -240,12 +249,12 @@
             self.pending / self.limit,
         )
 
-    def estimate_wait(self, usual: float, *, now: float) -> float:
+    def estimate_wait(self, run_seconds: float, *, now: float) -> float:
         """Estimate how long a request would wait for a slot.
 
-        A load report older than a second is ignored, because requests come
-        and go faster than that. Only the entry's own pending requests count
-        then, so that the upstream is tried again.
+        A load report older than a second is ignored, as requests change
+        faster than that, and an upstream that gets no requests would stay
+        avoided. Only the entry's own pending requests count then.
 
         The requests ahead are assumed to hold their slots for the smoothed
         time of all classes. With the time of the request's own class, a short
@@ -253,8 +262,8 @@
         full server while another one is idle.
 
         Args:
-            usual: usual seconds of the request at this upstream, used if
-                ``slot_seconds`` is not known.
+            run_seconds: expected seconds of the request at this upstream;
+                used if ``slot_seconds`` is not known.
             now: current time, in seconds.
 
         Returns:
@@ -263,24 +272,25 @@
         ahead = float(self.pending)
         if self.measure_load_age(now) < STALE_LOAD_SECONDS:
             ahead = max(ahead, self.in_flight + self.queued)
-        slot_seconds = self.slot_seconds or usual
+        slot_seconds = self.slot_seconds or run_seconds
         return max(0, ahead + 1 - self.limit) * slot_seconds / self.limit
 
     def measure_load(self, now: float) -> float:
         """Measure the load of the upstream.
 
-        A new incarnation counts as half full at first, and less with each
-        second of its warm-up: it starts cold, and all entries would send it
-        their requests at once.
+        ``COLD_LOAD`` is added to the load of a new incarnation, and less of it
+        with each second of its warm-up. Otherwise all entries would send their
+        requests at once to a server that starts cold.
 
         Args:
             now: current time, in seconds.
 
         Returns:
-            Requests at the upstream or on their way to it, over its limit.
+            Sum of the requests that were last reported and the entry's own
+            pending ones, over the limit, plus the addition for a cold start.
         """
         load = (self.in_flight + self.queued + self.pending) / self.limit
-        age = now - self.known_since
+        age = now - self.incarnation_known_since
         if age < WARM_UP_SECONDS:
             load += COLD_LOAD * (1 - age / WARM_UP_SECONDS)
         return load
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -12,7 +12,7 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.choice import RequestContext
-from wagtaildale.routing.throttling import Throttled, find_request_rank
+from wagtaildale.routing.throttling import Throttled, find_request_pass_rank
 from wagtaildale.testing.replay.servers import Job, ReplayServer
 from wagtaildale.types import ServiceName
 
@@ -132,7 +132,7 @@
             started_at=now,
             is_local=is_local,
             pass_rank=self._find_need_rank(),
-            share=placed.share,
+            share=placed.pass_share,
         )
         self._running.append(attempt)
         entry.placement.statistics.find(instance, now=now).note_begun(now)
@@ -144,9 +144,9 @@
 
     def _find_need_rank(self) -> int:
         request = self._request
-        return find_request_rank(
+        return find_request_pass_rank(
             request.work_class.rank,
-            work_class=request.work_class.name,
+            class_name=request.work_class.name,
             slack_seconds=request.target_at - self._clock.now,
             statistics=self._entry.placement.statistics,
         )
@@ -158,15 +158,15 @@
         return self._entry.placement.choose(
             self._entry.mesh.view.current,
             request.work_class.service,
-            excluded=attempts.list_excluded(),
+            avoided=attempts.list_excluded(),
             request=RequestContext(
                 data_centre=self._entry.data_centre,
-                work_class=request.work_class.name,
+                class_name=request.work_class.name,
                 slack_seconds=request.target_at - now,
                 may_wait=bool(attempts.overloaded and attempts.rejections_left),
                 pass_rank=self._find_need_rank(),
                 is_hedge=is_hedge,
-                was_limited=attempts.was_limited,
+                was_rate_limited=attempts.was_limited,
             ),
             now=now,
         )
@@ -268,11 +268,11 @@
         statistics = self._entry.placement.statistics
         upstream = statistics.find(instance, now=now)
         upstream.note_answer(report, now=now)
-        statistics.limits.note(instance, report.server_limit, now=now)
-        statistics.note_speed(
+        statistics.server_limits.note(instance, report.server_limit, now=now)
+        statistics.note_run_time(
             upstream,
             report,
-            work_class=work_class,
+            class_name=work_class,
             now=now,
         )
 
@@ -281,9 +281,9 @@
         statistics = self._entry.placement.statistics
         for attempt in self._running:
             instance = attempt.server.record.instance
-            statistics.note_overtaken(
+            statistics.note_unfinished_attempt(
                 statistics.find(instance, now=now),
-                work_class=self._request.work_class.name,
+                class_name=self._request.work_class.name,
                 seconds=now - attempt.started_at,
                 now=now,
             )
@@ -315,7 +315,7 @@
         return any(
             record.instance not in self._attempts.tried
             and not statistics.is_ejected(record.instance, now=now)
-            and not statistics.limits.has(record.instance)
+            and not statistics.server_limits.is_limited(record.instance)
             for record in listed
         )
 
