--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -217,16 +217,16 @@
         """
         if self.state is not AttemptState.reserving:
             return
-        if not self._matches_attempt(frame.answer):
+        if not self._matches_attempt(frame.fields):
             return
-        self._call.note_answer(self, frame.answer)
+        self._call.note_answer(self, frame.fields)
         # A lease is valid only in the process that granted it, so the run
         # message names the incarnation.
         self._run(
             structs.replace(
                 self.target.fields,
-                lease=frame.answer.lease,
-                incarnation=frame.answer.incarnation,
+                lease=frame.fields.lease,
+                incarnation=frame.fields.incarnation,
                 remaining_ms=self._find_remaining_ms(),
             ),
         )
@@ -237,16 +237,16 @@
         Args:
             frame: message with the failure and the outcome.
         """
-        if not self._matches_attempt(frame.answer):
+        if not self._matches_attempt(frame.fields):
             return
-        answer = frame.answer
+        answer = frame.fields
         self._call.note_answer(self, answer)
         failure = CallFailed(
             answer.code,
             outcome=answer.outcome,
             detail=frame.detail,
             retry_after=answer.retry_ms / MILLISECONDS,
-            has_arrived=answer.has_arrived,
+            has_arrived=answer.was_rejected_by_server,
         )
         failure.ends = answer.ends
         self._fail(failure, cancelled=False)
@@ -259,9 +259,9 @@
         """
         if self.state is not AttemptState.running:
             return
-        if not self._matches_attempt(frame.answer):
+        if not self._matches_attempt(frame.fields):
             return
-        self._call.note_answer(self, frame.answer)
+        self._call.note_answer(self, frame.fields)
         self.state = AttemptState.answering
         if not frame.more:
             self._end(cancelled=False)
--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -120,7 +120,7 @@
         self._message: Message | None = None
         self._stray: Message | None = None
         self._is_open = False
-        self._chunked = False
+        self._is_chunked = False
         self._stream = open_stream(
             pool.loop,
             (address.host, address.port),
@@ -137,14 +137,14 @@
         return self._stream.is_full
 
     @property
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         """Whether the server has neither closed nor sent unexpected bytes."""
         return peek_input(self._stream) is PendingInput.nothing
 
     @property
     def is_established(self) -> bool:
         """Whether the connection is open at both ends."""
-        return self._is_open and self.is_quiet
+        return self._is_open and self.has_no_input
 
     def send_request(
         self,
@@ -168,18 +168,18 @@
             piece: bytes of the body; may be empty if it only marks the end.
             more: whether further pieces follow.
         """
-        if self._chunked:
+        if self._is_chunked:
             piece = write_chunk(piece) if piece else b''
             piece = piece if more else piece + LAST_CHUNK
         self._stream.send(piece)
 
-    def read_more(self, *, wanted: bool) -> None:
+    def set_reading(self, *, is_wanted: bool) -> None:
         """Resume or pause reading of the response.
 
         Args:
-            wanted: whether to read.
+            is_wanted: whether to read.
         """
-        if wanted:
+        if is_wanted:
             self._stream.resume()
         else:
             self._stream.pause()
@@ -193,7 +193,7 @@
 
     def on_open(self) -> None:
         """Let the request go out on the connection, which is open now."""
-        if not self.is_quiet:
+        if not self.has_no_input:
             # A leaving server accepts the connection and closes it at once.
             # If the request were sent after that, it would count as one that
             # may have run. It has not left this process, so it fails as not
@@ -340,9 +340,9 @@
 
     def _write_request(self, request: BackendRequest) -> bytes:
         framing: Sequence[Header] = ()
-        self._chunked = False
+        self._is_chunked = False
         if request.more and request.length == UNKNOWN_LENGTH:
-            self._chunked = True
+            self._is_chunked = True
             framing = (CHUNKED_ENCODING,)
         elif request.more:
             framing = ((b'content-length', b'%d' % request.length),)
@@ -354,7 +354,7 @@
             headers=(*request.headers, *framing),
         )
         body = request.body
-        if self._chunked and body:
+        if self._is_chunked and body:
             body = write_chunk(body)
         return head + body
 
--- a/wagtaildale/calls/backend_messages.py
+++ b/wagtaildale/calls/backend_messages.py
@@ -51,7 +51,7 @@
         return drained
 
 
-def find_refusal(owner: Owner, message: Message) -> bytes | None:
+def find_not_run_evidence(owner: Owner, message: Message) -> bytes | None:
     """Find the header by which a backend server reports a request not run.
 
     Args:
@@ -96,7 +96,7 @@
         target=run.target,
         headers=(
             *run.headers,
-            *_write_context(owner, run, deadline, instance),
+            *_build_call_headers(owner, run, deadline, instance),
         ),
         body=run.body,
         more=run.more,
@@ -105,7 +105,7 @@
     )
 
 
-def _write_context(
+def _build_call_headers(
     owner: Owner,
     run: Run,
     deadline: float,
@@ -115,15 +115,15 @@
     dialect = owner.dialect
     fields = run.fields
     remaining_ms = max(1, int((deadline - read_clock()) * MILLISECONDS))
-    context: list[Header] = [(dialect.deadline_ms, b'%d' % remaining_ms)]
+    headers: list[Header] = [(dialect.deadline_ms, b'%d' % remaining_ms)]
     if not dialect.accepts_request_id:
         request_id = fields.request_id.encode('latin-1')
-        context.append((dialect.request_id, request_id))
+        headers.append((dialect.request_id, request_id))
     if dialect.depth is not None:
-        context.append((dialect.depth, b'%d' % (fields.depth + 1)))
+        headers.append((dialect.depth, b'%d' % (fields.depth + 1)))
     if dialect.retries is not None:
-        context.append((dialect.retries, b'%d' % fields.retries))
+        headers.append((dialect.retries, b'%d' % fields.retries))
     if dialect.expected_instance is not None:
         target = instance.encode('latin-1')
-        context.append((dialect.expected_instance, target))
-    return tuple(context)
+        headers.append((dialect.expected_instance, target))
+    return tuple(headers)
--- a/wagtaildale/calls/backend_pool.py
+++ b/wagtaildale/calls/backend_pool.py
@@ -139,7 +139,7 @@
             ):
                 return None
             self._idle.pop()
-            if latest.is_quiet:
+            if latest.has_no_input:
                 return latest
             # The server's close has arrived, but the loop has not handled it
             # yet. A request sent now would be lost, and whether it was read
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -10,7 +10,7 @@
     MISDIRECTED_STATUS,
     BackendResponse,
     build_request,
-    find_refusal,
+    find_not_run_evidence,
 )
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.heads import select_forwarded_headers
@@ -45,21 +45,21 @@
             status: HTTP status.
         """
 
-    def on_run_repeated(self) -> None:
+    def on_run_replayed(self) -> None:
         """Handle a run answered with the stored answer of an earlier run."""
 
     def on_run_failed(
         self,
         failure: CallFailed,
         *,
-        repeated: bool = False,
+        is_duplicate: bool = False,
     ) -> None:
         """Handle a run without a complete answer.
 
         Args:
             failure: the cause, with outcome ``not_run`` only if that is
                 certain.
-            repeated: whether the request is a duplicate; the first request
+            is_duplicate: whether the request is a duplicate; the first request
                 then decides what is recorded for it.
         """
 
@@ -86,7 +86,7 @@
             times: times of the call.
         """
         self._call = call
-        self._run = run
+        self._run_message = run
         self._owner = owner
         self._replies = replies
         self._times = times
@@ -95,7 +95,7 @@
         self._response: BackendResponse | None = None
         self._target = run.fields.instance
         self._unacknowledged_bytes = 0
-        self._known_ends = 0
+        self._known_server_ends = 0
         self._stored_answer: StoredAnswer | None = None
         self._is_over = False
 
@@ -107,7 +107,7 @@
     def begin(self) -> None:
         """Send the request, or the answer stored for its idempotency key."""
         owner = self._owner
-        if owner.trials.is_suspected(self._run):
+        if owner.trials.is_suspected(self._run_message):
             # The server that this request ended may restart within moments.
             owner.pool.watch.wait_until_up(self._start)
         else:
@@ -125,7 +125,7 @@
             if not self._connection.is_full:
                 self.on_writable()
 
-    def note_taken(self, count: int) -> None:
+    def note_forwarded(self, count: int) -> None:
         """Continue the response after the entry has forwarded some of it.
 
         Args:
@@ -138,21 +138,21 @@
     def close(self) -> None:
         """Stop the run and ignore everything that arrives later."""
         self._is_over = True
-        self._owner.trials.release(self._run)
+        self._owner.trials.release(self._run_message)
         connection = self._connection
         self._connection = None
         if connection is not None:
             # Closing the connection makes the server drop the request.
             connection.close()
 
-    def settle_run_once(self, failure: CallFailed) -> None:
+    def update_duplicate_records(self, failure: CallFailed) -> None:
         """Update the records that keep a request from running twice.
 
         Args:
             failure: how the run ended.
         """
         if failure.outcome is Outcome.not_run:
-            self._owner.ledger.forget(self._run.fields.request_id)
+            self._owner.ledger.forget(self._run_message.fields.request_id)
             self._idempotency.forget()
         else:
             self._idempotency.settle(None)
@@ -166,7 +166,7 @@
         self._response = BackendResponse(message)
         if message.status != MISDIRECTED_STATUS:
             owner = self._owner
-            owner.server.apply_feedback(
+            owner.targets.apply_feedback(
                 parse_feedback(message, owner.dialect),
                 instance=self._target,
                 begun_at=self._times.run_started_at,
@@ -200,17 +200,21 @@
             Invariant.not_run_is_true,
             holds=failure.outcome is not Outcome.not_run
             or failure.code is Code.backend_unreachable,
-            detail=f'{self._run.fields.request_id} {failure.code.name}',
+            detail=f'{self._run_message.fields.request_id} {failure.code.name}',
         )
         if failure.code is Code.backend_cut:
             owner = self._owner
-            owner.trials.ends.hold(
+            owner.trials.ends.add(
                 InterruptedRun(
                     instance=self._target,
-                    fingerprint=owner.trials.find_fingerprint(self._run),
-                    ends=self._known_ends,
-                    is_leaving=owner.server.leaving.is_leaving(self._target),
-                    on_resolved=partial(self._on_cut_resolved, failure),
+                    fingerprint=owner.trials.find_fingerprint(
+                        self._run_message
+                    ),
+                    ends=self._known_server_ends,
+                    is_leaving=owner.targets.leaving.is_leaving(self._target),
+                    on_resolved=partial(
+                        self._on_interruption_resolved, failure
+                    ),
                 ),
                 pool=owner.pool,
             )
@@ -232,24 +236,24 @@
             self._call.on_run_failed(failure)
             return
         if self._stored_answer is not None:
-            self._replies.replay(self._run.fields, self._stored_answer)
-            self._call.on_run_repeated()
+            self._replies.replay(self._run_message.fields, self._stored_answer)
+            self._call.on_run_replayed()
         elif is_admitted:
             self._run_now()
 
     def _admit(self) -> bool:
         ends = self._owner.trials.admit(
-            self._run,
+            self._run_message,
             up_seconds=self._owner.pool.watch.up_seconds,
             on_turn=self.begin,
         )
         if ends is None:
             return False
-        self._known_ends = ends
+        self._known_server_ends = ends
         self._stored_answer = self._idempotency.begin()
         return True
 
-    def _on_cut_resolved(self, failure: CallFailed, ends: int) -> None:
+    def _on_interruption_resolved(self, failure: CallFailed, ends: int) -> None:
         if ends:
             failure.code = Code.backend_ended
             failure.ends = ends
@@ -265,16 +269,16 @@
             # deadline just before the send avoids running a request whose
             # caller has given up.
             self._call.on_run_failed(CallFailed(Code.past_deadline))
-        elif self._may_run():
+        elif self._register_run():
             self._send()
         else:
             failure = CallFailed(Code.key_repeated, outcome=Outcome.unknown)
-            self._call.on_run_failed(failure, repeated=True)
+            self._call.on_run_failed(failure, is_duplicate=True)
 
-    def _may_run(self) -> bool:
+    def _register_run(self) -> bool:
         # A run message that arrives twice would make a booking twice. The
         # second one stops here and has the outcome of the first.
-        fields = self._run.fields
+        fields = self._run_message.fields
         owner = self._owner
         return owner.invariants.hold(
             Invariant.runs_once,
@@ -284,15 +288,19 @@
 
     def _send(self) -> None:
         self._times.start_run()
-        self._target = self._owner.server.resolve_target(self._run.fields)
+        self._target = self._owner.targets.resolve_target(
+            self._run_message.fields
+        )
         request = build_request(
             self._owner,
-            self._run,
+            self._run_message,
             deadline=self._times.deadline,
             instance=self._target,
         )
-        if not self._known_ends:
-            self._owner.trials.note_begun(self._run, give_up=self._abort)
+        if not self._known_server_ends:
+            self._owner.trials.note_begun(
+                self._run_message, give_up=self._abort
+            )
         self._connection = self._owner.pool.send_request(request, self)
 
     def _forward(self) -> None:
@@ -302,7 +310,7 @@
         message = response.message
         if response.is_started:
             self._forward_piece(response)
-        elif find_refusal(self._owner, message) is None:
+        elif find_not_run_evidence(self._owner, message) is None:
             response.is_started = True
             self._start_answer(response)
         else:
@@ -310,10 +318,10 @@
             return
         if message.is_complete and not response.buffer:
             self._connection = None
-            self._owner.trials.note_answered(self._run)
+            self._owner.trials.note_answered(self._run_message)
             self._call.on_run_finished(message.status)
         elif self._connection is not None:
-            self._connection.read_more(wanted=response.window.is_open)
+            self._connection.set_reading(is_wanted=response.window.is_open)
 
     def _forward_piece(self, response: BackendResponse) -> None:
         complete = response.message.is_complete
@@ -329,7 +337,7 @@
         )
         self._idempotency.settle(answer if message.is_complete else None)
         self._replies.send_response(
-            self._run.fields,
+            self._run_message.fields,
             answer,
             more=not message.is_complete,
             length=message.length,
@@ -339,7 +347,7 @@
         code = Code.backend_shed
         if message.status == MISDIRECTED_STATUS:
             code = Code.wrong_instance
-            self._owner.server.note_denied(self._target)
+            self._owner.targets.note_denied(self._target)
         if not message.is_complete and self._connection is not None:
             self._connection.close()
         self._connection = None
--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -35,7 +35,7 @@
 
     Attributes:
         patient: whether the attempt may wait for a slot past its target time.
-        spare: whether the attempt may run only if a slot is free at once.
+        needs_free_slot: whether the attempt may run only if a slot is free at once.
         rate: known rate limit of the server in requests per second, if any.
         pass_rank: rank for the sampling of requests to limited servers; see
             ``admission.shares``.
@@ -43,13 +43,13 @@
     """
 
     patient: bool
-    spare: bool
+    needs_free_slot: bool
     rate: float | None
     pass_rank: int
     share: float
 
 
-def read_report(answer: AnswerFields) -> OwnerReport:
+def build_owner_report(answer: AnswerFields) -> OwnerReport:
     """Read the report of an owner from an answer.
 
     Args:
@@ -68,11 +68,11 @@
         class_seconds=answer.class_us / MICROSECONDS,
         class_usual_seconds=answer.class_usual_us / MICROSECONDS,
         code=answer.code,
-        server_limit=read_limit(answer),
+        server_limit=decode_limit(answer),
     )
 
 
-def read_limit(message: AnswerFields | LoadReport) -> ServerLimit | None:
+def decode_limit(message: AnswerFields | LoadReport) -> ServerLimit | None:
     """Read the limit of a backend server from a message of its owner.
 
     Args:
@@ -123,7 +123,7 @@
     # Under overload, every slow answer would get a second attempt, which
     # would queue for a slot that a first attempt needs. A spare attempt, or
     # one past its target time, therefore runs only if a slot is free at once.
-    target_seconds = 0 if options.spare else max(0, routed.due - now)
+    target_seconds = 0 if options.needs_free_slot else max(0, routed.due - now)
     remaining = routed.deadline - now
     if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
         # The owner's deadline is slightly earlier than the entry's. With equal
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -64,7 +64,7 @@
         for listed in view.list_records():
             statistics.note_start(listed.instance, born=listed.born, now=now)
         statistics.keep_only(view.records)
-        parts.peers.keep_only(
+        parts.peers.update_needed(
             {
                 Address(
                     record.host, record.owner_port
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -359,7 +359,7 @@
             targets.note_overtaken(other.target, since=other.started_at)
             other.cancel()
         self._running = [attempt] if frame.more else []
-        self._report.note_answer(frame.answer)
+        self._report.note_answer(frame.fields)
         self._status = frame.status
         head = ResponseHead(
             status=frame.status,
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -122,7 +122,7 @@
         class_us: current run time in microseconds of requests of this class at
             the backend server; 0 before the first.
         class_usual_us: the same over a longer time.
-        has_arrived: whether the backend server itself refused the request.
+        was_rejected_by_server: whether the backend server itself refused the request.
         ends: number of successive backend servers that ended during the
             request, as far as the owner knows; sent if the request was not
             answered.
@@ -150,7 +150,7 @@
     slot_us: int = 0
     class_us: int = 0
     class_usual_us: int = 0
-    has_arrived: bool = False
+    was_rejected_by_server: bool = False
     ends: int = 0
     rate_milli: int = UNKNOWN_RATE
     share: PassShare | None = None
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -31,7 +31,7 @@
 MAX_DECOMPRESSED_BYTES: Final = 6_553_600
 # A window of 4 KB holds the last dozen heads. With heads of the users'
 # requests, larger windows saved 2% more for eight times the memory.
-WINDOW_BITS: Final = -12
+COMPRESSION_WINDOW_BITS: Final = -12
 COMPRESSION_MEMORY_LEVEL: Final = 5
 COMPRESSION_LEVEL: Final = 6
 # The first byte of a connection tells whether the rest of it is compressed.
@@ -122,7 +122,7 @@
     """
 
     call: CallNumber
-    answer: AnswerFields
+    fields: AnswerFields
 
 
 class Failed(Struct, frozen=True, array_like=True, tag=7, gc=False):
@@ -136,7 +136,7 @@
     """
 
     call: CallNumber
-    answer: AnswerFields
+    fields: AnswerFields
     detail: str = ''
 
 
@@ -154,7 +154,7 @@
     """
 
     call: CallNumber
-    answer: AnswerFields
+    fields: AnswerFields
     status: int
     headers: HeaderPairs
     body: bytes
@@ -290,7 +290,7 @@
             self._compressor = zlib.compressobj(
                 COMPRESSION_LEVEL,
                 zlib.DEFLATED,
-                WINDOW_BITS,
+                COMPRESSION_WINDOW_BITS,
                 COMPRESSION_MEMORY_LEVEL,
             )
 
@@ -322,7 +322,7 @@
         self._buffer = bytearray()
         self._decompressor = None
         if compressed:
-            self._decompressor = zlib.decompressobj(WINDOW_BITS)
+            self._decompressor = zlib.decompressobj(COMPRESSION_WINDOW_BITS)
 
     def feed(self, chunk: bytes) -> list[Frame]:
         """Read the frames that are complete.
--- a/wagtaildale/calls/load_notifier.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -54,9 +54,12 @@
     def notify_changes(self) -> None:
         """Notify entries of changes of the load that affect them."""
         now = read_clock()
-        percent = self._update_condition(now)
+        percent = self._update_slowness(now)
         demand = self._gate.state.demand
-        if demand.update_announcement(self._share_out(now), now=now) or percent:
+        if (
+            demand.update_announcement(self._compute_share(now), now=now)
+            or percent
+        ):
             self._notify_listeners(self._describe_load(percent))
 
     def notify_leaving(self, leaving: LeavingServer) -> None:
@@ -68,7 +71,7 @@
         self._leaving = leaving
         self._notify_listeners(self._describe_load(0))
 
-    def notify_up(self, *, is_up: bool) -> None:
+    def notify_reachability(self, *, is_up: bool) -> None:
         """Notify entries whether the backend server accepts connections.
 
         Args:
@@ -88,10 +91,12 @@
             has no restrictions.
         """
         load = self._describe_load(0)
-        is_sound = load.is_up and load.share is None and load.leaving is None
-        return None if is_sound else load
+        is_unrestricted = (
+            load.is_up and load.share is None and load.leaving is None
+        )
+        return None if is_unrestricted else load
 
-    def describe_rate(self) -> int:
+    def encode_rate_limit(self) -> int:
         """Encode the rate limit of the backend server.
 
         Returns:
@@ -109,21 +114,21 @@
         Returns:
             The share for each rank; None if all requests may be sent.
         """
-        share = self._share_out(read_clock())
+        share = self._compute_share(read_clock())
         return None if share == ALL_PASS else share
 
-    def _update_condition(self, now: float) -> int:
-        condition = self._gate.state.slowness
-        if not condition.update_announcement(now=now):
+    def _update_slowness(self, now: float) -> int:
+        slowness = self._gate.state.slowness
+        if not slowness.update_announcement(now=now):
             return 0
         kind = EventKind.backend_well
-        if condition.is_slow:
+        if slowness.is_slow:
             kind = EventKind.backend_slow
-        percent = round(condition.announced_ratio * PERCENT)
+        percent = round(slowness.announced_ratio * PERCENT)
         self._recorder.record(kind, inputs={'slowness_percent': percent})
         return percent
 
-    def _share_out(self, now: float) -> PassShare:
+    def _compute_share(self, now: float) -> PassShare:
         return compute_pass_share(self._gate.state, now=now)
 
     def _describe_load(self, slowness_percent: int) -> LoadReport:
@@ -135,7 +140,7 @@
             queued=len(state.queue),
             is_up=self._is_up,
             slowness_percent=slowness_percent,
-            rate_milli=self.describe_rate(),
+            rate_milli=self.encode_rate_limit(),
             share=self.describe_share(),
             leaving=self._leaving,
         )
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -121,16 +121,16 @@
             on_stray_response=self._count_stray_response,
             recorder=recorder,
         )
-        self.server = ServerTargets(
+        self.targets = ServerTargets(
             service,
             find_record=find_record,
             recorder=recorder,
             feedback=FeedbackTracker(gate, recorder=recorder),
         )
-        self.server.leaving.listeners.append(self.load_notifier.notify_leaving)
+        self.targets.leaving.listeners.append(self.load_notifier.notify_leaving)
         self.pool.watch.listeners.append(self._on_watch_changed)
         self.trials = trials
-        trials.ends.listeners.append(self.server.feedback.note_started)
+        trials.ends.listeners.append(self.targets.feedback.note_started)
         trials.ends.listeners.append(self.pool.watch.note_down)
         self._find_record = find_record
         self._recorder = recorder
@@ -158,11 +158,11 @@
         }
         if not is_known or not self._serves(fields.instance):
             raise CallFailed(Code.wrong_instance)
-        self.server.check(fields)
-        relayed_limit = decode_rate(fields.rate_milli)
-        if relayed_limit is not None:
-            self.server.feedback.apply_relayed_limit(
-                relayed_limit,
+        self.targets.check(fields)
+        forwarded_limit = decode_rate(fields.rate_milli)
+        if forwarded_limit is not None:
+            self.targets.feedback.apply_forwarded_limit(
+                forwarded_limit,
                 instance=fields.instance,
             )
 
@@ -175,7 +175,7 @@
         owner_seconds: float = 0,
         backend_seconds: float = 0,
         retry_ms: int = 0,
-        has_arrived: bool = False,
+        was_rejected_by_server: bool = False,
     ) -> AnswerFields:
         """Build the fields of an answer, with the state of this owner.
 
@@ -186,7 +186,7 @@
             owner_seconds: time spent at the owner, including the queue.
             backend_seconds: time spent at the backend server.
             retry_ms: time after which a retry is useful, in milliseconds.
-            has_arrived: whether the request reached the backend server,
+            was_rejected_by_server: whether the request reached the backend server,
                 which refused it.
 
         Returns:
@@ -210,11 +210,11 @@
             slot_us=_to_us(state.slot_seconds),
             class_us=_to_us(usual.recent),
             class_usual_us=_to_us(usual.reliable_mean),
-            has_arrived=has_arrived,
-            rate_milli=self.load_notifier.describe_rate(),
+            was_rejected_by_server=was_rejected_by_server,
+            rate_milli=self.load_notifier.encode_rate_limit(),
             share=self.load_notifier.describe_share(),
-            leaving=self.server.leaving.find_leaver(
-                self.server.resolve_target(fields),
+            leaving=self.targets.leaving.find_announcement(
+                self.targets.resolve_target(fields),
             ),
         )
 
@@ -267,9 +267,9 @@
     def _on_watch_changed(self) -> None:
         is_up = self.pool.watch.is_up
         if is_up:
-            self.server.leaving.note_started()
-            self.server.feedback.note_started()
-        self.load_notifier.notify_up(is_up=is_up)
+            self.targets.leaving.note_started()
+            self.targets.feedback.note_started()
+        self.load_notifier.notify_reachability(is_up=is_up)
 
 
 def _to_us(seconds: float) -> int:
--- a/wagtaildale/calls/owner_call.py
+++ b/wagtaildale/calls/owner_call.py
@@ -36,7 +36,7 @@
 # At the deadline the entry gives up by itself. If the owner still has the call
 # this much later, the entry is gone.
 DEADLINE_GRACE_SECONDS: Final = 0.05
-SHED_STATUS: Final = 503
+OVERLOAD_STATUS: Final = 503
 # Failures that indicate a fault of the backend server rather than of one
 # request.
 BACKEND_FAULTS: Final = frozenset(
@@ -94,7 +94,7 @@
         )
         self._fields: CallFields | None = None
         self._ticket: TicketId | None = None
-        self._request: Run | None = None
+        self._run_message: Run | None = None
         self._run: BackendRun | None = None
         self._alarm: Alarm | None = None
 
@@ -122,7 +122,7 @@
             delay: time that the message was delayed in transit, in seconds.
         """
         self._times.transit_seconds = delay
-        self._request = frame
+        self._run_message = frame
         fields = subtract_delay(frame.fields, delay=delay)
         if fields.lease:
             self._redeem_lease(fields)
@@ -138,14 +138,14 @@
         if self._run is not None:
             self._run.send_piece(frame)
 
-    def handle_taken(self, frame: WindowUpdate) -> None:
+    def handle_window_update(self, frame: WindowUpdate) -> None:
         """Continue the response after the entry has forwarded some of it.
 
         Args:
             frame: message with the number of bytes forwarded.
         """
         if self._run is not None:
-            self._run.note_taken(frame.count)
+            self._run.note_forwarded(frame.count)
 
     def cancel(self) -> None:
         """Stop the call because nobody waits for its answer."""
@@ -163,7 +163,7 @@
         )
         self._close()
         if state is CallState.waiting:
-            self._withdraw()
+            self._cancel_slot_request()
         else:
             self._release_slot(Ending.abandoned)
 
@@ -183,10 +183,10 @@
             },
         )
         self._close()
-        is_shed = status == SHED_STATUS
+        is_shed = status == OVERLOAD_STATUS
         self._release_slot(Ending.failed if is_shed else Ending.good)
 
-    def on_run_repeated(self) -> None:
+    def on_run_replayed(self) -> None:
         """End a call answered from a stored answer; see ``RunReceiver``."""
         self._close()
         self._release_slot(Ending.abandoned)
@@ -195,15 +195,15 @@
         self,
         failure: CallFailed,
         *,
-        repeated: bool = False,
+        is_duplicate: bool = False,
     ) -> None:
         """End the call without an answer; see ``RunReceiver``.
 
         Args:
             failure: cause of the failure, and whether the request ran.
-            repeated: whether the request is a duplicate.
+            is_duplicate: whether the request is a duplicate.
         """
-        self._fail(failure, repeated=repeated)
+        self._fail(failure, is_duplicate=is_duplicate)
 
     # Admission
 
@@ -250,8 +250,8 @@
             return
         self._ticket = verdict.ticket
         self.state = CallState.reserved
-        if self._request is not None:
-            self._start_if_target_valid(self._request)
+        if self._run_message is not None:
+            self._start_if_target_valid(self._run_message)
             return
         self._owner.gate.lease(verdict.ticket, seconds=LEASE_SECONDS)
         self._replies.send_grant(self.fields, lease=verdict.ticket)
@@ -273,8 +273,8 @@
             self._fail(CallFailed(verdict.code))
             return
         self._ticket = verdict.ticket
-        assert self._request is not None
-        self._start(self._request)
+        assert self._run_message is not None
+        self._start(self._run_message)
 
     def _start_if_target_valid(self, request: Run) -> None:
         try:
@@ -311,7 +311,7 @@
             ),
         )
 
-    def _fail(self, failure: CallFailed, *, repeated: bool = False) -> None:
+    def _fail(self, failure: CallFailed, *, is_duplicate: bool = False) -> None:
         state = self.state
         if state is CallState.over:
             return
@@ -322,15 +322,15 @@
         self._record_failure(failure)
         self._close()
         if state is CallState.waiting:
-            self._withdraw()
+            self._cancel_slot_request()
             return
         is_backend_fault = failure.code in BACKEND_FAULTS
         self._release_slot(
             Ending.failed if is_backend_fault else Ending.abandoned,
         )
-        if state is CallState.running and not repeated:
+        if state is CallState.running and not is_duplicate:
             assert self._run is not None
-            self._run.settle_run_once(failure)
+            self._run.update_duplicate_records(failure)
 
     def _record_failure(self, failure: CallFailed) -> None:
         has_run = self.state is CallState.running
@@ -347,7 +347,7 @@
             detail=failure.detail,
         )
 
-    def _withdraw(self) -> None:
+    def _cancel_slot_request(self) -> None:
         if self._ticket is not None:
             self._owner.gate.cancel(self._ticket)
         self._owner.load_notifier.notify_changes()
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.call_descriptions import read_limit
+from wagtaildale.calls.call_descriptions import decode_limit
 from wagtaildale.routing.leaving_servers import LeavingServer
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
@@ -56,7 +56,7 @@
             self._note_load(instance, load)
 
     def note_server_leaving(
-        self, address: Address, leaver: LeavingServer
+        self, address: Address, leaving_server: LeavingServer
     ) -> None:
         """Record that a backend server has announced that it is leaving.
 
@@ -65,14 +65,14 @@
 
         Args:
             address: address of the owner that reports it.
-            leaver: the leaving server; if its owner does not give its start,
+            leaving_server: the leaving server; if its owner does not give its start,
                 the listed start applies.
         """
-        record = self._view.current.records.get(leaver.instance)
+        record = self._view.current.records.get(leaving_server.instance)
         if record is not None and _get_owner_address(record) != address:
             self._recorder.record(
                 EventKind.message_refused,
-                subject=leaver.instance,
+                subject=leaving_server.instance,
                 detail=(
                     'leaving was reported by '
                     f'{address.host}:{address.port}, '
@@ -80,15 +80,15 @@
                 ),
             )
             return
-        if not leaver.born and record is not None:
-            leaver = LeavingServer(leaver.instance, record.born)
-        if self._statistics.leaving_servers.note(leaver):
+        if not leaving_server.born and record is not None:
+            leaving_server = LeavingServer(leaving_server.instance, record.born)
+        if self._statistics.leaving_servers.note(leaving_server):
             self._recorder.record(
                 EventKind.upstream_leaving,
-                subject=leaver.instance,
+                subject=leaving_server.instance,
             )
 
-    def note_leaving(self, address: Address) -> None:
+    def note_draining(self, address: Address) -> None:
         """Record an owner that accepts no new calls.
 
         Args:
@@ -114,7 +114,7 @@
         now = read_clock()
         statistics = self._statistics
         statistics.note_server_state(instance, is_up=load.is_up, now=now)
-        statistics.limits.note(instance, read_limit(load), now=now)
+        statistics.limits.note(instance, decode_limit(load), now=now)
         upstream = statistics.find(instance, now=now)
         upstream.note_load(
             in_flight=load.in_flight,
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.peers import (
-    OWNER_LEAVES_REASON,
+    OWNER_DRAINS_REASON,
     REFUSED_REASON,
     SILENT_REASON,
     RemotePeer,
@@ -25,7 +25,7 @@
 UNNEEDED_REASON: Final = 'no longer needed'
 STOPPING_REASON: Final = 'this node stops'
 EXPECTED_CLOSE_REASONS: Final = frozenset(
-    (UNNEEDED_REASON, STOPPING_REASON, SILENT_REASON, OWNER_LEAVES_REASON),
+    (UNNEEDED_REASON, STOPPING_REASON, SILENT_REASON, OWNER_DRAINS_REASON),
 )
 
 
@@ -58,7 +58,7 @@
         # progress.
         self._retired: set[RemotePeer] = set()
 
-    def find(self, address: Address, *, compressed: bool) -> RemotePeer:
+    def get_or_open(self, address: Address, *, compressed: bool) -> RemotePeer:
         """Find the connection to an owner, or open one.
 
         Args:
@@ -79,16 +79,18 @@
             self._peers[address] = peer
         return peer
 
-    def keep_only(self, needed: dict[Address, bool]) -> None:
+    def update_needed(
+        self, is_compressed_by_address: dict[Address, bool]
+    ) -> None:
         """Open connections that are needed and close idle ones that are not.
 
         Args:
-            needed: addresses of the owners that calls may go to, and whether
+            is_compressed_by_address: addresses of the owners that calls may go to, and whether
                 connections to them are compressed.
         """
-        for address, compressed in needed.items():
-            self.find(address, compressed=compressed)
-        for address in self._peers.keys() - needed.keys():
+        for address, compressed in is_compressed_by_address.items():
+            self.get_or_open(address, compressed=compressed)
+        for address in self._peers.keys() - is_compressed_by_address.keys():
             if not self._peers[address].active_calls:
                 self._peers[address].close(UNNEEDED_REASON)
 
@@ -97,13 +99,13 @@
         for peer in (*self._peers.values(), *self._retired):
             peer.close(STOPPING_REASON)
 
-    def note_leaving(self, peer: RemotePeer) -> None:
+    def note_draining(self, peer: RemotePeer) -> None:
         """Retire a connection to a leaving owner; see ``PeerObserver``.
 
         Args:
             peer: connection to an owner that accepts no new calls.
         """
-        self._listener.note_leaving(peer.address)
+        self._listener.note_draining(peer.address)
         self._retire(peer)
 
     def note_silent(self, peer: RemotePeer) -> None:
@@ -122,7 +124,7 @@
             )
             self._retire(peer)
         # A newer connection shows whether the owner is alive.
-        newer = self.find(peer.address, compressed=peer.is_compressed)
+        newer = self.get_or_open(peer.address, compressed=peer.is_compressed)
         if newer.last_received_at > peer.silent_since:
             peer.note_newer_connection_works()
             return
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -39,9 +39,9 @@
 
 # A round trip within a region takes a few milliseconds, and a lost packet is
 # resent after 200 ms at the earliest; twice that leaves room for one loss.
-CONNECT_SECONDS: Final = 0.5
+CONNECT_TIMEOUT_SECONDS: Final = 0.5
 # Interval of pings while calls wait and nothing is received.
-PING_SECONDS: Final = 0.25
+PING_INTERVAL_SECONDS: Final = 0.25
 # A connection is retired after this time without input: a ping has then been
 # unanswered for a whole interval.
 RETIRE_SECONDS: Final = 0.75
@@ -52,7 +52,7 @@
 SILENT_REASON: Final = 'silent'
 REPLACED_REASON: Final = 'silent while a newer connection works'
 REFUSED_REASON: Final = 'silent, and a newer connection is refused'
-OWNER_LEAVES_REASON: Final = 'the owner leaves'
+OWNER_DRAINS_REASON: Final = 'the owner leaves'
 
 # Messages that concern the owner and no single call.
 OwnerNotice = LoadReport | DrainNotice
@@ -190,7 +190,7 @@
             load: load report.
         """
 
-    def note_leaving(self, peer: RemotePeer) -> None:
+    def note_draining(self, peer: RemotePeer) -> None:
         """Handle an owner that accepts no new calls.
 
         Args:
@@ -235,7 +235,7 @@
         is_compressed: whether both directions are compressed.
         is_open: whether the connection is established.
         is_silent: whether it was retired because nothing was received.
-        is_leaving: whether its owner accepts no new calls.
+        is_draining: whether its owner accepts no new calls.
         is_closed: whether it is closed.
         silent_since: start of the current silence, in seconds on the clock.
         last_received_at: time of the last input; 0 before the first.
@@ -261,11 +261,11 @@
         self.is_compressed = compressed
         self.is_open = False
         self.is_silent = False
-        self.is_leaving = False
+        self.is_draining = False
         self.is_closed = False
         self._loop = loop
         self._observer = observer
-        self._abandon_at: float | None = None
+        self._close_at: float | None = None
         self._reader = FrameReader(compressed=compressed)
         self._writer = FrameWriter(compressed=compressed)
         self._receivers: dict[CallNumber, PeerReceiver] = {}
@@ -276,7 +276,9 @@
         self._stream = open_stream(loop, (address.host, address.port), self)
         self._stream.send(COMPRESSED if compressed else PLAIN)
         self.send(Ping(accepts_drain_notice=True))
-        self._alarm = loop.alarms.set(CONNECT_SECONDS, self._check_liveness)
+        self._alarm = loop.alarms.set(
+            CONNECT_TIMEOUT_SECONDS, self._check_liveness
+        )
 
     @property
     def active_calls(self) -> int:
@@ -311,7 +313,7 @@
         self._receivers[number] = receiver
         if self.is_open and not self._alarm.is_set:
             self._alarm = self._loop.alarms.set(
-                PING_SECONDS, self._check_liveness
+                PING_INTERVAL_SECONDS, self._check_liveness
             )
         return number
 
@@ -353,9 +355,9 @@
         that was only interrupted is given that much time.
         """
         now = read_clock()
-        if self._abandon_at is None:
-            self._abandon_at = now + self.silent_seconds
-        elif now >= self._abandon_at:
+        if self._close_at is None:
+            self._close_at = now + self.silent_seconds
+        elif now >= self._close_at:
             self.close(REPLACED_REASON)
 
     def close(self, detail: str) -> None:
@@ -388,7 +390,7 @@
         """
         self.silent_since = read_clock()
         self.last_received_at = self.silent_since
-        self._abandon_at = None
+        self._close_at = None
         try:
             frames = self._reader.feed(chunk)
         except CallFailed as failure:
@@ -431,10 +433,10 @@
             self._note_drain()
 
     def _note_drain(self) -> None:
-        if self.is_leaving:
+        if self.is_draining:
             return
-        self.is_leaving = True
-        self._observer.note_leaving(self)
+        self.is_draining = True
+        self._observer.note_draining(self)
         self._close_if_unused()
 
     def _close_if_unused(self) -> None:
@@ -443,8 +445,8 @@
         # first.
         if self._receivers:
             return
-        if self.is_leaving:
-            self.close(OWNER_LEAVES_REASON)
+        if self.is_draining:
+            self.close(OWNER_DRAINS_REASON)
         elif self.is_silent:
             self.close(SILENT_REASON)
 
@@ -460,16 +462,18 @@
             self._handle_silence(silent)
         if self.is_closed:
             return
-        if silent > PING_SECONDS:
+        if silent > PING_INTERVAL_SECONDS:
             self.send(Ping())
-        self._alarm = self._loop.alarms.set(PING_SECONDS, self._check_liveness)
+        self._alarm = self._loop.alarms.set(
+            PING_INTERVAL_SECONDS, self._check_liveness
+        )
 
     def _exclude_own_pause(self) -> None:
         # If this process was paused, input of that time is not read yet.
         # Without this, every owner would count as silent after the pause.
         now = read_clock()
         late = now - self._alarm.at
-        if late > PING_SECONDS:
+        if late > PING_INTERVAL_SECONDS:
             self.silent_since = min(now, self.silent_since + late)
 
     def _handle_silence(self, seconds: float) -> None:
--- a/wagtaildale/calls/port_probe.py
+++ b/wagtaildale/calls/port_probe.py
@@ -74,7 +74,7 @@
         # Without an answer it is unknown whether the server has ended.
         self._finish(ProbeResult.silent)
 
-    def _finish(self, outcome: ProbeResult) -> None:
+    def _finish(self, probe_result: ProbeResult) -> None:
         self._alarm.cancel()
         self._stream.close()
-        self._on_result(outcome)
+        self._on_result(probe_result)
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -168,7 +168,7 @@
             outcome=failure.outcome,
             owner_seconds=self._times.measure_elapsed(),
             retry_ms=round(failure.retry_after * MILLISECONDS),
-            has_arrived=failure.has_arrived,
+            was_rejected_by_server=failure.has_arrived,
         )
         if failure.ends:
             answer = structs.replace(answer, ends=failure.ends)
--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        board: SuspectsHolder,
+        suspects: SuspectsHolder,
         *,
         node: InstanceId,
         answered: RecentAnswers,
@@ -68,20 +68,20 @@
         """Create the detector.
 
         Args:
-            board: board of the requests under which servers ended.
+            suspects: board of the requests under which servers ended.
             node: node beside the server.
             answered: requests that the server has answered lately.
             recorder: recorder of an event for each end of the server.
         """
         self.count = 0
         self.listeners: list[Callable[[], None]] = []
-        self._board = board
+        self._suspects = suspects
         self._node = node
         self._answered = answered
         self._recorder = recorder
         self._pending: list[InterruptedRun] = []
 
-    def hold(self, run: InterruptedRun, *, pool: BackendPool) -> None:
+    def add(self, run: InterruptedRun, *, pool: BackendPool) -> None:
         """Hold an interrupted run until the server's state is known.
 
         Args:
@@ -106,9 +106,9 @@
         if has_ended:
             for notify in self.listeners:
                 notify()
-        suspects = self._handle_server_end(pending) if has_ended else []
+        suspected_runs = self._record_server_end(pending) if has_ended else []
         for run in pending:
-            run.on_resolved(run.ends + 1 if run in suspects else 0)
+            run.on_resolved(run.ends + 1 if run in suspected_runs else 0)
 
     def _check_connections(self, pool: BackendPool) -> None:
         if pool.has_open_connection():
@@ -119,11 +119,11 @@
     def _was_answered_lately(self, run: InterruptedRun) -> bool:
         return not run.ends and self._answered.has(run.fingerprint)
 
-    def _handle_probe(self, outcome: ProbeResult) -> None:
+    def _handle_probe(self, probe_result: ProbeResult) -> None:
         # A port that does not answer proves nothing.
-        self.resolve(has_ended=outcome is ProbeResult.refused)
+        self.resolve(has_ended=probe_result is ProbeResult.refused)
 
-    def _handle_server_end(
+    def _record_server_end(
         self,
         pending: list[InterruptedRun],
     ) -> list[InterruptedRun]:
@@ -132,10 +132,14 @@
         if not ended:
             return []
         self.count += 1
-        suspects = [run for run in ended if not self._was_answered_lately(run)]
+        suspected_runs = [
+            run for run in ended if not self._was_answered_lately(run)
+        ]
         self._answered.forget()
-        self._record_ends(suspects or ended, has_suspects=bool(suspects))
-        return suspects
+        self._record_ends(
+            suspected_runs or ended, has_suspects=bool(suspected_runs)
+        )
+        return suspected_runs
 
     def _record_ends(
         self,
@@ -156,7 +160,7 @@
             detail=names,
             inputs={'requests': len(ended), 'most_ends': max(ends.values())},
         )
-        self._board.note_ends(
+        self._suspects.note_ends(
             ends.items(),
             nodes=(self._node,) if has_suspects else (),
         )
--- a/wagtaildale/calls/server_feedback.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -25,10 +25,10 @@
     from wagtaildale.routing.leaving_servers import LeavingServer
     from wagtaildale.telemetry.events import EventRecorder
 
-DECIMAL: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
+RATE_PATTERN: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
 LEAVING_VALUE: Final = b'1'
 # Part of a malformed header value that is logged.
-LOGGED_BYTES: Final = 40
+MAX_LOGGED_BYTES: Final = 40
 
 
 class ServerFeedback(Struct, frozen=True, kw_only=True):
@@ -59,7 +59,7 @@
     """
     limit = _find_header(message, dialect.rate_limit)
     leaving = _find_header(message, dialect.leaving)
-    if limit is not None and DECIMAL.fullmatch(limit) is None:
+    if limit is not None and RATE_PATTERN.fullmatch(limit) is None:
         return ServerFeedback(malformed=limit)
     if leaving is not None and leaving != LEAVING_VALUE:
         return ServerFeedback(malformed=leaving)
@@ -116,7 +116,7 @@
         if self.per_second != previous:
             self._record_limit(instance)
 
-    def apply_relayed_limit(
+    def apply_forwarded_limit(
         self,
         per_second: float,
         *,
@@ -145,11 +145,11 @@
             )
         self._gate.handle_server_message(ServerRestarted())
 
-    def note_leaving(self, _leaver: LeavingServer) -> None:
+    def note_leaving(self, _leaving_server: LeavingServer) -> None:
         """Refuse the requests that wait for a leaving server.
 
         Args:
-            _leaver: the leaving server.
+            _leaving_server: the leaving server.
         """
         self._gate.handle_server_message(LeavingReported())
 
@@ -166,7 +166,7 @@
             EventKind.server_word_refused,
             code=Code.server_word_malformed,
             subject=instance,
-            detail=repr(feedback.malformed[:LOGGED_BYTES]),
+            detail=repr(feedback.malformed[:MAX_LOGGED_BYTES]),
         )
 
     def _record_limit(
--- a/wagtaildale/calls/server_identity.py
+++ b/wagtaildale/calls/server_identity.py
@@ -15,7 +15,7 @@
 
 # No message announces an instance that restarts under its old id, so one
 # request per interval is let through to find out.
-DENIED_SECONDS: Final = 2.0
+DENIAL_RECHECK_SECONDS: Final = 2.0
 # Bounds the memory for instances that an address has had while the node runs;
 # the oldest are dropped.
 MAX_DENIED_INSTANCES: Final = 64
@@ -44,7 +44,7 @@
         if instance == self.instance:
             self.instance = None
         self._denied_until.pop(instance, None)
-        self._denied_until[instance] = now + DENIED_SECONDS
+        self._denied_until[instance] = now + DENIAL_RECHECK_SECONDS
         if len(self._denied_until) > MAX_DENIED_INSTANCES:
             self._denied_until.pop(next(iter(self._denied_until)))
 
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -16,7 +16,7 @@
     from wagtaildale.types import InstanceId
 
 
-class ServerLeaving:
+class LeavingTracker:
     """Tracks leaving servers from the list and from their announcements.
 
     Attributes:
@@ -39,7 +39,7 @@
         self.listeners: list[Callable[[LeavingServer], None]] = []
         self._find_record = find_record
         self._recorder = recorder
-        self._leavers = LeavingServers()
+        self._announcements = LeavingServers()
 
     def is_leaving(self, instance: InstanceId) -> bool:
         """Tell whether an instance is leaving.
@@ -53,9 +53,9 @@
         record = self._find_record(instance)
         if record is not None and record.state is ListedState.leaving:
             return True
-        return self.find_leaver(instance) is not None
+        return self.find_announcement(instance) is not None
 
-    def find_leaver(self, instance: InstanceId) -> LeavingServer | None:
+    def find_announcement(self, instance: InstanceId) -> LeavingServer | None:
         """Find the announcement of an instance that it is leaving.
 
         Args:
@@ -65,22 +65,22 @@
             The instance, with its start if it is listed; None if it has not
             announced since that start that it is leaving.
         """
-        if not self._leavers:
+        if not self._announcements:
             return None
         record = self._find_record(instance)
         if record is None:
             return (
                 LeavingServer(instance)
-                if self._leavers.knows(instance)
+                if self._announcements.knows(instance)
                 else None
             )
-        if self._leavers.has(record):
+        if self._announcements.has(record):
             return LeavingServer(instance, record.born)
         return None
 
     def note_started(self) -> None:
         """Clear the announcements, because a new server process started."""
-        self._leavers = LeavingServers()
+        self._announcements = LeavingServers()
 
     def note_announced(self, instance: InstanceId) -> None:
         """Record the server's announcement that it is leaving.
@@ -89,8 +89,10 @@
             instance: instance that answered.
         """
         record = self._find_record(instance)
-        leaver = LeavingServer(instance, 0 if record is None else record.born)
-        if self._leavers.note(leaver):
+        leaving_server = LeavingServer(
+            instance, 0 if record is None else record.born
+        )
+        if self._announcements.note(leaving_server):
             self._recorder.record(EventKind.server_leaving, subject=instance)
             for notify in self.listeners:
-                notify(leaver)
+                notify(leaving_server)
--- a/wagtaildale/calls/server_targets.py
+++ b/wagtaildale/calls/server_targets.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.server_identity import ServerIdentity
-from wagtaildale.calls.server_leaving import ServerLeaving
+from wagtaildale.calls.server_leaving import LeavingTracker
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.timers.service import read_clock
@@ -52,7 +52,7 @@
             feedback: tracker of what the server reports in responses.
         """
         self.denial_listeners: list[Callable[[], None]] = []
-        self.leaving = ServerLeaving(
+        self.leaving = LeavingTracker(
             find_record=find_record,
             recorder=recorder,
         )
--- a/wagtaildale/calls/server_watch.py
+++ b/wagtaildale/calls/server_watch.py
@@ -24,7 +24,7 @@
 PROBE_INTERVAL_SECONDS: Final = 0.25
 # A server that is not back by then takes seconds to start, so the waiting
 # runs go on without it.
-QUICK_RESTART_SECONDS: Final = 0.5
+MAX_RESTART_WAIT_SECONDS: Final = 0.5
 MILLISECONDS: Final = 1000
 
 
@@ -56,7 +56,7 @@
         self.is_up = True
         self.changed_at = read_clock()
         self.listeners: list[Callable[[], None]] = []
-        self._waiting: list[Callable[[], None]] = []
+        self._restart_callbacks: list[Callable[[], None]] = []
         self._loop = loop
         self._address = address
         self._recorder = recorder
@@ -71,15 +71,15 @@
 
         Args:
             on_done: callback for when the server is up, or not back within
-                ``QUICK_RESTART_SECONDS``; may be called before this returns.
+                ``MAX_RESTART_WAIT_SECONDS``; may be called before this returns.
         """
         if (
             self.is_up
-            or read_clock() - self.changed_at >= QUICK_RESTART_SECONDS
+            or read_clock() - self.changed_at >= MAX_RESTART_WAIT_SECONDS
         ):
             on_done()
         else:
-            self._waiting.append(on_done)
+            self._restart_callbacks.append(on_done)
 
     def note_down(self) -> None:
         """Record that the server is down or refused a connection."""
@@ -104,11 +104,11 @@
         self.changed_at = read_clock()
         self._notify_listeners()
         if is_up:
-            self._release_waiting()
+            self._call_restart_callbacks()
 
-    def _release_waiting(self) -> None:
-        waiting = self._waiting
-        self._waiting = []
+    def _call_restart_callbacks(self) -> None:
+        waiting = self._restart_callbacks
+        self._restart_callbacks = []
         for notify in waiting:
             notify()
 
@@ -123,13 +123,13 @@
         if not self.is_up:
             PortProbe(self._loop, self._address, on_result=self._handle_probe)
 
-    def _handle_probe(self, outcome: ProbeResult) -> None:
-        if outcome is ProbeResult.opened:
+    def _handle_probe(self, probe_result: ProbeResult) -> None:
+        if probe_result is ProbeResult.opened:
             self.note_up()
         elif not self.is_up:
             # Repeats the notification, because an earlier one may have been
             # lost or an entry may have connected since.
             self._notify_listeners()
             self._schedule_probe()
-            if read_clock() - self.changed_at >= QUICK_RESTART_SECONDS:
-                self._release_waiting()
+            if read_clock() - self.changed_at >= MAX_RESTART_WAIT_SECONDS:
+                self._call_restart_callbacks()
--- a/wagtaildale/calls/sessions.py
+++ b/wagtaildale/calls/sessions.py
@@ -292,7 +292,7 @@
 def _handle_window_update(frame: WindowUpdate, calls: CallTable) -> None:
     call = calls.find(frame.call)
     if call is not None:
-        call.handle_taken(frame)
+        call.handle_window_update(frame)
 
 
 @dispatch_frame.register
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -11,7 +11,7 @@
     SendOptions,
     describe_call,
     format_class_name,
-    read_report,
+    build_owner_report,
 )
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.fields import CallFields
@@ -137,7 +137,7 @@
                 SendOptions(
                     rate=self._statistics.limits.find_rate(record.instance),
                     patient=patient and not spare,
-                    spare=spare,
+                    needs_free_slot=spare,
                     pass_rank=_find_need_rank(routed, self._statistics),
                     share=placed.share,
                 ),
@@ -198,7 +198,7 @@
         """
         if target.is_local:
             return self._parts.local
-        return self._parts.peers.find(
+        return self._parts.peers.get_or_open(
             target.address,
             compressed=target.is_in_other_data_centre,
         )
@@ -224,7 +224,7 @@
             answer: fields of the answer.
         """
         now = read_clock()
-        report = read_report(answer)
+        report = build_owner_report(answer)
         self._statistics.note_speed(
             target.upstream,
             report,
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -166,11 +166,11 @@
                 recorder=dependencies.recorder,
             ),
         )
-        self.owner.server.denial_listeners.append(
-            self._make_identity_question().send_if_due
+        self.owner.targets.denial_listeners.append(
+            self._make_identity_probe().send_if_due
         )
-        dependencies.suspects.listeners.append(self._review_suspected_runs)
-        self.local = LocalPeer(self.owner)
+        dependencies.suspects.listeners.append(self._abandon_suspected_runs)
+        self.local_peer = LocalPeer(self.owner)
         self.entry = Entry(self._make_parts())
         self.caller_port = CallerPort(
             self.loop,
@@ -192,7 +192,7 @@
     @property
     def active_calls(self) -> int:
         """Number of requests in progress."""
-        owned = self.peer_port.active_calls + self.local.active_calls
+        owned = self.peer_port.active_calls + self.local_peer.active_calls
         return max(
             self.caller_port.active_calls,
             owned,
@@ -234,7 +234,7 @@
         """Make ``run`` return."""
         self.loop.stop()
 
-    def announce_drain(self) -> None:
+    def announce_drain_to_callers(self) -> None:
         """Tell callers to close their connections; thread-safe."""
         self._run_in_loop(self.caller_port.drain)
 
@@ -286,7 +286,7 @@
         if submitted.done():
             submitted.result()
 
-    def _review_suspected_runs(self) -> None:
+    def _abandon_suspected_runs(self) -> None:
         self.loop.submit(
             self.owner.trials.abandon_suspected_runs
         ).add_done_callback(
@@ -310,13 +310,13 @@
         self.owner.gate.drain()
         self.peer_port.announce_drain()
 
-    def _make_identity_question(self) -> IdentityProbe:
+    def _make_identity_probe(self) -> IdentityProbe:
         return IdentityProbe(
             self.owner.pool,
             address=self._settings.backend_address,
             field=self._settings.dialect.instance,
             read_health_path=self._read_health_path,
-            targets=self.owner.server,
+            targets=self.owner.targets,
         )
 
     def _read_health_path(self) -> str:
@@ -338,7 +338,7 @@
             data_centre=settings.data_centre,
             loop=self.loop,
             owner=self.owner,
-            local=self.local,
+            local=self.local_peer,
             peers=PeerPool(
                 self.loop,
                 listener=listener,
@@ -358,12 +358,12 @@
             caller_timeouts=CallerTimeouts(),
             suspects=dependencies.suspects,
             read_limits=self.read_limits,
-            read_retry_share=self._share_retries,
+            read_retry_share=self._compute_retry_share,
             reserves=settings.reserves,
             hedges=settings.hedges,
         )
 
-    def _share_retries(self) -> RetryShare:
+    def _compute_retry_share(self) -> RetryShare:
         return compute_retry_share(
             self._settings.bounds,
             entries=self._dependencies.view.current.count_nodes(),
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -157,6 +157,6 @@
     verdict = pair.far.hold_slot()
     answer = pair.send_to_owner(build_run(lease=verdict.ticket, remaining_ms=0))
     assert isinstance(answer, Failed)
-    assert answer.answer.code is Code.past_deadline
-    assert answer.answer.outcome is Outcome.not_run
+    assert answer.fields.code is Code.past_deadline
+    assert answer.fields.outcome is Outcome.not_run
     assert pair.backend.counts.runs == 0
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -75,8 +75,8 @@
     failed = entry.receive(1)[0]
     entry.sock.close()
     assert isinstance(failed, Failed)
-    assert failed.answer.code is Code.draining
-    assert failed.answer.outcome is Outcome.not_run
+    assert failed.fields.code is Code.draining
+    assert failed.fields.outcome is Outcome.not_run
 
 
 def test_entry_that_connects_to_a_leaving_owner_is_notified(pair: Pair) -> None:
--- a/wagtaildale/calls/tests/test_replaced_servers.py
+++ b/wagtaildale/calls/tests/test_replaced_servers.py
@@ -62,7 +62,7 @@
     requests for an instance that the server has denied to be: 6,698 of 11,273
     requests over one such day, and 2,389 of 6,953 when each costs a retry.
     """
-    monkeypatch.setattr(server_identity, 'DENIED_SECONDS', LONG_SECONDS)
+    monkeypatch.setattr(server_identity, 'DENIAL_RECHECK_SECONDS', LONG_SECONDS)
     fleet.replace_all()
     for number in range(REQUESTS):
         fleet.ask(f'r{number}')
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -274,8 +274,8 @@
     verdict = pair.far.hold_slot()
     answer = pair.send_to_owner(build_run(lease=verdict.ticket, incarnation=99))
     assert isinstance(answer, Failed)
-    assert answer.answer.code is Code.wrong_instance
-    assert answer.answer.outcome is Outcome.not_run
+    assert answer.fields.code is Code.wrong_instance
+    assert answer.fields.outcome is Outcome.not_run
     assert pair.backend.counts.runs == 0
 
 
--- a/wagtaildale/calls/tests/test_server_end_detector.py
+++ b/wagtaildale/calls/tests/test_server_end_detector.py
@@ -77,7 +77,7 @@
     def hold(self, *runs: InterruptedRun, is_open: bool) -> FakePool:
         pool = FakePool(is_open=is_open)
         for run in runs:
-            self.detector.hold(run, pool=pool)  # type: ignore[arg-type]
+            self.detector.add(run, pool=pool)  # type: ignore[arg-type]
         return pool
 
 
--- a/wagtaildale/calls/tests/test_server_identity.py
+++ b/wagtaildale/calls/tests/test_server_identity.py
@@ -4,7 +4,7 @@
 
 from wagtaildale.calls.server_identity import (
     MAX_DENIED_INSTANCES,
-    DENIED_SECONDS,
+    DENIAL_RECHECK_SECONDS,
     ServerIdentity,
 )
 from wagtaildale.types import InstanceId
@@ -23,7 +23,9 @@
     server.note_denied(EARLIER, now=5)
     assert server.find_target(EARLIER, now=5) is None
     assert server.find_target(LATER, now=5) == LATER
-    assert server.find_target(EARLIER, now=5 + DENIED_SECONDS) == EARLIER
+    assert (
+        server.find_target(EARLIER, now=5 + DENIAL_RECHECK_SECONDS) == EARLIER
+    )
 
 
 def test_number_of_stored_instances_is_bounded() -> None:
@@ -39,7 +41,7 @@
     server = ServerIdentity()
     server.note_denied(EARLIER, now=0)
     server.note_identified(LATER)
-    assert server.find_target(EARLIER, now=DENIED_SECONDS) == LATER
+    assert server.find_target(EARLIER, now=DENIAL_RECHECK_SECONDS) == LATER
     server.note_denied(LATER, now=5)
     assert server.find_target(EARLIER, now=5) == EARLIER
     assert server.find_target(LATER, now=5) is None
--- a/wagtaildale/lifecycle/stop.py
+++ b/wagtaildale/lifecycle/stop.py
@@ -86,7 +86,7 @@
     def begin(self) -> None:
         """Tell callers to go elsewhere."""
         self._recorder.record(EventKind.node_leaving, detail='callers first')
-        self._calls.announce_drain()
+        self._calls.announce_drain_to_callers()
 
     def wait(self, *, seconds: float) -> bool:
         """Wait until nothing is in flight.
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -109,7 +109,7 @@
 
 
 def _read_rate_limit(node: Node) -> float:
-    named = node.calls.owner.server.feedback.per_second
+    named = node.calls.owner.targets.feedback.per_second
     return NO_LIMIT if named is None else named
 
 
