--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -36,8 +36,9 @@
     from wagtaildale.calls.parsing import Header
 
 MAX_HEAD_BYTES: Final = 65_536
-# The backend server is on the same machine, so connecting takes one round
-# trip on loopback; a connection still pending after this time will not open.
+# The backend server is on the same machine, so connecting takes one round trip
+# on loopback unless the server's queue of new connections is full. A connection
+# still pending after this time counts as failed.
 CONNECT_TIMEOUT_SECONDS: Final = 0.4
 # Idle time of a connection whose server sends no Keep-Alive timeout.
 DEFAULT_IDLE_SECONDS: Final = 4.0
@@ -138,7 +139,7 @@
 
     @property
     def has_no_input(self) -> bool:
-        """Whether the server has neither closed nor sent unexpected bytes."""
+        """Whether neither input nor the end of the connection is pending."""
         return peek_input(self._stream) is PendingInput.nothing
 
     @property
@@ -177,7 +178,7 @@
         """Resume or pause reading of the response.
 
         Args:
-            is_wanted: whether to read.
+            is_wanted: whether the stream reads; False pauses it.
         """
         if is_wanted:
             self._stream.resume()
@@ -192,7 +193,7 @@
         self._pool.discard(self)
 
     def on_open(self) -> None:
-        """Let the request go out on the connection, which is open now."""
+        """Check the connection before the stream sends the buffered request."""
         if not self.has_no_input:
             # A leaving server accepts the connection and closes it at once.
             # If the request were sent after that, it would count as one that
--- a/wagtaildale/calls/backend_messages.py
+++ b/wagtaildale/calls/backend_messages.py
@@ -15,6 +15,7 @@
     from wagtaildale.types import InstanceId
 
 MILLISECONDS: Final = 1000
+# The server answers 421 to a request for another instance.
 MISDIRECTED_STATUS: Final = 421
 
 
@@ -52,15 +53,15 @@
 
 
 def find_not_run_evidence(owner: Owner, message: Message) -> bytes | None:
-    """Find the header by which a backend server reports a request not run.
+    """Find evidence in a response that the request did not run.
 
     Args:
         owner: owner of the backend server.
         message: response of the server.
 
     Returns:
-        Value of the header, or its name for a misdirected request; None if
-        the request may have run.
+        Value of the header by which the server reports it, or the name of the
+        header if the status is 421; None if the request may have run.
     """
     field = owner.dialect.not_run
     if field is None:
@@ -111,7 +112,10 @@
     deadline: float,
     instance: InstanceId,
 ) -> HeaderPairs:
-    """Build the header fields that a server copies to its own calls."""
+    """Build the fields that tell a server about the request it runs.
+
+    The server copies some of them to its own calls.
+    """
     dialect = owner.dialect
     fields = run.fields
     remaining_ms = max(1, int((deadline - read_clock()) * MILLISECONDS))
--- a/wagtaildale/calls/backend_pool.py
+++ b/wagtaildale/calls/backend_pool.py
@@ -106,8 +106,9 @@
         """Tell whether any connection is open at both ends.
 
         Returns:
-            Whether the server runs: a process that ends closes all of its
-            connections.
+            Whether a connection is open, which proves that the server runs: a
+            process that ends closes all of its connections. False proves
+            nothing.
         """
         return any(connection.is_established for connection in self._all)
 
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -30,8 +30,8 @@
     from wagtaildale.calls.replies import ReplyWriter
 
 # A response up to this size is received completely before any of it is
-# forwarded, so that one that breaks off becomes an error instead of a
-# truncated answer.
+# forwarded, so that an interrupted one becomes an error instead of a truncated
+# answer.
 MAX_BUFFERED_BYTES: Final = 65_536
 
 
@@ -60,7 +60,7 @@
             failure: the cause, with outcome ``not_run`` only if that is
                 certain.
             is_duplicate: whether the request is a duplicate; the first request
-                then decides what is recorded for it.
+                then decides what is recorded for both.
         """
 
 
@@ -105,10 +105,14 @@
         return self._response is not None and self._response.is_started
 
     def begin(self) -> None:
-        """Send the request, or the answer stored for its idempotency key."""
+        """Start the run, unless its idempotency key has a stored answer.
+
+        A request suspected of ending servers waits until the server is up and
+        until it is its turn. A stored answer is sent instead of a run.
+        """
         owner = self._owner
         if owner.trials.is_suspected(self._run_message):
-            # The server that this request ended may restart within moments.
+            # The server may be restarting after this request ended it.
             owner.pool.watch.wait_until_up(self._start)
         else:
             self._start()
@@ -126,7 +130,7 @@
                 self.on_writable()
 
     def note_forwarded(self, count: int) -> None:
-        """Continue the response after the entry has forwarded some of it.
+        """Send more of the response, now that the entry has forwarded some.
 
         Args:
             count: number of bytes that the entry has forwarded.
@@ -276,8 +280,8 @@
             self._call.on_run_failed(failure, is_duplicate=True)
 
     def _register_run(self) -> bool:
-        # A run message that arrives twice would make a booking twice. The
-        # second one stops here and has the outcome of the first.
+        # A run message that arrives twice would run a non-idempotent request
+        # twice. The second one is refused here with outcome ``unknown``.
         fields = self._run_message.fields
         owner = self._owner
         return owner.invariants.hold(
--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -26,6 +26,8 @@
 
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
+# Subtracted from the time left, except for calls that have no more left than
+# this number of margins.
 DEADLINE_MARGIN_SECONDS: Final = 0.02
 MIN_REMAINING_MARGINS: Final = 4
 
@@ -35,11 +37,13 @@
 
     Attributes:
         patient: whether the attempt may wait for a slot past its target time.
-        needs_free_slot: whether the attempt may run only if a slot is free at once.
+        needs_free_slot: whether the attempt runs only if a slot is free at
+            once.
         rate: known rate limit of the server in requests per second, if any.
         pass_rank: rank for the sampling of requests to limited servers; see
             ``admission.shares``.
-        share: share of the requests of this rank that goes to this upstream.
+        share: fraction of the requests of this rank that the entry sends to
+            this upstream, to respect its rate limit.
     """
 
     patient: bool
@@ -50,7 +54,7 @@
 
 
 def build_owner_report(answer: AnswerFields) -> OwnerReport:
-    """Read the report of an owner from an answer.
+    """Build the report of an owner from its answer.
 
     Args:
         answer: fields of the answer.
@@ -73,7 +77,7 @@
 
 
 def decode_limit(message: AnswerFields | LoadReport) -> ServerLimit | None:
-    """Read the limit of a backend server from a message of its owner.
+    """Decode the limit of a backend server from a message of its owner.
 
     Args:
         message: answer or load message of the owner.
@@ -121,8 +125,9 @@
     work_class = routed.match.work_class
     now = read_clock()
     # Under overload, every slow answer would get a second attempt, which
-    # would queue for a slot that a first attempt needs. A spare attempt, or
-    # one past its target time, therefore runs only if a slot is free at once.
+    # would queue for a slot that a first attempt needs. A second
+    # attempt, or one past its target time, therefore runs only if a slot is
+    # free at once; a patient one may still wait.
     target_seconds = 0 if options.needs_free_slot else max(0, routed.due - now)
     remaining = routed.deadline - now
     if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
--- a/wagtaildale/calls/call_times.py
+++ b/wagtaildale/calls/call_times.py
@@ -45,7 +45,7 @@
         """Compute the deadline from the remaining time of a message.
 
         Args:
-            fields: fields of the message.
+            fields: fields of the message, less its delay in transit.
             received_at: time at which the message arrived.
         """
         self.deadline = received_at + fields.remaining_ms / MILLISECONDS
@@ -66,7 +66,8 @@
         """Measure the time since the request was sent to the server.
 
         Returns:
-            Duration in seconds.
+            Duration in seconds; counted from the arrival of the call if the
+            request was not sent.
         """
         return read_clock() - self.run_started_at
 
--- a/wagtaildale/calls/dialect.py
+++ b/wagtaildale/calls/dialect.py
@@ -35,9 +35,9 @@
         accepts_request_id: whether callers choose the identifiers of requests.
         echoes_request_id: whether a response contains the request's identifier.
         describes_calls: whether responses tell callers how the call went.
-        deadline_spans_retries: whether a caller that retries sends the time
-            left of its first attempt, so that the target time counts from
-            there.
+        deadline_spans_retries: whether the deadline that a retrying caller
+            sends is that of its first attempt; the target time then counts
+            from that attempt.
         fractional_retry_after: whether ``Retry-After`` may have a fraction.
     """
 
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -45,8 +45,7 @@
         within_ms: milliseconds left of the class's target time.
         remaining_ms: milliseconds left until the deadline.
         instance: instance that the call is meant for.
-        incarnation: incarnation of that instance; 0 if the entry does not know
-            it yet.
+        incarnation: incarnation that granted the lease; 0 without a lease.
         lease: lease of the slot that is held for the call; 0 if none.
         depth: number of calls that led to this one.
         retries: attempts beyond the first that calls further down may make.
@@ -60,8 +59,9 @@
             per second, as far as the entry knows; negative if it knows none.
         pass_rank: rank by which requests are sampled for a limited backend
             server.
-        passed_parts: number of requests out of ten thousand of this rank that
-            the entry sends to this owner.
+        passed_parts: ten-thousandths of the requests of this rank that the
+            entry sends to this owner. To respect a rate limit, an entry sends
+            only part of them; the owner estimates the whole demand from this.
     """
 
     request_id: RequestId
@@ -108,21 +108,22 @@
         attempt: number of the answered attempt.
         code: numbered result code.
         outcome: whether the request ran.
-        instance: instance that answers.
+        instance: instance that the call was meant for.
         incarnation: incarnation of the owner's process.
         in_flight: number of running requests at the backend server.
-        limit: largest number of running requests.
+        limit: number of requests that may run at once.
         queued: number of requests that wait at the owner.
         owner_us: microseconds spent at the owner, with the time in its queue.
         backend_us: microseconds spent at the backend server.
         lease: lease of the granted slot, in the answer to a reservation.
         retry_ms: milliseconds after which a retry makes sense, in a refusal.
-        slot_us: time in microseconds for which a request of any class holds a
+        slot_us: average microseconds for which a request of any class holds a
             slot of the backend server; 0 before the first.
         class_us: current run time in microseconds of requests of this class at
             the backend server; 0 before the first.
         class_usual_us: the same over a longer time.
-        was_rejected_by_server: whether the backend server itself refused the request.
+        was_rejected_by_server: whether the backend server itself, not the
+            owner, refused the request.
         ends: number of successive backend servers that ended during the
             request, as far as the owner knows; sent if the request was not
             answered.
--- a/wagtaildale/calls/frames.py
+++ b/wagtaildale/calls/frames.py
@@ -24,13 +24,13 @@
 from wagtaildale.types import CallNumber, InstanceId
 
 LENGTH_PREFIX: Final = struct.Struct('>I')
-# A piece of a body is at most what one read returns; heads are far smaller.
+# A piece of a body is at most 64 KB (one read); heads are far smaller.
 MAX_FRAME_BYTES: Final = 1_000_000
 # One read of 64 KB that was compressed by a factor of 100; bodies compress far
 # less.
 MAX_DECOMPRESSED_BYTES: Final = 6_553_600
-# A window of 4 KB holds the last dozen heads. With heads of the users'
-# requests, larger windows saved 2% more for eight times the memory.
+# A window of 4 KB holds about a dozen heads; larger ones save 2% more bytes for
+# eight times the memory. Negative, so that zlib writes no header.
 COMPRESSION_WINDOW_BITS: Final = -12
 COMPRESSION_MEMORY_LEVEL: Final = 5
 COMPRESSION_LEVEL: Final = 6
@@ -118,7 +118,8 @@
 
     Attributes:
         call: number of the call on this connection.
-        answer: state of the owner, with the lease of the slot.
+        fields: fields of the answer, with the state of the owner and the
+            lease of the slot.
     """
 
     call: CallNumber
@@ -130,8 +131,8 @@
 
     Attributes:
         call: number of the call on this connection.
-        answer: state of the owner; its ``outcome`` tells whether the request
-            ran.
+        fields: fields of the answer, with the state of the owner; their
+            ``outcome`` tells whether the request ran.
         detail: description of the failure for people.
     """
 
@@ -145,7 +146,7 @@
 
     Attributes:
         call: number of the call on this connection.
-        answer: state of the owner.
+        fields: fields of the answer, with the state of the owner.
         status: HTTP status.
         headers: headers that are forwarded.
         body: the whole body, or its beginning.
@@ -191,9 +192,10 @@
     """Load and limits of an owner's backend server, sent without a request.
 
     Attributes:
-        instance: instance of the backend server.
+        instance: instance of the owner's node; entries find the upstream by the
+            address of the connection instead.
         in_flight: number of running requests.
-        limit: largest number of running requests.
+        limit: number of requests that may run at once.
         queued: number of waiting requests.
         is_up: whether the backend server accepts connections.
         slowness_percent: current run time in percent of the usual one on this
@@ -301,7 +303,8 @@
             frame: message to write.
 
         Returns:
-            Bytes to send; they suffice to read the whole frame.
+            Bytes to send, flushed so that the receiver can decode the frame at
+            once.
         """
         encoded = encode_frame(frame)
         if self._compressor is None:
--- a/wagtaildale/calls/idempotency_guard.py
+++ b/wagtaildale/calls/idempotency_guard.py
@@ -18,9 +18,9 @@
 
 
 class IdempotencyGuard:
-    """Guards one request by its key; does nothing for one without a key.
+    """Guards a non-idempotent request by its key; ignores any other.
 
-    Detects only repeats of a key that reach this owner.
+    A repeat of the key that reaches another owner is not detected.
     """
 
     def __init__(self, run: Run, replays: ReplayCache) -> None:
--- a/wagtaildale/calls/identity_probe.py
+++ b/wagtaildale/calls/identity_probe.py
@@ -21,10 +21,11 @@
     from wagtaildale.calls.server_targets import ServerTargets
     from wagtaildale.timers.alarms import Alarm
 
-# Few probes are sent, because a health check takes a slot like a request.
-# But callers are refused for each second without an answer.
+# A health check takes a slot like a request, so probes are not sent more often;
+# callers are refused until one is answered.
 PROBE_INTERVAL_SECONDS: Final = 1.0
-# A server without a free slot answers only after a request has ended.
+# A server without a free slot answers only after a request has ended. Shorter
+# than the interval, so that at most one probe is in progress.
 PROBE_TIMEOUT_SECONDS: Final = 0.9
 
 
--- a/wagtaildale/calls/load_notifier.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -40,7 +40,7 @@
 
         Args:
             gate: admission control of the backend server.
-            instance: instance of this node.
+            instance: instance of this node, which load reports name.
             recorder: recorder of events when the server becomes slow or
                 recovers.
         """
@@ -120,6 +120,7 @@
     def _update_slowness(self, now: float) -> int:
         slowness = self._gate.state.slowness
         if not slowness.update_announcement(now=now):
+            # Entries need not be notified.
             return 0
         kind = EventKind.backend_well
         if slowness.is_slow:
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -69,7 +69,7 @@
         loop: event loop of the calls.
         stray_count: number of responses that named another request.
         load_notifier: sender of load updates to the connected entries.
-        server: resolver of the instance that the backend server is.
+        targets: resolver of the instance that runs a request.
         trials: admission of requests suspected of ending servers.
     """
 
@@ -146,7 +146,7 @@
         the request again.
 
         Args:
-            fields: fields of the call, as the entry sent them.
+            fields: fields of the call.
 
         Raises:
             CallFailed: with outcome ``not_run``, if the call is not meant
@@ -186,8 +186,8 @@
             owner_seconds: time spent at the owner, including the queue.
             backend_seconds: time spent at the backend server.
             retry_ms: time after which a retry is useful, in milliseconds.
-            was_rejected_by_server: whether the request reached the backend server,
-                which refused it.
+            was_rejected_by_server: whether the backend server itself, not the
+                owner, refused the request.
 
         Returns:
             Fields that go with the answer.
--- a/wagtaildale/calls/owner_call.py
+++ b/wagtaildale/calls/owner_call.py
@@ -1,4 +1,4 @@
-"""One call at its owner: admission, run and end.
+"""One call at its owner, from admission to the released slot.
 
 Running the request at the backend server is in ``backend_run``, and writing
 the answers is in ``replies``.
@@ -36,6 +36,7 @@
 # At the deadline the entry gives up by itself. If the owner still has the call
 # this much later, the entry is gone.
 DEADLINE_GRACE_SECONDS: Final = 0.05
+# A backend server that answers 503 counts as overloaded.
 OVERLOAD_STATUS: Final = 503
 # Failures that indicate a fault of the backend server rather than of one
 # request.
@@ -100,7 +101,7 @@
 
     @property
     def fields(self) -> CallFields:
-        """Fields of the call, as the entry sent them."""
+        """Fields of the call, less the delay in transit from its times."""
         assert self._fields is not None
         return self._fields
 
@@ -139,7 +140,7 @@
             self._run.send_piece(frame)
 
     def handle_window_update(self, frame: WindowUpdate) -> None:
-        """Continue the response after the entry has forwarded some of it.
+        """Send more of the response, now that the entry has forwarded some.
 
         Args:
             frame: message with the number of bytes forwarded.
--- a/wagtaildale/calls/owner_listener.py
+++ b/wagtaildale/calls/owner_listener.py
@@ -65,8 +65,8 @@
 
         Args:
             address: address of the owner that reports it.
-            leaving_server: the leaving server; if its owner does not give its start,
-                the listed start applies.
+            leaving_server: the leaving server; without a start time, the
+                listed one is used.
         """
         record = self._view.current.records.get(leaving_server.instance)
         if record is not None and _get_owner_address(record) != address:
@@ -130,7 +130,7 @@
 
     def _list_instances(self, address: Address) -> list[InstanceId]:
         # Looks instances up by address, because an owner does not know the
-        # ids under which it is listed.
+        # ids under which its backend server is listed.
         return [
             record.instance
             for record in self._view.current.records.values()
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -46,7 +46,7 @@
 
         Args:
             loop: event loop of the connections.
-            listener: receives load reports, and which owners leave or are
+            listener: receives load reports, and which owners drain or are
                 silent.
             recorder: records an event for each lost connection.
         """
@@ -59,7 +59,7 @@
         self._retired: set[RemotePeer] = set()
 
     def get_or_open(self, address: Address, *, compressed: bool) -> RemotePeer:
-        """Find the connection to an owner, or open one.
+        """Get the connection to an owner; open one if there is none.
 
         Args:
             address: address of the owner.
@@ -85,8 +85,8 @@
         """Open connections that are needed and close idle ones that are not.
 
         Args:
-            is_compressed_by_address: addresses of the owners that calls may go to, and whether
-                connections to them are compressed.
+            is_compressed_by_address: addresses of the owners that calls may go
+                to, each with whether connections to it are compressed.
         """
         for address, compressed in is_compressed_by_address.items():
             self.get_or_open(address, compressed=compressed)
@@ -100,7 +100,7 @@
             peer.close(STOPPING_REASON)
 
     def note_draining(self, peer: RemotePeer) -> None:
-        """Retire a connection to a leaving owner; see ``PeerObserver``.
+        """Retire a connection to a draining owner; see ``PeerObserver``.
 
         Args:
             peer: connection to an owner that accepts no new calls.
@@ -120,7 +120,7 @@
                 self._recorder,
                 EventKind.connection_silent,
                 peer,
-                detail='calls wait',
+                detail='calls in progress keep waiting on it',
             )
             self._retire(peer)
         # A newer connection shows whether the owner is alive.
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -37,22 +37,22 @@
     from wagtaildale.calls.owner import Owner
     from wagtaildale.reactor.loop import Loop
 
-# A round trip within a region takes a few milliseconds, and a lost packet is
-# resent after 200 ms at the earliest; twice that leaves room for one loss.
+# Far above a round trip within a region, which takes a few milliseconds.
 CONNECT_TIMEOUT_SECONDS: Final = 0.5
 # Interval of pings while calls wait and nothing is received.
 PING_INTERVAL_SECONDS: Final = 0.25
 # A connection is retired after this time without input: a ping has then been
 # unanswered for a whole interval.
 RETIRE_SECONDS: Final = 0.75
-# Calls move to another upstream after this time without input: two losses in a
-# row, and still shorter than most requests are worth waiting for. By then a
-# newer connection has had time to show that the owner is alive.
+# Calls move to another upstream after this time without input. Long enough for
+# two lost packets in a row, which are resent after 200 ms at the earliest, and
+# shorter than most callers wait. By then a newer connection has had time to
+# show that the owner is alive.
 FAILOVER_SECONDS: Final = 1.0
 SILENT_REASON: Final = 'silent'
 REPLACED_REASON: Final = 'silent while a newer connection works'
 REFUSED_REASON: Final = 'silent, and a newer connection is refused'
-OWNER_DRAINS_REASON: Final = 'the owner leaves'
+OWNER_DRAINS_REASON: Final = 'the owner accepts no new calls'
 
 # Messages that concern the owner and no single call.
 OwnerNotice = LoadReport | DrainNotice
@@ -224,9 +224,9 @@
 
 
 class RemotePeer:
-    """An owner in another process; a ``StreamReceiver``.
+    """Connection to an owner in another process; a ``StreamReceiver``.
 
-    The connection is retired when its owner leaves, or when nothing is received
+    The connection is retired when its owner drains, or when nothing is received
     for a while: it opens no new call and closes after its last one. A silent
     one closes earlier if its owner is known to be gone.
 
@@ -346,13 +346,13 @@
             self.send(Ping())
 
     def note_newer_connection_works(self) -> None:
-        """Close if a newer connection has worked for long enough.
+        """Close once a newer connection has worked as long as this was silent.
 
-        Called repeatedly while a newer connection to the owner gets answers. A
-        connection may stay silent for good while newer ones work, and its calls
-        would wait until their deadline for nothing. After an outage, TCP
-        resends after a delay of up to the length of the outage, so a connection
-        that was only interrupted is given that much time.
+        After an outage, TCP may delay a resend by up to the length of the
+        outage, so a connection that was only interrupted gets that much time.
+        A connection may also stay silent for good while newer ones work; its
+        calls would then wait in vain until their deadline. Called repeatedly
+        while a newer connection to the owner gets answers.
         """
         now = read_clock()
         if self._close_at is None:
--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -1,7 +1,7 @@
 """Tells the end of a backend server from the end of one connection.
 
 A server process that ends closes all of its connections, and its port refuses
-new ones. A server that breaks off one answer, or resets a connection for lack
+new ones. A server that interrupts one answer, or resets a connection for lack
 of capacity, keeps the other connections open.
 """
 
@@ -35,8 +35,8 @@
     Attributes:
         instance: instance that ran the request.
         fingerprint: fingerprint of the request.
-        ends: number of consecutive servers that had ended under the request,
-            as known when the run started.
+        ends: number of successive backend servers that ended during the
+            request, as known when the run started.
         is_leaving: whether the instance was due to end anyway.
         on_resolved: called with the number of ends including this one; 0 if
             the run does not count as the cause of an end.
@@ -68,7 +68,8 @@
         """Create the detector.
 
         Args:
-            suspects: board of the requests under which servers ended.
+            suspects: store of the requests during which servers ended, shared
+                by all nodes.
             node: node beside the server.
             answered: requests that the server has answered lately.
             recorder: recorder of an event for each end of the server.
@@ -82,7 +83,7 @@
         self._pending: list[InterruptedRun] = []
 
     def add(self, run: InterruptedRun, *, pool: BackendPool) -> None:
-        """Hold an interrupted run until the server's state is known.
+        """Keep an interrupted run until it is known whether the server ended.
 
         Args:
             run: the interrupted run.
@@ -128,16 +129,16 @@
         pending: list[InterruptedRun],
     ) -> list[InterruptedRun]:
         # A leaving server ends as planned, whatever it runs.
-        ended = [run for run in pending if not run.is_leaving]
-        if not ended:
+        unplanned = [run for run in pending if not run.is_leaving]
+        if not unplanned:
             return []
         self.count += 1
         suspected_runs = [
-            run for run in ended if not self._was_answered_lately(run)
+            run for run in unplanned if not self._was_answered_lately(run)
         ]
         self._answered.forget()
         self._record_ends(
-            suspected_runs or ended, has_suspects=bool(suspected_runs)
+            suspected_runs or unplanned, has_suspects=bool(suspected_runs)
         )
         return suspected_runs
 
@@ -148,9 +149,9 @@
         has_suspects: bool,
     ) -> None:
         # If the server had answered all of the running requests shortly
-        # before, the end counts but restricts no request, because it may have
-        # another cause. Of several runs of one request, the one with the most
-        # known ends counts.
+        # before, the end is recorded without restricting a request, because it
+        # may have another cause. For several runs of one request, the highest
+        # known number of ends applies.
         ended.sort(key=_get_ends)
         ends = {run.fingerprint: run.ends + 1 for run in ended}
         names = ' '.join(fingerprint.hex() for fingerprint in ends)
--- a/wagtaildale/calls/server_feedback.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -25,9 +25,11 @@
     from wagtaildale.routing.leaving_servers import LeavingServer
     from wagtaildale.telemetry.events import EventRecorder
 
+# Requests per second, as a decimal number with at most nine digits before and
+# after the point.
 RATE_PATTERN: Final = re.compile(rb'[0-9]{1,9}(\.[0-9]{1,9})?')
 LEAVING_VALUE: Final = b'1'
-# Part of a malformed header value that is logged.
+# A longer malformed header value is cut to this length in the log.
 MAX_LOGGED_BYTES: Final = 40
 
 
@@ -149,7 +151,7 @@
         """Refuse the requests that wait for a leaving server.
 
         Args:
-            _leaving_server: the leaving server.
+            _leaving_server: not used; the gate belongs to one server.
         """
         self._gate.handle_server_message(LeavingReported())
 
--- a/wagtaildale/calls/server_identity.py
+++ b/wagtaildale/calls/server_identity.py
@@ -1,9 +1,9 @@
 """Tracks which instance the backend server beside a node is.
 
-When servers restart while the platform is unreachable, every request names an
-instance that no longer exists until the platform is back. Without this, each
-of these requests is sent to a server that refuses it, and takes capacity from
-requests that could run.
+While the platform is unreachable, the list keeps the ids of servers that have
+restarted since, and requests name these instances, which no longer exist.
+Without this module, each such request would be sent to a server that refuses
+it, and would take capacity from requests that could run.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 # No message announces an instance that restarts under its old id, so one
 # request per interval is let through to find out.
 DENIAL_RECHECK_SECONDS: Final = 2.0
-# Bounds the memory for instances that an address has had while the node runs;
-# the oldest are dropped.
+# Limits the memory for the instances that one address has had while the node
+# runs; the oldest are dropped.
 MAX_DENIED_INSTANCES: Final = 64
 
 
--- a/wagtaildale/calls/server_leaving.py
+++ b/wagtaildale/calls/server_leaving.py
@@ -62,8 +62,9 @@
             instance: instance to look up.
 
         Returns:
-            The instance, with its start if it is listed; None if it has not
-            announced since that start that it is leaving.
+            The leaving server, with its listed start time if it has one; None
+            if the instance has not announced that it leaves, or has started
+            again since.
         """
         if not self._announcements:
             return None
--- a/wagtaildale/calls/server_watch.py
+++ b/wagtaildale/calls/server_watch.py
@@ -22,8 +22,8 @@
 
 # A server takes seconds to start, and each probe costs it a connection.
 PROBE_INTERVAL_SECONDS: Final = 0.25
-# A server that is not back by then takes seconds to start, so the waiting
-# runs go on without it.
+# Longest wait of a run for a restarting server. A server that is not back by
+# then takes seconds to start, so the run is attempted at once and fails.
 MAX_RESTART_WAIT_SECONDS: Final = 0.5
 MILLISECONDS: Final = 1000
 
@@ -67,11 +67,13 @@
         return read_clock() - self.changed_at if self.is_up else 0
 
     def wait_until_up(self, on_done: Callable[[], None]) -> None:
-        """Wait for a server that may restart quickly.
+        """Call back once the server is up, or after a limited wait.
 
         Args:
-            on_done: callback for when the server is up, or not back within
-                ``MAX_RESTART_WAIT_SECONDS``; may be called before this returns.
+            on_done: callback for when the server is up; called even if it is
+                still down at the first probe after
+                ``MAX_RESTART_WAIT_SECONDS``. May be called before this method
+                returns.
         """
         if (
             self.is_up
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -99,7 +99,8 @@
         slots: number of requests that the backend server runs at once, used
             until the instance list gives one.
         limits: limits on callers, used until a configuration has others.
-        bounds: limits that the platform's operators publish.
+        bounds: times and retry share that the platform's operators publish
+            and hold nodes to.
         chooser: algorithm that chooses an upstream.
         dialect: header fields used with callers and backend servers.
         reserves: whether a non-idempotent request reserves a slot first.
@@ -130,7 +131,7 @@
         entry: sends callers' requests to upstreams.
         caller_port: port that callers connect to.
         peer_port: port that other nodes connect to.
-        local: calls from this node's entry to its own owner.
+        local_peer: connection of this node's entry to its own owner.
     """
 
     def __init__(
@@ -399,5 +400,5 @@
         self._dependencies.recorder.record(
             EventKind.woke_late,
             subject='calls',
-            detail=f'{seconds:.1f} s',
+            detail=f'event loop of calls woke {seconds:.1f} s late',
         )
--- a/wagtaildale/calls/tests/scripted_owners.py
+++ b/wagtaildale/calls/tests/scripted_owners.py
@@ -40,8 +40,8 @@
     the answer before it falls silent.
 
     Attributes:
-        only_first: whether only the first connection is silent.
-        begins: whether the owner starts the answer before it is silent.
+        is_only_first_silent: whether only the first connection is silent.
+        starts_answer: whether the owner starts the answer before it is silent.
         runs: run messages received.
         unanswered_pings: number of pings that were not answered.
         has_run: event that is set once a run message has arrived.
@@ -53,11 +53,11 @@
         address: tuple[str, int],
         *,
         silent_pings: int,
-        only_first: bool = False,
-        begins: bool = False,
+        is_only_first_silent: bool = False,
+        starts_answer: bool = False,
     ) -> None:
-        self.only_first = only_first
-        self.begins = begins
+        self.is_only_first_silent = is_only_first_silent
+        self.starts_answer = starts_answer
         self.runs: list[Run] = []
         self.unanswered_pings = 0
         self.has_run = threading.Event()
@@ -67,7 +67,7 @@
 
     def answer(self, sock: socket.socket) -> None:
         pings = self._silent_pings
-        if self.only_first and self.runs:
+        if self.is_only_first_silent and self.runs:
             pings = 0
         script = _ConnectionScript(self, sock.dup(), pings=pings)
         threading.Thread(
@@ -78,7 +78,7 @@
     @property
     def is_silent(self) -> bool:
         waiting = self.has_run.is_set() and not self.has_answered.is_set()
-        return waiting and not self.only_first
+        return waiting and not self.is_only_first_silent
 
     def note_run(self, run: Run) -> None:
         self.runs.append(run)
@@ -114,7 +114,7 @@
         elif isinstance(frame, Run):
             self._run = frame
             self._owner.note_run(frame)
-            if self._owner.begins:
+            if self._owner.starts_answer:
                 self._answer(frame, more=True)
             self._answer_if_due()
         elif isinstance(frame, Ping):
--- a/wagtaildale/calls/tests/test_crash_spread.py
+++ b/wagtaildale/calls/tests/test_crash_spread.py
@@ -108,7 +108,7 @@
         )
         wait_until(lambda: all(knows_of_down(each) for each in fleet.entries))
         before = down.owner.pool.opened_count
-        for _time in range(5):
+        for _visit in range(5):
             answers = ask_entries(fleet, HARMLESS)
             assert all(answer.startswith(ANSWERED) for answer in answers)
         assert down.owner.pool.opened_count == before
--- a/wagtaildale/calls/tests/test_crashing_servers.py
+++ b/wagtaildale/calls/tests/test_crashing_servers.py
@@ -60,7 +60,7 @@
     """One caller ends every server of a service again and again."""
     end_servers(fleet, ALLOWED_ENDS)
     before = fleet.count_arrivals(FATAL)
-    for _time in range(REPEATS):
+    for _visit in range(REPEATS):
         fleet.ask(FATAL)
         fleet.restart_ended()
     assert fleet.count_arrivals(FATAL) - before <= ALLOWED_RETRIES
@@ -74,8 +74,8 @@
     """A request that ends servers is tried again on each visit."""
     monkeypatch.setattr(records, 'TRIAL_DELAYS_SECONDS', NO_BACKOFF_SECONDS)
     end_servers(fleet, ALLOWED_ENDS)
-    for time in range(REPEATS):
-        fleet.ask(FATAL, entry=time % ENTRIES)
+    for visit in range(REPEATS):
+        fleet.ask(FATAL, entry=visit % ENTRIES)
         fleet.restart_ended()
     assert fleet.ends <= ALLOWED_ENDS + len(NO_BACKOFF_SECONDS)
 
@@ -121,8 +121,8 @@
     fleet.restart_ended()
     assert fleet.suspects.table.records
     answers = [
-        fleet.ask(POPULAR, entry=time % ENTRIES)
-        for time in range(2 * UPSTREAMS)
+        fleet.ask(POPULAR, entry=visit % ENTRIES)
+        for visit in range(2 * UPSTREAMS)
     ]
     assert all(answer.startswith(ANSWERED) for answer in answers)
 
@@ -132,7 +132,7 @@
 ) -> None:
     """A popular lookup is refused because servers end repeatedly."""
     fleet.change_fatal_paths()
-    for _time in range(2 * ALLOWED_ENDS):
+    for _visit in range(2 * ALLOWED_ENDS):
         fleet.end_all(POPULAR, requests=UPSTREAMS)
         fleet.restart_ended()
         assert fleet.ask(POPULAR).startswith(ANSWERED)
@@ -158,7 +158,7 @@
     assert EventKind.server_ended in list_kinds(fleet)
 
 
-def test_planned_end_of_a_server_blames_no_request(
+def test_planned_end_of_a_server_makes_no_request_suspected(
     fleet: CrashingFleet,
 ) -> None:
     """A request is suspected because of a planned end of its server."""
--- a/wagtaildale/calls/tests/test_faults.py
+++ b/wagtaildale/calls/tests/test_faults.py
@@ -35,8 +35,10 @@
 class ImpostorOwner(Listener):
     """Answers every call with the id of another request or attempt."""
 
-    def __init__(self, address: tuple[str, int], *, attempt_off: int) -> None:
-        self._attempt_off = attempt_off
+    def __init__(
+        self, address: tuple[str, int], *, attempt_offset: int
+    ) -> None:
+        self._attempt_offset = attempt_offset
         super().__init__(address)
 
     def answer(self, sock: socket.socket) -> None:
@@ -49,11 +51,11 @@
 
     def _answer_run(self, sock: socket.socket, run: Run) -> None:
         request_id = run.fields.request_id
-        if not self._attempt_off:
+        if not self._attempt_offset:
             request_id = RequestId('another')
         answer = AnswerFields(
             request_id=request_id,
-            attempt=run.fields.attempt + self._attempt_off,
+            attempt=run.fields.attempt + self._attempt_offset,
             code=Code.ok,
             outcome=Outcome.answered,
             instance=InstanceId('b'),
@@ -75,7 +77,7 @@
 
 
 @pytest.fixture
-def silent_pair() -> Iterator[Pair]:
+def pair_without_owner() -> Iterator[Pair]:
     """A pair whose owner is closed, so that an impostor can use its port."""
     made = Pair()
     made.far.close()
@@ -84,29 +86,29 @@
     made.backend.close()
 
 
-@pytest.mark.parametrize('attempt_off', [0, 1])
+@pytest.mark.parametrize('attempt_offset', [0, 1])
 def test_answer_to_another_request_is_dropped(
-    silent_pair: Pair,
-    attempt_off: int,
+    pair_without_owner: Pair,
+    attempt_offset: int,
 ) -> None:
     """Prevents a caller from getting the response to another request.
 
     An answer that arrives late or at the wrong place names another request,
     or another attempt of this one. Neither is forwarded.
     """
-    record = silent_pair.far.record
+    record = pair_without_owner.far.record
     impostor = ImpostorOwner(
         (record.host, record.owner_port),
-        attempt_off=attempt_off,
+        attempt_offset=attempt_offset,
     )
-    response, text = silent_pair.ask('GET', '/files/1')
+    response, text = pair_without_owner.ask('GET', '/files/1')
     impostor.close()
     assert response.status == 502
     assert read_code(text) is Code.answer_mismatched
     assert b'secret' not in text
 
 
-def test_owner_dies_while_a_booking_runs(pair: Pair) -> None:
+def test_booking_outcome_is_unknown_if_its_owner_dies(pair: Pair) -> None:
     """The owner is killed after the run message, so the booking may have run.
 
     The caller gets an unknown outcome, and the booking is not retried.
@@ -128,7 +130,7 @@
     assert pair.backend.counts.by_single_key == {'k': 1}
 
 
-def test_owner_dies_while_a_booking_waits(pair: Pair) -> None:
+def test_waiting_booking_has_not_run_if_its_owner_dies(pair: Pair) -> None:
     """The owner is killed before the run message: the booking did not run."""
     gate = pair.far.gate
     for _slot in range(4):
--- a/wagtaildale/calls/tests/test_replaced_servers.py
+++ b/wagtaildale/calls/tests/test_replaced_servers.py
@@ -35,16 +35,9 @@
     each refuses requests for its predecessor. If the owner reports that as a
     refusal of its own, the entry redirects the request without spending a
     retry, as if no server had seen it. With an empty budget, a request then
-    still arrives three times:
-
-        run-ended code=4006 attempt=2 outcome=not-run detail="status 421"
-        call-redirected code=4006 outcome=not-run detail="status 421"
-        run-ended code=4006 attempt=3 outcome=not-run detail="status 421"
-        call-refused code=4006 not_retried=budget-spent
-
-    Over one such day, 3,090 requests were redirected and 275 retried. An
-    owner therefore reports whether its server received the request, and such
-    a refusal costs a retry.
+    still arrives three times, and redirects far outnumber retries (3,090 and
+    275). An owner therefore reports whether its server received the request,
+    and such a refusal costs a retry.
     """
     fleet.replace_all()
     for number in range(REQUESTS):
@@ -59,8 +52,9 @@
     """A third of all requests reach servers that refuse them.
 
     While the platform is unreachable, an owner keeps sending its server
-    requests for an instance that the server has denied to be: 6,698 of 11,273
-    requests over one such day, and 2,389 of 6,953 when each costs a retry.
+    requests for an instance that the server has denied to be. Without a memory
+    of the denial, that is 6,698 of 11,273 requests, and 2,389 of 6,953 if each
+    costs a retry.
     """
     monkeypatch.setattr(server_identity, 'DENIAL_RECHECK_SECONDS', LONG_SECONDS)
     fleet.replace_all()
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -47,7 +47,7 @@
         (Code.key_repeated, Outcome.unknown, True, False),
     ],
 )
-def test_retry_only_what_is_safe(
+def test_only_safe_failures_are_retried(
     code: Code,
     outcome: Outcome,
     idempotent: bool,
@@ -191,7 +191,9 @@
     assert pair.backend.counts.by_single_key['b'] == 1
 
 
-def test_repeated_key_while_the_first_runs(pair: Pair) -> None:
+def test_repeated_key_is_refused_while_the_first_request_runs(
+    pair: Pair,
+) -> None:
     pair.backend.faults.service_ms = 300
     headers = {KEY: 'k', 'x-booking': 'b'}
     worker = threading.Thread(
@@ -207,7 +209,9 @@
     assert pair.backend.counts.by_single_key['b'] == 1
 
 
-def test_repeated_key_after_an_unknown_outcome(pair: Pair) -> None:
+def test_repeated_key_after_an_unknown_outcome_does_not_run_again(
+    pair: Pair,
+) -> None:
     """The first response was lost; the retry must not run a second booking."""
     pair.backend.faults.close_share = 1
     headers = {KEY: 'k', 'x-booking': 'b'}
--- a/wagtaildale/calls/tests/test_server_end_detector.py
+++ b/wagtaildale/calls/tests/test_server_end_detector.py
@@ -34,7 +34,7 @@
 
 
 class FakePool:
-    """A pool with or without open connections; also its own loop."""
+    """A pool with or without open connections, and its event loop."""
 
     def __init__(self, *, is_open: bool) -> None:
         self.alarms = FakeAlarms()
@@ -74,7 +74,7 @@
             on_resolved=self.resolved.append,
         )
 
-    def hold(self, *runs: InterruptedRun, is_open: bool) -> FakePool:
+    def add(self, *runs: InterruptedRun, is_open: bool) -> FakePool:
         pool = FakePool(is_open=is_open)
         for run in runs:
             self.detector.add(run, pool=pool)  # type: ignore[arg-type]
@@ -86,37 +86,37 @@
     return DetectorHarness()
 
 
-def test_answer_that_breaks_off_blames_no_request(
+def test_interrupted_answer_makes_no_request_suspected(
     harness: DetectorHarness,
 ) -> None:
-    """A server resets connections for lack of capacity; callers are blamed."""
-    pool = harness.hold(harness.make_run(), harness.make_run(), is_open=True)
+    """Requests are suspected after a server lacks capacity for connections."""
+    pool = harness.add(harness.make_run(), harness.make_run(), is_open=True)
     assert len(pool.alarms.waiting) == 1
     pool.alarms.waiting[0]()
     assert harness.resolved == [0, 0]
     assert not harness.suspects.table.records
 
 
-def test_run_with_most_known_ends_counts(harness: DetectorHarness) -> None:
+def test_highest_number_of_known_ends_applies(harness: DetectorHarness) -> None:
     """Two runs end with a server; one started before an end was known."""
-    harness.hold(harness.make_run(ends=1), harness.make_run(), is_open=False)
+    harness.add(harness.make_run(ends=1), harness.make_run(), is_open=False)
     harness.detector.resolve(has_ended=True)
     assert harness.resolved == [2, 1]
     assert harness.suspects.table.records[FINGERPRINT].ends == 2
     assert harness.detector.count == 1
 
 
-def test_end_of_a_leaving_server_blames_no_request(
+def test_end_of_a_leaving_server_makes_no_request_suspected(
     harness: DetectorHarness,
 ) -> None:
-    harness.hold(harness.make_run(is_leaving=True), is_open=False)
+    harness.add(harness.make_run(is_leaving=True), is_open=False)
     harness.detector.resolve(has_ended=True)
     assert harness.resolved == [0]
     assert not harness.detector.count
 
 
 def test_end_is_logged_once(harness: DetectorHarness) -> None:
-    harness.hold(harness.make_run(), harness.make_run(), is_open=False)
+    harness.add(harness.make_run(), harness.make_run(), is_open=False)
     harness.detector.resolve(has_ended=True)
     events = harness.recorder.read_since(0)
     assert [event.kind for event in events] == [EventKind.server_ended]
--- a/wagtaildale/calls/tests/test_server_identity.py
+++ b/wagtaildale/calls/tests/test_server_identity.py
@@ -17,7 +17,7 @@
     assert ServerIdentity().find_target(EARLIER, now=0) == EARLIER
 
 
-def test_instance_that_restarts_under_its_id_is_detected() -> None:
+def test_denied_instance_is_tried_again_after_the_interval() -> None:
     """A server restarts under its id, and its owner refuses its requests."""
     server = ServerIdentity()
     server.note_denied(EARLIER, now=5)
--- a/wagtaildale/calls/tests/test_server_leaving.py
+++ b/wagtaildale/calls/tests/test_server_leaving.py
@@ -29,7 +29,7 @@
 
 
 def visit(fleet: FeedbackFleet, *, entry: int = 0) -> list[bytes]:
-    return [fleet.ask(PATH, entry=entry) for _time in range(VISITS)]
+    return [fleet.ask(PATH, entry=entry) for _visit in range(VISITS)]
 
 
 def announce_leaving(fleet: FeedbackFleet) -> None:
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -30,12 +30,13 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# More pings than an entry sends before it treats an owner as silent.
-SILENT_PINGS: Final = 7
+# The owner answers after this number of pings, which is more than an entry
+# sends before it treats an owner as silent.
+PINGS_UNTIL_ANSWER: Final = 7
 # More pings than are sent until a newer connection has been answered and has
 # shown, one ping later, that the owner is alive.
 OUTAGE_PINGS: Final = 5
-FOREVER_PINGS: Final = 1_000_000
+NEVER_ANSWERED_PINGS: Final = 1_000_000
 LOOKUP: Final = b'GET /files/1 HTTP/1.1\r\nhost: m\r\n\r\n'
 PATIENT_MESH: Final = MESH_TEXT.replace('= 1000', '= 4500').replace(
     '= 2000',
@@ -57,7 +58,7 @@
 @pytest.fixture
 def owner(pair_without_owner: Pair) -> Iterator[SilentOwner]:
     """An owner whose connections stall after it got a run message."""
-    created = start_owner(pair_without_owner, silent_pings=SILENT_PINGS)
+    created = start_owner(pair_without_owner, silent_pings=PINGS_UNTIL_ANSWER)
     yield created
     created.close()
 
@@ -68,7 +69,9 @@
 ) -> Iterator[SilentOwner]:
     """An owner whose first connection stays silent."""
     created = start_owner(
-        pair_without_owner, silent_pings=FOREVER_PINGS, only_first=True
+        pair_without_owner,
+        silent_pings=NEVER_ANSWERED_PINGS,
+        is_only_first_silent=True,
     )
     yield created
     created.close()
@@ -78,15 +81,15 @@
     pair: Pair,
     *,
     silent_pings: int,
-    only_first: bool = False,
-    begins: bool = False,
+    is_only_first_silent: bool = False,
+    starts_answer: bool = False,
 ) -> SilentOwner:
     record = pair.far.record
     return SilentOwner(
         (record.host, record.owner_port),
         silent_pings=silent_pings,
-        only_first=only_first,
-        begins=begins,
+        is_only_first_silent=is_only_first_silent,
+        starts_answer=starts_answer,
     )
 
 
@@ -97,10 +100,9 @@
     """A caller gets 502 from a stopping node while the backend server runs on.
 
     The connection to the owner stalls for longer than an entry waits for input.
-    The entry closed it with all its calls and answered 502 to a lookup after
-    0.47 s, although 2.2 s were left. Its run message was still on the wire, and
-    the backend server started it 3.2 s later. Nothing proves that the owner is
-    gone, so the call must wait.
+    The entry closes it and answers 502 although its caller waits 2.2 s more. The
+    run message is still on the wire, and the backend server starts it 3.2 s
+    later. Nothing proves that the owner is gone, so the call must wait.
     """
     near = pair_without_owner.near
     stop = Stop(calls=near.calls, inbox=Inbox(), recorder=near.recorder)
@@ -157,14 +159,14 @@
     other = build_record('c', host='127.0.9.3')
     backend = HostedBackend('c', host=other.host, port=BACKEND_PORT)
     silent = closing(
-        start_owner(pair_without_owner, silent_pings=FOREVER_PINGS)
+        start_owner(pair_without_owner, silent_pings=NEVER_ANSWERED_PINGS)
     )
     with silent as owner, backend, MeshNode(other):
         with ThreadPoolExecutor() as executor:
             submitted = executor.submit(
                 pair_without_owner.ask, 'GET', '/files/1'
             )
-            wait_until(lambda: owner.unanswered_pings >= SILENT_PINGS)
+            wait_until(lambda: owner.unanswered_pings >= PINGS_UNTIL_ANSWER)
             pair_without_owner.near.show(pair_without_owner.far.record, other)
             response, text = submitted.result(TIMEOUT_SECONDS)
     assert response.status == 200
@@ -197,7 +199,9 @@
     """
     with closing(
         start_owner(
-            pair_without_owner, silent_pings=OUTAGE_PINGS, only_first=True
+            pair_without_owner,
+            silent_pings=OUTAGE_PINGS,
+            is_only_first_silent=True,
         ),
     ) as owner:
         response, text = pair_without_owner.ask('POST', '/bookings', b'x')
@@ -216,7 +220,11 @@
     """
     pair_without_owner.near.publish(MESH_TEXT)
     with closing(
-        start_owner(pair_without_owner, silent_pings=FOREVER_PINGS, begins=True)
+        start_owner(
+            pair_without_owner,
+            silent_pings=NEVER_ANSWERED_PINGS,
+            starts_answer=True,
+        )
     ):
         answer = pair_without_owner.send_raw_request(LOOKUP)
     assert answer.endswith(BODY)
@@ -245,7 +253,7 @@
     A new connection is refused: nothing listens any more, so no answer can
     come.
     """
-    owner = start_owner(pair_without_owner, silent_pings=FOREVER_PINGS)
+    owner = start_owner(pair_without_owner, silent_pings=NEVER_ANSWERED_PINGS)
     with ThreadPoolExecutor() as executor:
         submitted = executor.submit(
             pair_without_owner.ask, 'POST', '/bookings', b'x'
--- a/wagtaildale/calls/tests/test_transit.py
+++ b/wagtaildale/calls/tests/test_transit.py
@@ -74,7 +74,7 @@
     assert 'late' not in pair.backend.counts.by_key
 
 
-def test_delayed_message_is_late() -> None:
+def test_delay_of_a_message_is_measured() -> None:
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
     delay = transit.measure_delay(2000, now=OPENED_AT + 5.5)
@@ -82,10 +82,10 @@
 
 
 def test_first_message_is_measured_by_the_opening() -> None:
-    """The first call on a new connection is run for nobody.
+    """The first call on a new connection runs after its caller gave up.
 
-    The line stands still between the opening and the first message. There
-    is no message before it to compare it with, but there is the opening.
+    The connection stalls between the opening and the first message. There is
+    no earlier message to compare it with, so the opening is used.
     """
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     delay = transit.measure_delay(500, now=OPENED_AT + 4)
@@ -107,7 +107,7 @@
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
 
 
-def test_owner_clock_that_stops_makes_nothing_late() -> None:
+def test_calls_are_not_refused_after_the_owner_clock_stopped() -> None:
     """Messages are refused as late after an owner's machine slept.
 
     Its steady clock stopped meanwhile, so that messages seem to arrive before
@@ -119,7 +119,7 @@
         assert transit.measure_delay(ahead_ms, now=OPENED_AT + second) == 0
 
 
-def test_entry_whose_clock_stopped_is_late_for_seconds_only() -> None:
+def test_refusals_last_only_seconds_after_the_entry_clock_stopped() -> None:
     """Every later call of an entry is refused after its machine slept.
 
     Its steady clock stopped meanwhile, so that all it sends looks late by the
@@ -134,22 +134,21 @@
     assert delays[-1] == 0
 
 
-def test_clock_drift_overnight_makes_nothing_late() -> None:
-    """The first calls of the morning are refused as late.
+def test_clock_drift_causes_no_refusals() -> None:
+    """Calls after hours without traffic are refused as late.
 
-    Nothing was sent on a connection for hours, and the clocks of both machines
-    have drifted apart by seconds.
+    The clocks of both machines have drifted apart by seconds meanwhile.
     """
     transit = TransitDelayEstimator(opened_at=OPENED_AT)
     assert transit.measure_delay(1000, now=OPENED_AT + 1) == 0
-    night = 36_000
+    idle_seconds = 36_000
     drift_seconds = 3.6
     for second in range(5):
-        morning = night + second
+        elapsed_seconds = idle_seconds + second
         assert (
             transit.measure_delay(
-                1000 * morning,
-                now=OPENED_AT + morning + drift_seconds,
+                1000 * elapsed_seconds,
+                now=OPENED_AT + elapsed_seconds + drift_seconds,
             )
             == 0
         )
--- a/wagtaildale/calls/transit.py
+++ b/wagtaildale/calls/transit.py
@@ -5,8 +5,8 @@
 of its connection, and subtracts that from the time left.
 
 Without this, when a connection stalls for seconds or an owner is stopped,
-messages arrive after nobody waits for them any more. An owner that counted the
-time left from the arrival would run them at its backend server for nobody.
+messages arrive after their callers have given up. An owner that counted the
+time left from the arrival would still run them at its backend server.
 
 Delays that the estimate cannot see count as zero, as if no send time were
 given:
@@ -14,12 +14,12 @@
 - the usual delay itself, some milliseconds;
 - a delay that affected the opening of the connection too, unless a later
   message came faster: the opening counts as the first message;
-- time for which the owner's machine slept, if its clock does not count sleep
-  (``read_clock`` does).
+- time for which the owner's machine slept, on a clock that does not count
+  sleep; ``read_clock`` counts it.
 
 If the entry's machine slept and its clock stopped, everything it sends looks
-late by that time, and calls with less time left are refused without a run until
-the window has passed.
+late by that time, and calls with less time left are refused without a run for
+up to twice ``WINDOW_SECONDS``.
 """
 
 from __future__ import annotations
@@ -41,9 +41,10 @@
 # acknowledgement. Kept short, because calls of an entry whose clock stopped are
 # refused for up to twice this time.
 WINDOW_SECONDS: Final = 3.0
-# Seconds per second. Clocks that are being adjusted run up to 0.05% fast or
-# slow. Without this, two clocks that drift apart by a second overnight would
-# make the first calls of the morning look a second late.
+# Assumed bound on the drift of two clocks, as a ratio. A clock that is being
+# adjusted runs up to 0.05% fast or slow. Without this, clocks that drift apart
+# by a second while nothing is sent would make the next calls look a second
+# late.
 MAX_CLOCK_DRIFT: Final = 0.001
 # A message cannot arrive before it is sent, but seems to if a clock stopped. A
 # send time that is further ahead than this is ignored as invalid.
