--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -125,9 +125,9 @@
     work_class = routed.match.work_class
     now = read_clock()
     # Under overload, every slow answer would get a second attempt, which
-    # would queue for a slot that a first attempt needs. A second
-    # attempt, or one past its target time, therefore runs only if a slot is
-    # free at once; a patient one may still wait.
+    # would queue for a slot that a first attempt needs. A second attempt, or
+    # one past its target time, therefore runs only if a slot is free at once;
+    # a patient one may still wait.
     target_seconds = 0 if options.needs_free_slot else max(0, routed.due - now)
     remaining = routed.deadline - now
     if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
--- a/wagtaildale/calls/peer_pool.py
+++ b/wagtaildale/calls/peer_pool.py
@@ -85,8 +85,8 @@
         """Open connections that are needed and close idle ones that are not.
 
         Args:
-            is_compressed_by_address: addresses of the owners that calls may go
-                to, each with whether connections to it are compressed.
+            is_compressed_by_address: for the address of each owner that calls
+                may go to, whether connections to it are compressed.
         """
         for address, compressed in is_compressed_by_address.items():
             self.get_or_open(address, compressed=compressed)
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -118,7 +118,7 @@
     pair: Pair,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Entries reconnect to a leaving owner twice a second.
+    """Entries reconnect to a draining owner twice a second.
 
     The owner is still listed, and entries connect to every listed owner.
     """
@@ -152,7 +152,7 @@
 
 
 def test_leaving_owner_answers_a_running_lookup(pair: Pair) -> None:
-    """A lookup breaks off because the entry closes too early."""
+    """A lookup is interrupted because the entry closes too early."""
     pair.backend.faults.service_ms = 200
     with ThreadPoolExecutor(1) as executor:
         asked = executor.submit(pair.ask, 'GET', '/files/1')
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -100,9 +100,10 @@
     """A caller gets 502 from a stopping node while the backend server runs on.
 
     The connection to the owner stalls for longer than an entry waits for input.
-    The entry closes it and answers 502 although its caller waits 2.2 s more. The
-    run message is still on the wire, and the backend server starts it 3.2 s
-    later. Nothing proves that the owner is gone, so the call must wait.
+    The entry closes it and answers 502 although its caller would wait another
+    2.2 s. The run message is still on the wire, and the backend server starts
+    it 3.2 s later. Nothing proves that the owner is gone, so the call must
+    wait.
     """
     near = pair_without_owner.near
     stop = Stop(calls=near.calls, inbox=Inbox(), recorder=near.recorder)
