--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -144,7 +144,7 @@
 
     def _record_ends(
         self,
-        ended: list[InterruptedRun],
+        runs: list[InterruptedRun],
         *,
         has_suspects: bool,
     ) -> None:
@@ -152,14 +152,14 @@
         # before, the end is recorded without restricting a request, because it
         # may have another cause. For several runs of one request, the highest
         # known number of ends applies.
-        ended.sort(key=_get_ends)
-        ends = {run.fingerprint: run.ends + 1 for run in ended}
+        runs.sort(key=_get_ends)
+        ends = {run.fingerprint: run.ends + 1 for run in runs}
         names = ' '.join(fingerprint.hex() for fingerprint in ends)
         self._recorder.record(
             EventKind.server_ended,
-            subject=ended[0].instance,
+            subject=runs[0].instance,
             detail=names,
-            inputs={'requests': len(ended), 'most_ends': max(ends.values())},
+            inputs={'requests': len(runs), 'most_ends': max(ends.values())},
         )
         self._suspects.note_ends(
             ends.items(),
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -33,7 +33,7 @@
 
     from wagtaildale.calls.tests.pairs import Pair
 
-LEAVING_AWARE_PING = Ping(accepts_drain_notice=True)
+DRAIN_AWARE_PING = Ping(accepts_drain_notice=True)
 
 
 class EarlierPing(Struct, frozen=True, array_like=True, tag=10):
@@ -67,7 +67,7 @@
     already on its way is refused as not run, on the same connection.
     """
     entry = EntryConnection(pair)
-    entry.send(LEAVING_AWARE_PING)
+    entry.send(DRAIN_AWARE_PING)
     assert entry.receive(1) == [Pong()]
     pair.far.calls.drain()
     assert entry.receive(1) == [DrainNotice()]
@@ -79,10 +79,12 @@
     assert failed.fields.outcome is Outcome.not_run
 
 
-def test_entry_that_connects_to_a_leaving_owner_is_notified(pair: Pair) -> None:
+def test_entry_that_connects_to_a_draining_owner_is_notified(
+    pair: Pair,
+) -> None:
     pair.far.calls.drain()
     entry = EntryConnection(pair)
-    entry.send(LEAVING_AWARE_PING)
+    entry.send(DRAIN_AWARE_PING)
     assert entry.receive(2) == [Pong(), DrainNotice()]
     entry.sock.close()
 
@@ -107,14 +109,14 @@
 
 
 def test_owner_of_an_earlier_build_ignores_the_new_field() -> None:
-    encoded = encode_frame(LEAVING_AWARE_PING)[LENGTH_PREFIX.size :]
+    encoded = encode_frame(DRAIN_AWARE_PING)[LENGTH_PREFIX.size :]
     decoded = msgpack.decode(encoded, type=EarlierPing)
     assert decoded == EarlierPing()
     earlier = msgpack.encode(EarlierPing())
     assert msgpack.decode(earlier, type=Ping) == Ping()
 
 
-def test_entry_connects_to_a_leaving_owner_only_if_needed(
+def test_entry_connects_to_a_draining_owner_only_if_needed(
     pair: Pair,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -138,7 +140,7 @@
     entry.sock.close()
 
 
-def test_only_upstream_refuses_calls_while_leaving(pair: Pair) -> None:
+def test_only_upstream_refuses_calls_while_draining(pair: Pair) -> None:
     """Lookups wait in vain while the last server of a service stops.
 
     The entry has no other upstream, so it connects and gets "not run".
@@ -151,7 +153,7 @@
     assert pair.backend.counts.runs == 1
 
 
-def test_leaving_owner_answers_a_running_lookup(pair: Pair) -> None:
+def test_draining_owner_answers_a_running_lookup(pair: Pair) -> None:
     """A lookup is interrupted because the entry closes too early."""
     pair.backend.faults.service_ms = 200
     with ThreadPoolExecutor(1) as executor:
