--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -226,16 +226,16 @@
         """
         if self.state is not AttemptState.reserving:
             return
-        if not self._accept_answer(frame.answer):
+        if not self._accept_answer(frame.fields):
             return
-        self._call.note_owner_state(self, frame.answer)
+        self._call.note_owner_state(self, frame.fields)
         # A lease is valid only in the process that granted it, so the run
         # message names the incarnation.
         self._run(
             structs.replace(
                 self.target.fields,
-                lease=frame.answer.lease,
-                incarnation=frame.answer.incarnation,
+                lease=frame.fields.lease,
+                incarnation=frame.fields.incarnation,
                 remaining_ms=self._compute_remaining_ms(),
             ),
         )
@@ -246,16 +246,16 @@
         Args:
             frame: message with the failure and the outcome.
         """
-        if not self._accept_answer(frame.answer):
+        if not self._accept_answer(frame.fields):
             return
-        answer = frame.answer
+        answer = frame.fields
         self._call.note_owner_state(self, answer)
         failure = CallFailed(
             answer.code,
             outcome=answer.outcome,
             detail=frame.detail,
             retry_after=answer.retry_ms / MILLISECONDS,
-            was_rejected_by_server=answer.has_arrived,
+            was_rejected_by_server=answer.was_rejected_by_server,
         )
         failure.crash_count = answer.ends
         self._fail(failure, cancelled=False)
@@ -268,9 +268,9 @@
         """
         if self.state is not AttemptState.running:
             return
-        if not self._accept_answer(frame.answer):
+        if not self._accept_answer(frame.fields):
             return
-        self._call.note_owner_state(self, frame.answer)
+        self._call.note_owner_state(self, frame.fields)
         self.state = AttemptState.answering
         if not frame.more:
             self._end(cancelled=False)
--- a/wagtaildale/calls/backend_messages.py
+++ b/wagtaildale/calls/backend_messages.py
@@ -15,6 +15,7 @@
     from wagtaildale.types import InstanceId
 
 MILLISECONDS: Final = 1000
+# The server answers 421 to a request for another instance.
 MISDIRECTED_STATUS: Final = 421
 
 
@@ -51,16 +52,16 @@
         return drained
 
 
-def find_refusal(owner: Owner, message: Message) -> bytes | None:
-    """Find the header by which a backend server reports a request not run.
+def find_not_run_evidence(owner: Owner, message: Message) -> bytes | None:
+    """Find evidence in a response that the request did not run.
 
     Args:
         owner: owner of the backend server.
         message: response of the server.
 
     Returns:
-        Value of the header, or its name for a misdirected request; None if
-        the request may have run.
+        Value of the header by which the server reports it, or the name of the
+        header if the status is 421; None if the request may have run.
     """
     field = owner.dialect.not_run
     if field is None:
@@ -96,7 +97,7 @@
         target=run.target,
         headers=(
             *run.headers,
-            *_write_context(owner, run, deadline, instance),
+            *_build_call_headers(owner, run, deadline, instance),
         ),
         body=run.body,
         more=run.more,
@@ -105,25 +106,28 @@
     )
 
 
-def _write_context(
+def _build_call_headers(
     owner: Owner,
     run: Run,
     deadline: float,
     instance: InstanceId,
 ) -> HeaderPairs:
-    """Build the header fields that a server copies to its own calls."""
+    """Build the fields that tell a server about the request it runs.
+
+    The server copies some of them to its own calls.
+    """
     dialect = owner.dialect
     fields = run.fields
     remaining_ms = max(1, int((deadline - read_clock()) * MILLISECONDS))
-    context: list[Header] = [(dialect.deadline_ms, b'%d' % remaining_ms)]
+    headers: list[Header] = [(dialect.deadline_ms, b'%d' % remaining_ms)]
     if not dialect.accepts_request_id:
         request_id = fields.request_id.encode('latin-1')
-        context.append((dialect.request_id, request_id))
+        headers.append((dialect.request_id, request_id))
     if dialect.depth is not None:
-        context.append((dialect.depth, b'%d' % (fields.depth + 1)))
+        headers.append((dialect.depth, b'%d' % (fields.depth + 1)))
     if dialect.retries is not None:
-        context.append((dialect.retries, b'%d' % fields.retries))
+        headers.append((dialect.retries, b'%d' % fields.retries))
     if dialect.expected_instance is not None:
         target = instance.encode('latin-1')
-        context.append((dialect.expected_instance, target))
-    return tuple(context)
+        headers.append((dialect.expected_instance, target))
+    return tuple(headers)
--- a/wagtaildale/calls/backend_pool.py
+++ b/wagtaildale/calls/backend_pool.py
@@ -106,8 +106,9 @@
         """Tell whether any connection is open at both ends.
 
         Returns:
-            Whether the server runs: a process that ends closes all of its
-            connections.
+            Whether a connection is open, which proves that the server runs: a
+            process that ends closes all of its connections. False proves
+            nothing.
         """
         return any(connection.is_established for connection in self._all)
 
@@ -139,7 +140,7 @@
             ):
                 return None
             self._idle.pop()
-            if latest.is_quiet:
+            if latest.has_no_input:
                 return latest
             # The server's close has arrived, but the loop has not handled it
             # yet. A request sent now would be lost, and whether it was read
--- a/wagtaildale/calls/call_descriptions.py
+++ b/wagtaildale/calls/call_descriptions.py
@@ -26,6 +26,8 @@
 
 MILLISECONDS: Final = 1000
 MICROSECONDS: Final = 1_000_000
+# Subtracted from the time left, except for calls that have no more left than
+# this number of margins.
 DEADLINE_MARGIN_SECONDS: Final = 0.02
 MIN_REMAINING_MARGINS: Final = 4
 
@@ -35,22 +37,24 @@
 
     Attributes:
         patient: whether the attempt may wait for a slot past its target time.
-        spare: whether the attempt may run only if a slot is free at once.
+        needs_free_slot: whether the attempt runs only if a slot is free at
+            once.
         rate: known rate limit of the server in requests per second, if any.
         pass_rank: rank for the sampling of requests to limited servers; see
             ``admission.shares``.
-        share: share of the requests of this rank that goes to this upstream.
+        share: fraction of the requests of this rank that the entry sends to
+            this upstream, to respect its rate limit.
     """
 
     patient: bool
-    spare: bool
+    needs_free_slot: bool
     rate: float | None
     pass_rank: int
     share: float
 
 
-def read_report(answer: AnswerFields) -> OwnerReport:
-    """Read the report of an owner from an answer.
+def build_owner_report(answer: AnswerFields) -> OwnerReport:
+    """Build the report of an owner from its answer.
 
     Args:
         answer: fields of the answer.
@@ -68,12 +72,12 @@
         class_seconds=answer.class_us / MICROSECONDS,
         class_usual_seconds=answer.class_usual_us / MICROSECONDS,
         code=answer.code,
-        server_limit=read_limit(answer),
+        server_limit=decode_limit(answer),
     )
 
 
-def read_limit(message: AnswerFields | LoadReport) -> ServerLimit | None:
-    """Read the limit of a backend server from a message of its owner.
+def decode_limit(message: AnswerFields | LoadReport) -> ServerLimit | None:
+    """Decode the limit of a backend server from a message of its owner.
 
     Args:
         message: answer or load message of the owner.
@@ -121,10 +125,11 @@
     work_class = routed.match.work_class
     now = read_clock()
     # Under overload, every slow answer would get a second attempt, which
-    # would queue for a slot that a first attempt needs. A spare attempt, or
-    # one past its target time, therefore runs only if a slot is free at once.
+    # would queue for a slot that a first attempt needs. A second attempt, or
+    # one past its target time, therefore runs only if a slot is free at once;
+    # a patient one may still wait.
     target_seconds = (
-        0 if options.spare else max(0, routed.latency_target_at - now)
+        0 if options.needs_free_slot else max(0, routed.latency_target_at - now)
     )
     remaining = routed.deadline - now
     if remaining > DEADLINE_MARGIN_SECONDS * MIN_REMAINING_MARGINS:
--- a/wagtaildale/calls/entry.py
+++ b/wagtaildale/calls/entry.py
@@ -68,7 +68,7 @@
                 listed.instance, started_ms=listed.born, now=now
             )
         statistics.keep_only(view.records)
-        parts.peers.keep_only(
+        parts.peers.update_needed(
             {
                 Address(
                     record.host, record.owner_port
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -169,7 +169,7 @@
             outcome=failure.outcome,
             owner_seconds=self._times.measure_elapsed(),
             retry_ms=round(failure.retry_after * MILLISECONDS),
-            has_arrived=failure.was_rejected_by_server,
+            was_rejected_by_server=failure.was_rejected_by_server,
         )
         if failure.crash_count:
             answer = structs.replace(answer, ends=failure.crash_count)
--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -1,7 +1,7 @@
 """Tells the end of a backend server from the end of one connection.
 
 A server process that ends closes all of its connections, and its port refuses
-new ones. A server that breaks off one answer, or resets a connection for lack
+new ones. A server that interrupts one answer, or resets a connection for lack
 of capacity, keeps the other connections open.
 """
 
@@ -35,8 +35,8 @@
     Attributes:
         instance: instance that ran the request.
         fingerprint: fingerprint of the request.
-        ends: number of consecutive servers that had ended under the request,
-            as known when the run started.
+        ends: number of successive backend servers that ended during the
+            request, as known when the run started.
         is_leaving: whether the instance was due to end anyway.
         on_resolved: called with the number of ends including this one; 0 if
             the run does not count as the cause of an end.
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        board: SuspectsHolder,
+        suspects: SuspectsHolder,
         *,
         node: InstanceId,
         answered: RecentAnswers,
@@ -68,21 +68,22 @@
         """Create the detector.
 
         Args:
-            board: board of the requests under which servers ended.
+            suspects: store of the requests during which servers ended, shared
+                by all nodes.
             node: node beside the server.
             answered: requests that the server has answered lately.
             recorder: recorder of an event for each end of the server.
         """
         self.count = 0
         self.listeners: list[Callable[[], None]] = []
-        self._board = board
+        self._suspects = suspects
         self._node = node
         self._answered = answered
         self._recorder = recorder
         self._pending: list[InterruptedRun] = []
 
-    def hold(self, run: InterruptedRun, *, pool: BackendPool) -> None:
-        """Hold an interrupted run until the server's state is known.
+    def add(self, run: InterruptedRun, *, pool: BackendPool) -> None:
+        """Keep an interrupted run until it is known whether the server ended.
 
         Args:
             run: the interrupted run.
@@ -106,9 +107,9 @@
         if has_ended:
             for notify in self.listeners:
                 notify()
-        suspects = self._handle_server_end(pending) if has_ended else []
+        suspected_runs = self._record_server_end(pending) if has_ended else []
         for run in pending:
-            run.on_resolved(run.ends + 1 if run in suspects else 0)
+            run.on_resolved(run.ends + 1 if run in suspected_runs else 0)
 
     def _check_connections(self, pool: BackendPool) -> None:
         if pool.has_open_connection():
@@ -119,44 +120,48 @@
     def _was_answered_lately(self, run: InterruptedRun) -> bool:
         return not run.ends and self._answered.has(run.fingerprint)
 
-    def _handle_probe(self, outcome: ProbeResult) -> None:
+    def _handle_probe(self, probe_result: ProbeResult) -> None:
         # A port that does not answer proves nothing.
-        self.resolve(has_ended=outcome is ProbeResult.refused)
+        self.resolve(has_ended=probe_result is ProbeResult.refused)
 
-    def _handle_server_end(
+    def _record_server_end(
         self,
         pending: list[InterruptedRun],
     ) -> list[InterruptedRun]:
         # A leaving server ends as planned, whatever it runs.
-        ended = [run for run in pending if not run.is_leaving]
-        if not ended:
+        unplanned = [run for run in pending if not run.is_leaving]
+        if not unplanned:
             return []
         self.count += 1
-        suspects = [run for run in ended if not self._was_answered_lately(run)]
+        suspected_runs = [
+            run for run in unplanned if not self._was_answered_lately(run)
+        ]
         self._answered.forget()
-        self._record_ends(suspects or ended, has_suspects=bool(suspects))
-        return suspects
+        self._record_ends(
+            suspected_runs or unplanned, has_suspects=bool(suspected_runs)
+        )
+        return suspected_runs
 
     def _record_ends(
         self,
-        ended: list[InterruptedRun],
+        runs: list[InterruptedRun],
         *,
         has_suspects: bool,
     ) -> None:
         # If the server had answered all of the running requests shortly
-        # before, the end counts but restricts no request, because it may have
-        # another cause. Of several runs of one request, the one with the most
-        # known ends counts.
-        ended.sort(key=_get_ends)
-        ends = {run.fingerprint: run.ends + 1 for run in ended}
+        # before, the end is recorded without restricting a request, because it
+        # may have another cause. For several runs of one request, the highest
+        # known number of ends applies.
+        runs.sort(key=_get_ends)
+        ends = {run.fingerprint: run.ends + 1 for run in runs}
         names = ' '.join(fingerprint.hex() for fingerprint in ends)
         self._recorder.record(
             EventKind.server_ended,
-            subject=ended[0].instance,
+            subject=runs[0].instance,
             detail=names,
-            inputs={'requests': len(ended), 'most_ends': max(ends.values())},
+            inputs={'requests': len(runs), 'most_ends': max(ends.values())},
         )
-        self._board.note_ends(
+        self._suspects.note_ends(
             ends.items(),
             nodes=(self._node,) if has_suspects else (),
         )
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -11,7 +11,7 @@
     SendOptions,
     describe_call,
     format_class_name,
-    read_report,
+    build_owner_report,
 )
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.fields import CallFields
@@ -146,7 +146,7 @@
                         record.instance
                     ),
                     patient=patient and not is_hedge,
-                    spare=is_hedge,
+                    needs_free_slot=is_hedge,
                     pass_rank=_find_priority_rank(routed, self._statistics),
                     share=placed.pass_share,
                 ),
@@ -209,7 +209,7 @@
         """
         if target.is_local:
             return self._parts.local_peer
-        return self._parts.peers.find(
+        return self._parts.peers.get_or_open(
             target.address,
             compressed=target.is_in_other_data_centre,
         )
@@ -235,7 +235,7 @@
             answer: fields of the answer.
         """
         now = read_clock()
-        report = read_report(answer)
+        report = build_owner_report(answer)
         self._statistics.note_run_time(
             target.upstream,
             report,
--- a/wagtaildale/lifecycle/stop.py
+++ b/wagtaildale/lifecycle/stop.py
@@ -93,7 +93,7 @@
             EventKind.node_leaving,
             detail='callers are asked to use other nodes',
         )
-        self._calls.announce_drain()
+        self._calls.announce_drain_to_callers()
 
     def wait(self, *, seconds: float) -> bool:
         """Wait until nothing is in flight.
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -109,7 +109,7 @@
 
 
 def _read_rate_limit(node: Node) -> float:
-    rate_limit = node.calls.owner.server.feedback.per_second
+    rate_limit = node.calls.owner.targets.feedback.per_second
     return NO_LIMIT if rate_limit is None else rate_limit
 
 
