--- a/wagtaildale/admission/queue.py
+++ b/wagtaildale/admission/queue.py
@@ -96,7 +96,8 @@
     ahead = _count_ahead(state, waiting, now)
     start = now + state.estimate_wait(ahead, rank=waiting.rank, now=now)
     if not _may_queue(waiting, start, patient=patient):
-        # Refused at once, not after a useless wait.
+        # The answer cannot be in time: refuse the request at once, not after
+        # a useless wait.
         return [refuse_overloaded(state, waiting, now)]
     insort(state.queue, waiting)
     if len(state.queue) <= state.max_queue_length:
--- a/wagtaildale/calls/attempts.py
+++ b/wagtaildale/calls/attempts.py
@@ -89,7 +89,7 @@
         tried: upstreams that attempts were sent to, in order.
         overloaded: upstreams of these that rejected the call because they were
             overloaded.
-        was_limited: whether an upstream rejected the call because of its
+        was_rate_limited: whether an upstream rejected the call because of its
             server's rate limit.
         obstacle: reason why the last failure was not retried.
         crash_count: number of servers that crashed in succession while
@@ -103,7 +103,7 @@
     rejections_left: int = MAX_REJECTIONS
     tried: list[InstanceId] = field(default_factory=list)
     overloaded: list[InstanceId] = field(default_factory=list)
-    was_limited: bool = False
+    was_rate_limited: bool = False
     obstacle: Obstacle = Obstacle.none
     crash_count: int = 0
 
@@ -117,7 +117,7 @@
         if code is Code.overloaded:
             self.overloaded.append(instance)
         elif code is Code.rate_limited:
-            self.was_limited = True
+            self.was_rate_limited = True
 
     def list_excluded(self) -> frozenset[InstanceId]:
         """List the upstreams that the next attempt avoids.
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -364,7 +364,9 @@
     def _respond(self, attempt: Attempt, frame: Answered) -> None:
         targets = self._entry.targets
         for other in self._running:
-            targets.note_overtaken(other.target, since=other.started_at)
+            targets.note_unfinished_attempt(
+                other.target, since=other.started_at
+            )
             other.cancel()
         self._running = [attempt] if frame.more else []
         self._report.note_answer(frame.fields)
--- a/wagtaildale/calls/peers.py
+++ b/wagtaildale/calls/peers.py
@@ -37,7 +37,9 @@
     from wagtaildale.calls.owner import Owner
     from wagtaildale.reactor.loop import Loop
 
-# Far above a round trip within a region, which takes a few milliseconds.
+# A round trip within a region takes a few milliseconds, and a lost packet is
+# resent after 200 ms at the earliest. The timeout is more than twice that, to
+# leave room for one lost packet.
 CONNECT_TIMEOUT_SECONDS: Final = 0.5
 # Interval of pings while calls wait and nothing is received.
 PING_INTERVAL_SECONDS: Final = 0.25
@@ -45,9 +47,8 @@
 # unanswered for a whole interval.
 RETIRE_SECONDS: Final = 0.75
 # Calls move to another upstream after this time without input. Long enough for
-# two lost packets in a row, which are resent after 200 ms at the earliest, and
-# shorter than most callers wait. By then a newer connection has had time to
-# show that the owner is alive.
+# two lost packets in a row, and shorter than most requests are worth waiting
+# for. By then a newer connection has had time to show that the owner is alive.
 FAILOVER_SECONDS: Final = 1.0
 SILENT_REASON: Final = 'silent'
 REPLACED_REASON: Final = 'silent while a newer connection works'
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -147,7 +147,7 @@
                     ),
                     patient=patient and not is_hedge,
                     needs_free_slot=is_hedge,
-                    pass_rank=_find_priority_rank(routed, self._statistics),
+                    pass_rank=_find_request_pass_rank(routed, self._statistics),
                     share=placed.pass_share,
                 ),
             ),
@@ -253,7 +253,9 @@
                 subject=target.fields.instance,
             )
 
-    def note_overtaken(self, target: AttemptTarget, *, since: float) -> None:
+    def note_unfinished_attempt(
+        self, target: AttemptTarget, *, since: float
+    ) -> None:
         """Record that a target was still unanswered when another one answered.
 
         Args:
@@ -326,15 +328,17 @@
                 class_name=format_class_name(routed),
                 slack_seconds=routed.latency_target_at - now,
                 may_wait=bool(attempts.overloaded and attempts.rejections_left),
-                pass_rank=_find_priority_rank(routed, self._statistics),
+                pass_rank=_find_request_pass_rank(routed, self._statistics),
                 is_hedge=is_hedge,
-                was_rate_limited=attempts.was_limited,
+                was_rate_limited=attempts.was_rate_limited,
             ),
             now=now,
         )
 
 
-def _find_priority_rank(routed: RoutedCall, statistics: FleetStatistics) -> int:
+def _find_request_pass_rank(
+    routed: RoutedCall, statistics: FleetStatistics
+) -> int:
     return find_request_pass_rank(
         routed.match.work_class.rank,
         class_name=format_class_name(routed),
--- a/wagtaildale/routing/subsets.py
+++ b/wagtaildale/routing/subsets.py
@@ -34,7 +34,7 @@
 MAX_NEAR_WEIGHT: Final = 12
 # Far upstreams are added until the subset has this weight. Services have 7
 # upstreams on average (2,500 in 360 services), so entries call all upstreams of
-# nearly every service.
+# nearly every service. The weight bounds the subset of the rare large service.
 MIN_SUBSET_WEIGHT: Final = 12
 # An upstream weighs the share of its requests that it accepts. At most this
 # many upstreams are selected for each unit of weight.
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -131,7 +131,7 @@
             server=server,
             started_at=now,
             is_local=is_local,
-            pass_rank=self._find_need_rank(),
+            pass_rank=self._find_request_pass_rank(),
             share=placed.pass_share,
         )
         self._running.append(attempt)
@@ -142,7 +142,7 @@
             partial(self._arrive, attempt, is_hedge=is_hedge, patient=patient),
         )
 
-    def _find_need_rank(self) -> int:
+    def _find_request_pass_rank(self) -> int:
         request = self._request
         return find_request_pass_rank(
             request.work_class.rank,
@@ -164,9 +164,9 @@
                 class_name=request.work_class.name,
                 slack_seconds=request.target_at - now,
                 may_wait=bool(attempts.overloaded and attempts.rejections_left),
-                pass_rank=self._find_need_rank(),
+                pass_rank=self._find_request_pass_rank(),
                 is_hedge=is_hedge,
-                was_rate_limited=attempts.was_limited,
+                was_rate_limited=attempts.was_rate_limited,
             ),
             now=now,
         )
