--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -11,8 +11,8 @@
 from __future__ import annotations
 
 import signal
-import tomllib
 import time
+import tomllib
 from enum import Enum
 from pathlib import Path
 from types import MappingProxyType
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -15,6 +15,7 @@
 
 from benchmarks.measurements import Measurement
 from wagtaildale.configuration.validation import check_parts
+from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.distribution.wire import (
     Envelope,
     Holding,
@@ -31,7 +32,6 @@
     make_outline,
 )
 from wagtaildale.document.state import StoreState, make_store
-from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.membership.news import News
 from wagtaildale.membership.topology import Member, compute_topology
 from wagtaildale.routing.table import RoutingTable
@@ -42,9 +42,9 @@
 )
 from wagtaildale.types import (
     DataCentre,
+    DocumentKind,
     Incarnation,
     InstanceId,
-    DocumentKind,
     NodeState,
     Version,
 )
--- a/properties/test_distribution.py
+++ b/properties/test_distribution.py
@@ -18,10 +18,10 @@
 from wagtaildale.distribution.messages import Leave
 from wagtaildale.document.eras import Era, find_revision, make_version
 from wagtaildale.document.model import make_document
-from wagtaildale.suspects.snapshots import NOTHING_KNOWN
 from wagtaildale.suspects.fingerprints import Fingerprint
 from wagtaildale.suspects.messages import EndsNoted, RequestAnswered
 from wagtaildale.suspects.records import Suspicion
+from wagtaildale.suspects.snapshots import NOTHING_KNOWN
 from wagtaildale.testing.builders import (
     build_configuration,
     build_instances,
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -34,6 +34,7 @@
 
 if TYPE_CHECKING:
     from collections.abc import Collection
+
     from wagtaildale.configuration.compiled import Compiled
 
 ENTRY_PORT: Final = 8080
--- a/wagtaildale/admin/server.py
+++ b/wagtaildale/admin/server.py
@@ -12,11 +12,11 @@
 from werkzeug.serving import make_server
 from werkzeug.wrappers import Request, Response
 
+from wagtaildale.admin.endpoints import ENDPOINTS, RequestContext, show_ready
 from wagtaildale.admin.fleet import FleetReporter
 from wagtaildale.admin.model import ReadyReport
 from wagtaildale.admin.openapi import write_api
-from wagtaildale.admin.endpoints import ENDPOINTS, RequestContext, show_ready
-from wagtaildale.admin.scopes import TokenAuthenticator, Scope
+from wagtaildale.admin.scopes import Scope, TokenAuthenticator
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault
 from wagtaildale.telemetry.gauges import make_metrics
--- a/wagtaildale/admin/suspects.py
+++ b/wagtaildale/admin/suspects.py
@@ -6,7 +6,7 @@
 
 from werkzeug.exceptions import NotFound
 
-from wagtaildale.admin.model import SuspectState, SuspectsReport
+from wagtaildale.admin.model import SuspectsReport, SuspectState
 from wagtaildale.suspects.fingerprints import Fingerprint
 from wagtaildale.suspects.messages import RequestAnswered
 from wagtaildale.suspects.records import find_standing
--- a/wagtaildale/admin/tests/test_endpoints.py
+++ b/wagtaildale/admin/tests/test_endpoints.py
@@ -11,8 +11,8 @@
 from wagtaildale.admin.scopes import (
     BEARER,
     UNRESTRICTED,
-    TokenAuthenticator,
     Scope,
+    TokenAuthenticator,
     make_authenticator,
 )
 from wagtaildale.errors.codes import Code
--- a/wagtaildale/assembly.py
+++ b/wagtaildale/assembly.py
@@ -11,9 +11,9 @@
 from wagtaildale.calls.callers import CallerLimits
 from wagtaildale.calls.owner import Identity
 from wagtaildale.calls.task import (
-    CallsTaskSettings,
     CallsTask,
     CallsTaskDependencies,
+    CallsTaskSettings,
 )
 from wagtaildale.distribution.tuning import TUNINGS, Tuning
 from wagtaildale.integration import (
--- a/wagtaildale/calls/attempt.py
+++ b/wagtaildale/calls/attempt.py
@@ -11,11 +11,11 @@
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.frames import (
     Answered,
-    ResponseAborted,
+    BodyPiece,
     Failed,
     Granted,
-    BodyPiece,
     Reserve,
+    ResponseAborted,
     Run,
     WindowUpdate,
 )
--- a/wagtaildale/calls/backend_connection.py
+++ b/wagtaildale/calls/backend_connection.py
@@ -14,7 +14,6 @@
 from msgspec import Struct
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.heads import (
     CHUNKED_ENCODING,
     LAST_CHUNK,
@@ -22,6 +21,7 @@
     write_request_head,
 )
 from wagtaildale.calls.parsing import UNKNOWN_LENGTH, Message, MessageParser
+from wagtaildale.calls.pending_input import PendingInput, peek_input
 from wagtaildale.calls.responses import BODILESS_STATUSES
 from wagtaildale.errors.codes import Code
 from wagtaildale.reactor.stream import open_stream
--- a/wagtaildale/calls/entry_call.py
+++ b/wagtaildale/calls/entry_call.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.calls.error_responses import build_error_response
 from wagtaildale.calls.attempt import Attempt, AttemptState, OutgoingRequest
 from wagtaildale.calls.attempts import Attempts, Obstacle, find_final_code
 from wagtaildale.calls.bodies import RequestBody
+from wagtaildale.calls.error_responses import build_error_response
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.report import CallReport
 from wagtaildale.calls.responses import ResponseHead
--- a/wagtaildale/calls/idempotency_guard.py
+++ b/wagtaildale/calls/idempotency_guard.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.admission.replay_cache import StoredAnswer, KeyState
+from wagtaildale.admission.replay_cache import KeyState, StoredAnswer
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.heads import IDEMPOTENCY_KEY_HEADER
 from wagtaildale.errors.codes import Code
--- a/wagtaildale/calls/identity_probe.py
+++ b/wagtaildale/calls/identity_probe.py
@@ -15,8 +15,8 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.addresses import Address
-    from wagtaildale.calls.backend_pool import BackendPool
     from wagtaildale.calls.backend_connection import BackendConnection
+    from wagtaildale.calls.backend_pool import BackendPool
     from wagtaildale.calls.parsing import Message
     from wagtaildale.calls.server_targets import ServerTargets
     from wagtaildale.timers.alarms import Alarm
--- a/wagtaildale/calls/load_notifier.py
+++ b/wagtaildale/calls/load_notifier.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.admission.shares import ALL_PASS, PassShare
 from wagtaildale.admission.capacity import compute_pass_share
+from wagtaildale.admission.shares import ALL_PASS, PassShare
 from wagtaildale.calls.fields import UNKNOWN_RATE, encode_rate
 from wagtaildale.calls.frames import LoadReport
 from wagtaildale.telemetry.events import EventKind
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -17,8 +17,8 @@
     decode_rate,
 )
 from wagtaildale.calls.load_notifier import LoadNotifier
-from wagtaildale.calls.server_targets import ServerTargets
 from wagtaildale.calls.server_feedback import FeedbackTracker
+from wagtaildale.calls.server_targets import ServerTargets
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.types import (
--- a/wagtaildale/calls/owner_call.py
+++ b/wagtaildale/calls/owner_call.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Final, final
 
 from wagtaildale.admission.limits import Ending
-from wagtaildale.admission.messages import RequestArrived, Refused
+from wagtaildale.admission.messages import Refused, RequestArrived
 from wagtaildale.calls.backend_run import BackendRun
 from wagtaildale.calls.call_times import CallTimes
 from wagtaildale.calls.failures import CallFailed
--- a/wagtaildale/calls/server_end_detector.py
+++ b/wagtaildale/calls/server_end_detector.py
@@ -19,9 +19,9 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.backend_pool import BackendPool
+    from wagtaildale.suspects.fingerprints import Fingerprint
     from wagtaildale.suspects.recent_answers import RecentAnswers
     from wagtaildale.suspects.snapshots import SuspectsHolder
-    from wagtaildale.suspects.fingerprints import Fingerprint
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.types import InstanceId
 
--- a/wagtaildale/calls/server_feedback.py
+++ b/wagtaildale/calls/server_feedback.py
@@ -8,10 +8,10 @@
 from msgspec import Struct
 
 from wagtaildale.admission.server_messages import (
+    LeavingReported,
     ProbeSent,
     RateForwarded,
     RateReported,
-    LeavingReported,
     ServerRestarted,
 )
 from wagtaildale.errors.codes import Code
--- a/wagtaildale/calls/server_targets.py
+++ b/wagtaildale/calls/server_targets.py
@@ -16,8 +16,8 @@
 
     from wagtaildale.calls.fields import CallFields
     from wagtaildale.calls.server_feedback import (
-        ServerFeedback,
         FeedbackTracker,
+        ServerFeedback,
     )
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.telemetry.events import EventRecorder
--- a/wagtaildale/calls/suspect_trials.py
+++ b/wagtaildale/calls/suspect_trials.py
@@ -6,16 +6,16 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.server_end_detector import ServerEndDetector
 from wagtaildale.calls.serial_runs import SerialRuns
+from wagtaildale.calls.server_end_detector import ServerEndDetector
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.suspected_requests import list_allowed_upstreams
-from wagtaildale.suspects.recent_answers import RecentAnswers
 from wagtaildale.suspects.fingerprints import (
     FingerprintInput,
-    find_subject,
     compute_fingerprint,
+    find_subject,
 )
+from wagtaildale.suspects.recent_answers import RecentAnswers
 from wagtaildale.suspects.records import (
     HARMFUL_ENDS,
     Standing,
@@ -27,10 +27,10 @@
     from wagtaildale.calls.dialect import Dialect
     from wagtaildale.calls.frames import Run
     from wagtaildale.routing.view import ViewHolder
-    from wagtaildale.suspects.snapshots import Judgement, SuspectsHolder
     from wagtaildale.suspects.fingerprints import Fingerprint
-    from wagtaildale.types import InstanceId
+    from wagtaildale.suspects.snapshots import Judgement, SuspectsHolder
     from wagtaildale.telemetry.events import EventRecorder
+    from wagtaildale.types import InstanceId
 
 # Most trials end within this time, so that a retry after it is not rejected
 # because of the same trial.
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -10,10 +10,9 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.placement import ChosenUpstream
 from wagtaildale.routing.suspected_requests import list_allowed_upstreams
-from wagtaildale.suspects.snapshots import Judgement
 from wagtaildale.suspects.fingerprints import (
-    FingerprintInput,
     Fingerprint,
+    FingerprintInput,
     compute_fingerprint,
 )
 from wagtaildale.suspects.records import (
@@ -23,12 +22,13 @@
     Standing,
     find_trial_delay,
 )
+from wagtaildale.suspects.snapshots import Judgement
 from wagtaildale.timers.service import read_clock
 
 if TYPE_CHECKING:
-    from wagtaildale.calls.failures import CallFailed
     from wagtaildale.calls.attempt import OutgoingRequest
     from wagtaildale.calls.attempts import Attempts
+    from wagtaildale.calls.failures import CallFailed
     from wagtaildale.calls.routed_call import EntryParts, RoutedCall
     from wagtaildale.routing.statistics import FleetStatistics
     from wagtaildale.routing.view import FleetView
--- a/wagtaildale/calls/targets.py
+++ b/wagtaildale/calls/targets.py
@@ -9,9 +9,9 @@
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.call_descriptions import (
     SendOptions,
+    build_owner_report,
     describe_call,
     format_class_name,
-    build_owner_report,
 )
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.fields import CallFields
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -13,6 +13,7 @@
 from wagtaildale.admission.state import make_admission
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.budgets import RetryLimits, compute_retry_limits
+from wagtaildale.calls.caller_timeouts import CallerTimeouts
 from wagtaildale.calls.callers import CallerLimits, CallerPort
 from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.entry import Entry
@@ -24,7 +25,6 @@
 from wagtaildale.calls.readiness import ReadinessHandler
 from wagtaildale.calls.routed_call import EntryParts
 from wagtaildale.calls.sessions import PeerPort
-from wagtaildale.calls.caller_timeouts import CallerTimeouts
 from wagtaildale.calls.suspect_trials import SuspectTrials
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariants
--- a/wagtaildale/calls/tests/test_backend_connection.py
+++ b/wagtaildale/calls/tests/test_backend_connection.py
@@ -13,8 +13,8 @@
 import pytest
 
 from wagtaildale.calls.addresses import Address
-from wagtaildale.calls.backend_pool import BackendPool
 from wagtaildale.calls.backend_connection import BackendRequest
+from wagtaildale.calls.backend_pool import BackendPool
 from wagtaildale.calls.tests.manual_loop import ManualLoop, is_readable
 from wagtaildale.testing.builders import build_recorder
 from wagtaildale.testing.mesh import BACKEND_PORT
--- a/wagtaildale/calls/tests/test_leaving.py
+++ b/wagtaildale/calls/tests/test_leaving.py
@@ -11,10 +11,10 @@
 from wagtaildale.calls.frames import (
     LENGTH_PREFIX,
     PLAIN,
+    DrainNotice,
     Failed,
     Frame,
     FrameReader,
-    DrainNotice,
     Ping,
     Pong,
     encode_frame,
--- a/wagtaildale/calls/tests/test_server_feedback.py
+++ b/wagtaildale/calls/tests/test_server_feedback.py
@@ -8,8 +8,8 @@
 
 from wagtaildale.calls.parsing import MessageParser
 from wagtaildale.calls.server_feedback import (
-    ServerFeedback,
     FeedbackTracker,
+    ServerFeedback,
     parse_feedback,
 )
 from wagtaildale.errors.codes import Code
--- a/wagtaildale/calls/tests/test_server_identity.py
+++ b/wagtaildale/calls/tests/test_server_identity.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from wagtaildale.calls.server_identity import (
-    MAX_DENIED_INSTANCES,
     DENIAL_RECHECK_SECONDS,
+    MAX_DENIED_INSTANCES,
     ServerIdentity,
 )
 from wagtaildale.types import InstanceId
--- a/wagtaildale/calls/tests/test_server_targets.py
+++ b/wagtaildale/calls/tests/test_server_targets.py
@@ -7,8 +7,8 @@
 import pytest
 
 from wagtaildale.calls.failures import CallFailed
-from wagtaildale.calls.server_targets import ServerTargets
 from wagtaildale.calls.server_feedback import FeedbackTracker
+from wagtaildale.calls.server_targets import ServerTargets
 from wagtaildale.calls.tests.pairs import build_run
 from wagtaildale.errors.codes import Code
 from wagtaildale.testing.builders import (
--- a/wagtaildale/calls/tests/test_silence.py
+++ b/wagtaildale/calls/tests/test_silence.py
@@ -14,13 +14,13 @@
 
 from standins.backend_thread import BackendThread
 from wagtaildale.calls.peers import REFUSED_REASON
-from wagtaildale.calls.tests.scripted_owners import BODY, SilentOwner
 from wagtaildale.calls.tests.pairs import (
     TIMEOUT_SECONDS,
     Pair,
     read_code,
     wait_until,
 )
+from wagtaildale.calls.tests.scripted_owners import BODY, SilentOwner
 from wagtaildale.errors.codes import Code
 from wagtaildale.lifecycle.stop import Stop
 from wagtaildale.testing.builders import MESH_TEXT, build_record
--- a/wagtaildale/cli/errors.py
+++ b/wagtaildale/cli/errors.py
@@ -10,7 +10,6 @@
 from wagtaildale.cli.output import OutputFormat, print_json, print_table
 from wagtaildale.errors.codes import MEANINGS, Code
 
-
 MARKDOWN_HEADER: Final = """# Result codes
 
 The thousands name the duty that reports a code: 1 settings, 2 operators'
--- a/wagtaildale/cli/explain.py
+++ b/wagtaildale/cli/explain.py
@@ -24,9 +24,9 @@
 from wagtaildale.telemetry.log_lines import read_lines
 from wagtaildale.telemetry.request_history import (
     RequestHistory,
+    collect_history,
     describe_code,
     find_cause,
-    collect_history,
 )
 
 if TYPE_CHECKING:
--- a/wagtaildale/configuration/files.py
+++ b/wagtaildale/configuration/files.py
@@ -9,9 +9,9 @@
 import msgspec
 from result import Err, Ok, Result
 
-from wagtaildale.configuration.semantics import check_semantics
 from wagtaildale.configuration.model import MeshEntry
 from wagtaildale.configuration.positions import KeyPath, find_line
+from wagtaildale.configuration.semantics import check_semantics
 from wagtaildale.configuration.shapes import Finding, check_shape
 from wagtaildale.errors.codes import Code
 from wagtaildale.errors.faults import Fault, Faults
--- a/wagtaildale/daemon.py
+++ b/wagtaildale/daemon.py
@@ -13,11 +13,11 @@
 import click
 from result import Err
 
+from wagtaildale.assembly import read_incarnation
 from wagtaildale.distribution.sockets import NodeSockets
 from wagtaildale.errors.codes import Code
-from wagtaildale.keys.pairs import read_pairs
-from wagtaildale.assembly import read_incarnation
 from wagtaildale.integration import OWN_INTEGRATION, Integration
+from wagtaildale.keys.pairs import read_pairs
 from wagtaildale.node import Node
 from wagtaildale.settings.load import load_settings
 from wagtaildale.telemetry.events import EventKind, EventRecorder
--- a/wagtaildale/distribution/bodies.py
+++ b/wagtaildale/distribution/bodies.py
@@ -7,9 +7,9 @@
 
 from msgspec import Struct
 
-from wagtaildale.distribution.documents import request_delta, handle_offer
-from wagtaildale.distribution.messages import Effect, Send
+from wagtaildale.distribution.documents import handle_offer, request_delta
 from wagtaildale.distribution.lapses import note_platform_return
+from wagtaildale.distribution.messages import Effect, Send
 from wagtaildale.distribution.readers import (
     find_confirmed_at,
     note_freshness,
@@ -36,7 +36,7 @@
     OutlineOffered,
 )
 from wagtaildale.document.model import make_delta, make_outline
-from wagtaildale.types import InstanceId, DocumentKind, NodeState, Version
+from wagtaildale.types import DocumentKind, InstanceId, NodeState, Version
 
 MAX_BATCH_BYTES: Final = 1_000_000
 
--- a/wagtaildale/distribution/decisions.py
+++ b/wagtaildale/distribution/decisions.py
@@ -10,36 +10,36 @@
 
 from wagtaildale.distribution import messages
 from wagtaildale.distribution.appointments import (
-    review_appointment,
     pushes_to_others,
+    review_appointment,
 )
 from wagtaildale.distribution.bodies import Context, decide_body
-from wagtaildale.distribution.documents import handle_offer
-from wagtaildale.distribution.joining import announce_state, review_ready
-from wagtaildale.distribution.lapses import expire_retained
-from wagtaildale.distribution.pushes import push_to_data_centres, resend_pushes
-from wagtaildale.distribution.readers import note_confirmed, read_while_joining
 from wagtaildale.distribution.confirmations import (
     claim_confirmations,
     schedule_confirmation,
     send_confirmation,
     send_due_confirmation,
 )
+from wagtaildale.distribution.documents import handle_offer
+from wagtaildale.distribution.joining import announce_state, review_ready
+from wagtaildale.distribution.lapses import expire_retained
+from wagtaildale.distribution.pushes import push_to_data_centres, resend_pushes
+from wagtaildale.distribution.readers import note_confirmed, read_while_joining
 from wagtaildale.distribution.state import MILLISECONDS, DistributionState
-from wagtaildale.distribution.swaps import (
-    ask_seeds,
-    swap_digests,
-    make_fleet_change,
-)
 from wagtaildale.distribution.suspicions import (
     clear_request,
     forget_suspects,
     note_ends,
     note_refused,
 )
+from wagtaildale.distribution.swaps import (
+    ask_seeds,
+    make_fleet_change,
+    swap_digests,
+)
 from wagtaildale.distribution.wire import Envelope
-from wagtaildale.errors.codes import Code
 from wagtaildale.document.messages import BlobsOffered, OutlineOffered
+from wagtaildale.errors.codes import Code
 from wagtaildale.membership.decisions import (
     expire_news,
     merge_news,
--- a/wagtaildale/distribution/documents.py
+++ b/wagtaildale/distribution/documents.py
@@ -5,15 +5,14 @@
 from functools import singledispatch
 from typing import TYPE_CHECKING, Final
 
-
+from wagtaildale.distribution.lapses import update_list
 from wagtaildale.distribution.messages import (
-    Effect,
     DocumentUpdated,
+    Effect,
     ReadBlobs,
-    VersionRefused,
     Send,
+    VersionRefused,
 )
-from wagtaildale.distribution.lapses import update_list
 from wagtaildale.distribution.pushes import push_version
 from wagtaildale.distribution.state import DistributionState
 from wagtaildale.distribution.wire import BlobPull, Pull
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -7,8 +7,8 @@
 from typing import Final, Protocol
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.dependencies import TaskDependencies
 from wagtaildale.distribution.checks import CHECKS
+from wagtaildale.distribution.dependencies import TaskDependencies
 from wagtaildale.distribution.state import (
     MILLISECONDS,
     NEVER,
@@ -17,11 +17,11 @@
 from wagtaildale.distribution.wire import Body
 from wagtaildale.errors.codes import Code
 from wagtaildale.invariants import Invariant
-from wagtaildale.telemetry.events import EventKind, Inputs
 from wagtaildale.membership.news import AWAY_STATES
 from wagtaildale.suspects.records import TRIAL_ENDS
+from wagtaildale.telemetry.events import EventKind, Inputs
 from wagtaildale.timers.service import read_clock
-from wagtaildale.types import InstanceId, DocumentKind, NodeState
+from wagtaildale.types import DocumentKind, InstanceId, NodeState
 
 PLATFORM_ORIGIN: Final = 'platform'
 OWN_ORIGIN: Final = 'own'
--- a/wagtaildale/distribution/lapses.py
+++ b/wagtaildale/distribution/lapses.py
@@ -19,7 +19,7 @@
 from wagtaildale.document.eras import find_era, find_revision
 from wagtaildale.membership.decisions import replace_records
 from wagtaildale.membership.records import InstanceRecord, decode_record
-from wagtaildale.types import InstanceId, DocumentKind, ListedState, Version
+from wagtaildale.types import DocumentKind, InstanceId, ListedState, Version
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.messages import Effect
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -11,12 +11,12 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.membership.decisions import AcceptedNews
 from wagtaildale.membership.records import InstanceRecord
-from wagtaildale.suspects.snapshots import Suspects
 from wagtaildale.suspects.records import Suspicion
+from wagtaildale.suspects.snapshots import Suspects
 from wagtaildale.types import (
     Digest,
-    InstanceId,
     DocumentKind,
+    InstanceId,
     NodeState,
     Version,
 )
--- a/wagtaildale/distribution/pushes.py
+++ b/wagtaildale/distribution/pushes.py
@@ -21,7 +21,7 @@
 
     from wagtaildale.distribution.messages import Effect
     from wagtaildale.document.model import Delta
-    from wagtaildale.types import InstanceId, DocumentKind
+    from wagtaildale.types import DocumentKind, InstanceId
 
 MAX_INLINE_BYTES: Final = 65_536
 MAX_PUSH_ATTEMPTS: Final = 2
--- a/wagtaildale/distribution/state.py
+++ b/wagtaildale/distribution/state.py
@@ -9,8 +9,8 @@
 from wagtaildale.distribution.checks import CHECKS
 from wagtaildale.distribution.delays import Delays
 from wagtaildale.distribution.wire import (
-    NO_INSTANCE,
     NO_DATA_CENTRE,
+    NO_INSTANCE,
     Holding,
     Swap,
 )
@@ -19,7 +19,7 @@
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.membership.state import MembershipState
 from wagtaildale.suspects.table import SuspectTable
-from wagtaildale.types import DataCentre, InstanceId, DocumentKind, Version
+from wagtaildale.types import DataCentre, DocumentKind, InstanceId, Version
 
 if TYPE_CHECKING:
     from wagtaildale.distribution.tuning import Tuning
--- a/wagtaildale/distribution/task.py
+++ b/wagtaildale/distribution/task.py
@@ -7,8 +7,8 @@
 from result import Err
 
 from wagtaildale.distribution import messages
-from wagtaildale.distribution.dependencies import Counts, TaskDependencies
 from wagtaildale.distribution.decisions import decide
+from wagtaildale.distribution.dependencies import Counts, TaskDependencies
 from wagtaildale.distribution.effects import execute
 from wagtaildale.distribution.state import MILLISECONDS
 from wagtaildale.distribution.wire import (
@@ -24,7 +24,7 @@
 from wagtaildale.types import InstanceId, NodeState
 
 if TYPE_CHECKING:
-    from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
+    from wagtaildale.distribution.sockets import NodeSockets, ReceivedFrame
     from wagtaildale.distribution.state import DistributionState
     from wagtaildale.distribution.wire import Body
     from wagtaildale.timers.inbox import Inbox
--- a/wagtaildale/distribution/tests/test_appointments.py
+++ b/wagtaildale/distribution/tests/test_appointments.py
@@ -16,7 +16,6 @@
 from wagtaildale.testing.network import FakeNetwork
 from wagtaildale.types import InstanceId
 
-
 A = InstanceId('a')
 
 
--- a/wagtaildale/distribution/tests/test_decisions.py
+++ b/wagtaildale/distribution/tests/test_decisions.py
@@ -14,7 +14,7 @@
 from wagtaildale.membership.state import get_topology
 from wagtaildale.testing.builders import build_configuration, build_instances
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import InstanceId, DocumentKind
+from wagtaildale.types import DocumentKind, InstanceId
 
 A = InstanceId('a')
 B = InstanceId('b')
--- a/wagtaildale/distribution/tests/test_delays.py
+++ b/wagtaildale/distribution/tests/test_delays.py
@@ -8,7 +8,7 @@
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.testing.builders import build_configuration
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import Incarnation, InstanceId, DocumentKind
+from wagtaildale.types import DocumentKind, Incarnation, InstanceId
 
 A = InstanceId('a')
 PROCESS = (A, Incarnation(1))
--- a/wagtaildale/distribution/tests/test_joining.py
+++ b/wagtaildale/distribution/tests/test_joining.py
@@ -9,8 +9,8 @@
 from wagtaildale.distribution import messages
 from wagtaildale.distribution.task import find_wait
 from wagtaildale.distribution.tests.networks import (
-    ROUND_SECONDS,
     NAMES,
+    ROUND_SECONDS,
     assert_held,
     build_network,
     offer,
@@ -18,7 +18,7 @@
 )
 from wagtaildale.distribution.tuning import make_tuning
 from wagtaildale.testing.builders import build_configuration
-from wagtaildale.types import InstanceId, DocumentKind, NodeState
+from wagtaildale.types import DocumentKind, InstanceId, NodeState
 
 B = InstanceId('b')
 ROUNDS_TO_JOIN = 5
--- a/wagtaildale/distribution/tests/test_sockets.py
+++ b/wagtaildale/distribution/tests/test_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 import zmq
 
-from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
+from wagtaildale.distribution.sockets import NodeSockets, ReceivedFrame
 from wagtaildale.keys.pairs import KeyPair
 from wagtaildale.types import InstanceId
 
--- a/wagtaildale/distribution/tests/test_sources.py
+++ b/wagtaildale/distribution/tests/test_sources.py
@@ -6,7 +6,7 @@
 from wagtaildale.distribution.tests.networks import build_network
 from wagtaildale.errors.codes import Code
 from wagtaildale.testing.network import FakeNetwork
-from wagtaildale.types import Digest, InstanceId, DocumentKind, Version
+from wagtaildale.types import Digest, DocumentKind, InstanceId, Version
 
 A = InstanceId('a')
 
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final, cast
 
 from wagtaildale.distribution.dependencies import TaskDependencies
-from wagtaildale.distribution.sockets import ReceivedFrame, NodeSockets
+from wagtaildale.distribution.sockets import NodeSockets, ReceivedFrame
 from wagtaildale.distribution.swaps import REPLY_TIMEOUT_SECONDS
 from wagtaildale.distribution.task import DistributionTask
 from wagtaildale.distribution.tests.networks import build_network
@@ -14,8 +14,8 @@
 from wagtaildale.membership.decisions import note_missed_reply
 from wagtaildale.membership.state import get_topology
 from wagtaildale.routing.view import ViewHolder
-from wagtaildale.testing.builders import build_recorder
 from wagtaildale.suspects.snapshots import SuspectsHolder
+from wagtaildale.testing.builders import build_recorder
 from wagtaildale.timers.inbox import Inbox
 from wagtaildale.timers.messages import Tick, TimerName
 from wagtaildale.timers.service import read_clock
--- a/wagtaildale/distribution/tests/test_versions.py
+++ b/wagtaildale/distribution/tests/test_versions.py
@@ -15,7 +15,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.testing.builders import build_configuration, build_part
 from wagtaildale.testing.network import FakeNode
-from wagtaildale.types import InstanceId, DocumentKind, Version
+from wagtaildale.types import DocumentKind, InstanceId, Version
 
 A = InstanceId('a')
 B = InstanceId('b')
--- a/wagtaildale/distribution/tests/test_wire.py
+++ b/wagtaildale/distribution/tests/test_wire.py
@@ -21,7 +21,7 @@
 from wagtaildale.suspects.tests.builders import build_suspicion
 from wagtaildale.testing.assertions import assert_err, assert_ok
 from wagtaildale.testing.builders import build_part
-from wagtaildale.types import Incarnation, InstanceId, DocumentKind, NodeState
+from wagtaildale.types import DocumentKind, Incarnation, InstanceId, NodeState
 
 SENDER = News(InstanceId('a'), Incarnation(1), 0, NodeState.ready)
 
--- a/wagtaildale/distribution/tests/watched_fleet.py
+++ b/wagtaildale/distribution/tests/watched_fleet.py
@@ -15,8 +15,8 @@
 from wagtaildale.testing.network import FakeNetwork, FakeNode
 from wagtaildale.timers.messages import Tick, TimerName
 from wagtaildale.types import (
-    InstanceId,
     DocumentKind,
+    InstanceId,
     ListedState,
     NodeState,
     Version,
--- a/wagtaildale/distribution/wire.py
+++ b/wagtaildale/distribution/wire.py
@@ -20,8 +20,8 @@
 from wagtaildale.types import (
     DataCentre,
     Digest,
-    InstanceId,
     DocumentKind,
+    InstanceId,
     Version,
 )
 
--- a/wagtaildale/document/decisions.py
+++ b/wagtaildale/document/decisions.py
@@ -18,9 +18,9 @@
     BlobsOffered,
     BlobsWanted,
     DeltaOffered,
+    Origin,
     OutlineOffered,
     OutlineWanted,
-    Origin,
     Rejected,
     StoreEffect,
 )
--- a/wagtaildale/document/messages.py
+++ b/wagtaildale/document/messages.py
@@ -6,7 +6,7 @@
 
 from wagtaildale.document.model import Delta, Document, Outline
 from wagtaildale.errors.faults import Fault
-from wagtaildale.types import Digest, InstanceId, DocumentKind, Version
+from wagtaildale.types import Digest, DocumentKind, InstanceId, Version
 
 # Peer that offered something; nothing if it was the platform.
 Origin = InstanceId | None
--- a/wagtaildale/platform/tests/test_store.py
+++ b/wagtaildale/platform/tests/test_store.py
@@ -17,7 +17,6 @@
     build_item,
     build_rule,
 )
-from wagtaildale.source.feed import FeedReading
 from wagtaildale.platform.tests.feeds import (
     build_changes,
     build_feed,
@@ -26,6 +25,7 @@
     list_instances,
     read_feed,
 )
+from wagtaildale.source.feed import FeedReading
 from wagtaildale.types import DocumentKind, ListedState, ServiceName
 
 CONFIGURATION = 'op/config'
--- a/wagtaildale/routing/choosers.py
+++ b/wagtaildale/routing/choosers.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from wagtaildale.routing.baselines import RandomChooser, RoundRobinChooser
 from wagtaildale.routing.choice import Chooser, ChooserName
 from wagtaildale.routing.expected_time import ExpectedTimeChooser
 from wagtaildale.routing.least_loaded import LeastLoadedChooser
-from wagtaildale.routing.baselines import RandomChooser, RoundRobinChooser
 
 
 def make_chooser(name: ChooserName) -> Chooser:
--- a/wagtaildale/routing/suspected_requests.py
+++ b/wagtaildale/routing/suspected_requests.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.routing.view import FleetView
-    from wagtaildale.suspects.snapshots import Judgement
     from wagtaildale.suspects.fingerprints import Fingerprint
+    from wagtaildale.suspects.snapshots import Judgement
     from wagtaildale.types import ServiceName
 
 
--- a/wagtaildale/routing/tests/test_slowness.py
+++ b/wagtaildale/routing/tests/test_slowness.py
@@ -8,8 +8,8 @@
 
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.slowness import (
-    MIN_SLOWNESS,
     MAX_SLOWNESS,
+    MIN_SLOWNESS,
     SLOWNESS_DECAY_SECONDS,
     USUAL_SPEED_DECAY_SECONDS,
     Slowness,
--- a/wagtaildale/routing/tests/test_subsets.py
+++ b/wagtaildale/routing/tests/test_subsets.py
@@ -8,9 +8,9 @@
 
 from wagtaildale.membership.records import InstanceRecord
 from wagtaildale.routing.subsets import (
-    MIN_FAR_WEIGHT,
     MAX_NEAR_WEIGHT,
     MAX_UPSTREAMS_PER_WEIGHT,
+    MIN_FAR_WEIGHT,
     MIN_SUBSET_WEIGHT,
     rank_upstreams,
 )
--- a/wagtaildale/telemetry/metrics.py
+++ b/wagtaildale/telemetry/metrics.py
@@ -8,10 +8,10 @@
 
 from typing import TYPE_CHECKING, Final
 
+from opentelemetry.exporter.prometheus import PrometheusMetricReader
 from opentelemetry.metrics import CallbackOptions, Observation
 from opentelemetry.sdk.metrics import MeterProvider
 from opentelemetry.sdk.resources import Resource
-from opentelemetry.exporter.prometheus import PrometheusMetricReader
 from prometheus_client import REGISTRY, generate_latest
 from prometheus_client.core import HistogramMetricFamily
 
--- a/wagtaildale/telemetry/tests/test_log.py
+++ b/wagtaildale/telemetry/tests/test_log.py
@@ -10,8 +10,8 @@
 from wagtaildale.telemetry.clock import HybridClock, Stamp
 from wagtaildale.telemetry.events import Event, EventKind
 from wagtaildale.telemetry.log import (
-    MAX_BUFFERED_LINES,
     LINES_PER_SECOND,
+    MAX_BUFFERED_LINES,
     EventLog,
     write_pairs,
 )
--- a/wagtaildale/telemetry/tests/test_request_history.py
+++ b/wagtaildale/telemetry/tests/test_request_history.py
@@ -6,12 +6,12 @@
 
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
-from wagtaildale.telemetry.log_lines import LogLine, read_lines
 from wagtaildale.telemetry.log import write_pairs
+from wagtaildale.telemetry.log_lines import LogLine, read_lines
 from wagtaildale.telemetry.request_history import (
     RequestHistory,
-    find_cause,
     collect_history,
+    find_cause,
 )
 from wagtaildale.types import InstanceId
 
--- a/wagtaildale/testing/builders.py
+++ b/wagtaildale/testing/builders.py
@@ -23,9 +23,9 @@
 from wagtaildale.types import (
     ClassName,
     DataCentre,
+    DocumentKind,
     Incarnation,
     InstanceId,
-    DocumentKind,
     ListedState,
     Region,
     ServiceName,
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -13,9 +13,9 @@
 from wagtaildale.calls.dialect import DEFAULT_DIALECT, Dialect
 from wagtaildale.calls.owner import Identity
 from wagtaildale.calls.task import (
-    CallsTaskSettings,
     CallsTask,
     CallsTaskDependencies,
+    CallsTaskSettings,
 )
 from wagtaildale.configuration.compiled import decode_part
 from wagtaildale.document.model import make_document
@@ -33,7 +33,7 @@
 )
 from wagtaildale.testing.closing import Closing
 from wagtaildale.testing.suspects import SharedSuspects
-from wagtaildale.types import Incarnation, DocumentKind, NodeState, Version
+from wagtaildale.types import DocumentKind, Incarnation, NodeState, Version
 
 if TYPE_CHECKING:
     from wagtaildale.admission.gate import Gate
--- a/wagtaildale/testing/network.py
+++ b/wagtaildale/testing/network.py
@@ -32,9 +32,9 @@
 from wagtaildale.types import (
     DataCentre,
     Digest,
+    DocumentKind,
     Incarnation,
     InstanceId,
-    DocumentKind,
     Version,
 )
 
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.admission.messages import RequestArrived, Refused, TicketId
+from wagtaildale.admission.messages import Refused, RequestArrived, TicketId
 from wagtaildale.calls.attempts import Attempts
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
@@ -22,7 +22,7 @@
     from wagtaildale.calls.budgets import RetryBudget
     from wagtaildale.routing.placement import ChosenUpstream
     from wagtaildale.testing.replay.clock import VirtualClock
-    from wagtaildale.testing.replay.entries import ReplayRequest, ReplayEntry
+    from wagtaildale.testing.replay.entries import ReplayEntry, ReplayRequest
 
 MS_PER_SECOND: Final = 1000
 # One-way delay between two nodes in the same data centre and in different ones,
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -7,18 +7,18 @@
 
 from msgspec import Struct, structs
 
+from wagtaildale.admission.capacity import compute_pass_share
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.limits import Ending
 from wagtaildale.admission.messages import (
     Admitted,
     RequestArrived,
-    RequestFinished,
     RequestCancelled,
+    RequestFinished,
     TicketId,
     TimePassed,
 )
 from wagtaildale.admission.server_messages import RateReported, SlotsPublished
-from wagtaildale.admission.capacity import compute_pass_share
 from wagtaildale.admission.state import make_admission
 from wagtaildale.routing.known_limits import ServerLimit
 from wagtaildale.routing.upstream import OwnerReport
--- a/wagtaildale/testing/suspects.py
+++ b/wagtaildale/testing/suspects.py
@@ -6,12 +6,12 @@
 from functools import singledispatchmethod
 from typing import TYPE_CHECKING
 
-from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.suspects.messages import (
     EndsNoted,
     RequestAnswered,
     RequestRefused,
 )
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.suspects.table import SuspectTable
 from wagtaildale.timers.service import read_clock
 
