--- a/benchmarks/gates.py
+++ b/benchmarks/gates.py
@@ -15,8 +15,8 @@
 from wagtaildale.admission.limits import Ending
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
-    Finished,
+    RequestArrived,
+    RequestFinished,
     TicketId,
     Verdict,
 )
@@ -38,7 +38,7 @@
 class Question(Struct, frozen=True):
     """A message to the task, and where the verdict goes."""
 
-    message: Arrived | Finished
+    message: RequestArrived | RequestFinished
     answers: SimpleQueue[list[Verdict]]
 
 
@@ -52,7 +52,7 @@
         self._thread = Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    def ask(self, message: Arrived | Finished) -> list[Verdict]:
+    def ask(self, message: RequestArrived | RequestFinished) -> list[Verdict]:
         """Ask and wait.
 
         Args:
@@ -117,18 +117,18 @@
 
 def _pass_gate(gate: Gate) -> None:
     verdicts: list[Verdict] = []
-    arrived = Arrived(within_ms=WITHIN_MS, deadline=read_clock() + 1)
-    ticket = gate.enter(arrived, verdicts.append)
+    arrived = RequestArrived(within_ms=WITHIN_MS, deadline=read_clock() + 1)
+    ticket = gate.request_slot(arrived, verdicts.append)
     assert isinstance(verdicts[0], Admitted)
-    gate.leave(ticket, seconds=0.001, ending=Ending.good)
+    gate.release_slot(ticket, seconds=0.001, ending=Ending.good)
 
 
 def _pass_task(task: GateTask, number: int) -> None:
     ticket = TicketId(number)
-    arrived = Arrived(
+    arrived = RequestArrived(
         ticket=ticket,
         within_ms=WITHIN_MS,
         deadline=read_clock() + 1,
     )
     task.ask(arrived)
-    task.ask(Finished(ticket=ticket, seconds=0.001))
+    task.ask(RequestFinished(ticket=ticket, seconds=0.001))
--- a/properties/test_admission.py
+++ b/properties/test_admission.py
@@ -15,11 +15,11 @@
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
-    DrainBegun,
-    Finished,
-    GaveUp,
+    DrainStarted,
     Refused,
+    RequestArrived,
+    RequestCancelled,
+    RequestFinished,
     TicketId,
     Verdict,
 )
@@ -53,7 +53,7 @@
         ticket = TicketId(self.last)
         self.deadlines[ticket] = self.now + seconds
         self._tell(
-            Arrived(
+            RequestArrived(
                 ticket=ticket,
                 within_ms=within_ms,
                 deadline=self.now + seconds,
@@ -65,13 +65,13 @@
     def finish(self, ticket: TicketId, seconds: float) -> None:
         if isinstance(self.verdicts.get(ticket), Admitted):
             self.finished.add(ticket)
-            self._tell(Finished(ticket=ticket, seconds=seconds))
+            self._tell(RequestFinished(ticket=ticket, seconds=seconds))
 
     @rule(ticket=tickets)
     def give_up(self, ticket: TicketId) -> None:
         if ticket not in self.verdicts:
             self.gave_up.add(ticket)
-            self._tell(GaveUp(ticket=ticket))
+            self._tell(RequestCancelled(ticket=ticket))
 
     @rule(seconds=st.floats(0, 1))
     def wait(self, seconds: float) -> None:
@@ -79,7 +79,7 @@
 
     @rule()
     def drain(self) -> None:
-        self._tell(DrainBegun())
+        self._tell(DrainStarted())
 
     @invariant()
     def slots_bound_what_runs(self) -> None:
@@ -88,7 +88,10 @@
     @invariant()
     def nobody_waits_while_there_is_room(self) -> None:
         # The last slots are kept for what cannot wait.
-        assert not self.state.queue or self.state.room <= self.state.headroom
+        assert (
+            not self.state.queue
+            or self.state.free_slots <= self.state.reserved_slots
+        )
 
     @invariant()
     def draining_gate_queues_nothing(self) -> None:
--- a/properties/test_distribution.py
+++ b/properties/test_distribution.py
@@ -18,7 +18,7 @@
 from wagtaildale.distribution.messages import Leave
 from wagtaildale.document.eras import Era, find_revision, make_version
 from wagtaildale.document.model import make_document
-from wagtaildale.suspects.board import NOTHING_KNOWN
+from wagtaildale.suspects.snapshots import NOTHING_KNOWN
 from wagtaildale.suspects.fingerprints import Fingerprint
 from wagtaildale.suspects.messages import EndsNoted, RequestAnswered
 from wagtaildale.suspects.records import Suspicion
@@ -123,7 +123,7 @@
     def answer(self, choice: int) -> None:
         """Let a server answer the request after all."""
         name = self._pick(choice)
-        if self._find_suspects(name).show().find(DEADLY).ends:
+        if self._find_suspects(name).get_snapshot().find(DEADLY).ends:
             self.network.tell(name, RequestAnswered(DEADLY))
 
     @rule(down=st.booleans())
@@ -209,7 +209,8 @@
             rounds_left -= 1
         # What is held against the request, where it is grave.
         sums = {
-            self._find_suspects(name).sum_up() for name in self.network.nodes
+            self._find_suspects(name).compute_checksum()
+            for name in self.network.nodes
         }
         assert len(sums) == 1
 
--- a/wagtaildale/admin/suspects.py
+++ b/wagtaildale/admin/suspects.py
@@ -9,7 +9,7 @@
 from wagtaildale.admin.model import SuspectState, SuspectsReport
 from wagtaildale.suspects.fingerprints import Fingerprint
 from wagtaildale.suspects.messages import RequestAnswered
-from wagtaildale.suspects.records import judge
+from wagtaildale.suspects.records import find_standing
 from wagtaildale.timers.service import read_clock
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         fingerprint = Fingerprint(bytes.fromhex(named))
     except ValueError:
         return {}
-    return node.parts.suspects.current.list_alike(fingerprint)
+    return node.parts.suspects.current.list_same_subject(fingerprint)
 
 
 def _describe(
@@ -77,7 +77,7 @@
     record: Record,
     now: float,
 ) -> SuspectState:
-    standing = judge(record.ends, since=record.since, now=now)
+    standing = find_standing(record.ends, since=record.since, now=now)
     return SuspectState(
         fingerprint=fingerprint.hex(),
         ends=record.ends,
--- a/wagtaildale/admission/shortage.py
+++ b/wagtaildale/admission/capacity.py
@@ -15,10 +15,10 @@
 
 # Of what a server has room for. What is a little over it had better come: it
 # fills the gaps that long runs leave. Beyond this a request has no prospects.
-ROOM_TIMES: Final = 2.5
+CAPACITY_FACTOR: Final = 2.5
 
 
-def share_out(state: AdmissionState, *, now: float) -> PassShare:
+def compute_pass_share(state: AdmissionState, *, now: float) -> PassShare:
     """Share out what a server takes to those who ask.
 
     Args:
@@ -30,5 +30,5 @@
     """
     per_second = state.rate.per_second
     if per_second is None and state.slot_seconds:
-        per_second = ROOM_TIMES * state.limit / state.slot_seconds
-    return state.demand.share_out(per_second, now=now)
+        per_second = CAPACITY_FACTOR * state.limit / state.slot_seconds
+    return state.demand.compute_pass_share(per_second, now=now)
--- a/wagtaildale/admission/decisions.py
+++ b/wagtaildale/admission/decisions.py
@@ -11,29 +11,29 @@
 from wagtaildale.admission.limits import adjust_limit
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
-    DrainBegun,
-    Finished,
-    GaveUp,
-    LeaseGiven,
+    DrainStarted,
+    LeaseGranted,
+    LeaseRedeemed,
     Refused,
-    RunCame,
+    RequestArrived,
+    RequestCancelled,
+    RequestFinished,
     TimePassed,
     Verdict,
 )
 from wagtaildale.admission.queue import (
     admit_waiting,
-    end_leases,
-    judge,
+    decide_arrival,
+    expire_leases,
 )
-from wagtaildale.admission.refusals import refuse_all, refuse_hopeless
+from wagtaildale.admission.refusals import refuse_all, refuse_rate_limited
 from wagtaildale.admission.server_messages import (
+    LeavingReported,
     ProbeSent,
-    RateBrought,
-    RateTold,
-    ServerLeaves,
-    ServerStarted,
-    SlotsTold,
+    RateForwarded,
+    RateReported,
+    ServerRestarted,
+    SlotsPublished,
 )
 from wagtaildale.admission.state import AdmissionState
 from wagtaildale.errors.codes import Code
@@ -64,18 +64,18 @@
 
 @decide_admission.register
 def _decide_arrived(
-    message: Arrived,
+    message: RequestArrived,
     state: AdmissionState,
     *,
     now: float,
 ) -> list[Verdict]:
-    verdicts = end_leases(state, now)
-    return [*verdicts, *judge(state, message, now)]
+    verdicts = expire_leases(state, now)
+    return [*verdicts, *decide_arrival(state, message, now)]
 
 
 @decide_admission.register
 def _decide_finished(
-    message: Finished,
+    message: RequestFinished,
     state: AdmissionState,
     *,
     now: float,
@@ -94,8 +94,8 @@
 
 
 @decide_admission.register
-def _decide_lease_given(
-    message: LeaseGiven,
+def _decide_lease_granted(
+    message: LeaseGranted,
     state: AdmissionState,
     *,
     now: float,
@@ -106,8 +106,8 @@
 
 
 @decide_admission.register
-def _decide_run_came(
-    message: RunCame,
+def _decide_lease_redeemed(
+    message: LeaseRedeemed,
     state: AdmissionState,
     *,
     now: float,
@@ -115,7 +115,7 @@
     # Failure: an entry is paused between its reservation and its run
     # message, and wakes when the slot has long been given to another. The
     # lease ends by this owner's own clock; a run after that is refused.
-    verdicts = end_leases(state, now)
+    verdicts = expire_leases(state, now)
     if state.leases.pop(message.ticket, None) is None:
         refused = Refused(ticket=message.ticket, code=Code.lease_ended)
         return [refused, *verdicts]
@@ -129,12 +129,12 @@
     *,
     now: float,
 ) -> list[Verdict]:
-    return [*end_leases(state, now), *admit_waiting(state, now)]
+    return [*expire_leases(state, now), *admit_waiting(state, now)]
 
 
 @decide_admission.register
-def _decide_slots_told(
-    message: SlotsTold,
+def _decide_slots_published(
+    message: SlotsPublished,
     state: AdmissionState,
     *,
     now: float,
@@ -149,42 +149,42 @@
 
 
 @decide_admission.register
-def _decide_rate_told(
-    message: RateTold,
+def _decide_rate_reported(
+    message: RateReported,
     state: AdmissionState,
     *,
     now: float,
 ) -> list[Verdict]:
     before = state.rate.per_second
-    state.rate.note_told(
+    state.rate.note_answer(
         message.per_second,
         begun_at=message.begun_at,
         now=now,
     )
     if state.rate.per_second == before:
         return []
-    return [*refuse_hopeless(state, now), *admit_waiting(state, now)]
+    return [*refuse_rate_limited(state, now), *admit_waiting(state, now)]
 
 
 @decide_admission.register
-def _decide_rate_brought(
-    message: RateBrought,
+def _decide_rate_forwarded(
+    message: RateForwarded,
     state: AdmissionState,
     *,
     now: float,
 ) -> list[Verdict]:
-    state.rate.note_brought(message.per_second, now=now)
-    return refuse_hopeless(state, now)
+    state.rate.note_forwarded(message.per_second, now=now)
+    return refuse_rate_limited(state, now)
 
 
 @decide_admission.register
-def _decide_server_started(
-    message: ServerStarted,
+def _decide_server_restarted(
+    message: ServerRestarted,
     state: AdmissionState,
     *,
     now: float,
 ) -> list[Verdict]:
-    state.rate.note_started()
+    state.rate.note_restart()
     return admit_waiting(state, now)
 
 
@@ -195,13 +195,13 @@
     *,
     now: float,
 ) -> list[Verdict]:
-    state.rate.take(now=now)
+    state.rate.take_token(now=now)
     return []
 
 
 @decide_admission.register
-def _decide_gave_up(
-    message: GaveUp,
+def _decide_cancelled(
+    message: RequestCancelled,
     state: AdmissionState,
     *,
     now: float,
@@ -214,7 +214,7 @@
 
 @decide_admission.register
 def _decide_drain(
-    message: DrainBegun,
+    message: DrainStarted,
     state: AdmissionState,
     *,
     now: float,
@@ -224,8 +224,8 @@
 
 
 @decide_admission.register
-def _decide_server_leaves(
-    message: ServerLeaves,
+def _decide_leaving_reported(
+    message: LeavingReported,
     state: AdmissionState,
     *,
     now: float,
--- a/wagtaildale/admission/gate.py
+++ b/wagtaildale/admission/gate.py
@@ -14,12 +14,12 @@
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.messages import (
     NO_TICKET,
-    Arrived,
-    DrainBegun,
-    Finished,
-    GaveUp,
-    LeaseGiven,
-    RunCame,
+    DrainStarted,
+    LeaseGranted,
+    LeaseRedeemed,
+    RequestArrived,
+    RequestCancelled,
+    RequestFinished,
     TicketId,
     TimePassed,
 )
@@ -35,7 +35,7 @@
     from wagtaildale.timers.alarms import Alarm, Alarms
 
 # So that an alarm rings when the token that it is set for is there.
-MOMENT_SECONDS: Final = 0.0005
+ALARM_MARGIN_SECONDS: Final = 0.0005
 
 
 class Gate:
@@ -58,16 +58,16 @@
         self._last = 0
         self._alarm: Alarm | None = None
 
-    def enter(
+    def request_slot(
         self,
-        arrived: Arrived,
+        arrived: RequestArrived,
         on_verdict: Callable[[Verdict], None],
     ) -> TicketId:
         """Ask for a slot.
 
         Args:
             arrived: the request; it gets a ticket here.
-            on_verdict: is told ``Admitted``, after which ``leave`` is due,
+            on_verdict: is told ``Admitted``, after which ``release_slot`` is due,
                 or ``Refused``; perhaps before this returns.
 
         Returns:
@@ -76,19 +76,19 @@
         self._last += 1
         ticket = TicketId(self._last)
         self._waiting[ticket] = on_verdict
-        self._tell(structs.replace(arrived, ticket=ticket))
+        self._dispatch(structs.replace(arrived, ticket=ticket))
         if ticket in self._waiting:
-            self._look_again()
+            self._schedule_alarm()
         return ticket
 
-    def give_up(self, ticket: TicketId) -> None:
+    def cancel(self, ticket: TicketId) -> None:
         """Wait no longer.
 
         Args:
             ticket: of a request that waits.
         """
         if self._waiting.pop(ticket, None) is not None:
-            self._tell(GaveUp(ticket=ticket))
+            self._dispatch(RequestCancelled(ticket=ticket))
 
     def lease(self, ticket: TicketId, *, seconds: float) -> None:
         """Hold an admitted request's slot for a run message.
@@ -101,8 +101,8 @@
             seconds: until the slot goes back.
         """
         ends_at = read_clock() + seconds
-        self._tell(LeaseGiven(ticket=ticket, ends_at=ends_at))
-        self._alarms.set_at(ends_at, self._pass_time)
+        self._dispatch(LeaseGranted(ticket=ticket, ends_at=ends_at))
+        self._alarms.set_at(ends_at, self._advance_time)
 
     def redeem(self, ticket: TicketId) -> Verdict:
         """Begin the run for which a slot is held.
@@ -111,13 +111,13 @@
             ticket: of the lease.
 
         Returns:
-            ``Admitted``, after which ``leave`` is due, or ``Refused``.
+            ``Admitted``, after which ``release_slot`` is due, or ``Refused``.
         """
-        verdict = self._tell(RunCame(ticket=ticket), own=ticket)
+        verdict = self._dispatch(LeaseRedeemed(ticket=ticket), own=ticket)
         assert verdict is not None
         return verdict
 
-    def leave(
+    def release_slot(
         self,
         ticket: TicketId,
         *,
@@ -133,8 +133,8 @@
             ending: how it ended there.
             work_class: service and class.
         """
-        self._tell(
-            Finished(
+        self._dispatch(
+            RequestFinished(
                 ticket=ticket,
                 seconds=seconds,
                 ending=ending,
@@ -142,37 +142,37 @@
             ),
         )
 
-    def note_server(self, message: ServerMessage) -> None:
+    def handle_server_message(self, message: ServerMessage) -> None:
         """Take what is known of the backend server.
 
         Args:
             message: of its slots, its rate or its start.
         """
-        self._tell(message)
+        self._dispatch(message)
 
     def drain(self) -> None:
         """Admit nothing more; what waits is refused."""
-        self._tell(DrainBegun())
+        self._dispatch(DrainStarted())
 
-    def _look_again(self) -> None:
+    def _schedule_alarm(self) -> None:
         # One alarm for the whole queue, at the first time that a request in
         # it is held for too long, or may have its token.
         token_at = self.state.find_token_at(read_clock())
-        latest = min(waiting.latest for waiting in self.state.queue)
-        first = min(latest, token_at + MOMENT_SECONDS)
+        start_by = min(waiting.start_by for waiting in self.state.queue)
+        first = min(start_by, token_at + ALARM_MARGIN_SECONDS)
         alarm = self._alarm
         if alarm is not None and alarm.is_set and alarm.at <= first:
             return
         if alarm is not None:
             alarm.cancel()
-        self._alarm = self._alarms.set_at(first, self._pass_time)
+        self._alarm = self._alarms.set_at(first, self._advance_time)
 
-    def _pass_time(self) -> None:
-        self._tell(TimePassed())
+    def _advance_time(self) -> None:
+        self._dispatch(TimePassed())
         if self.state.queue:
-            self._look_again()
+            self._schedule_alarm()
 
-    def _tell(
+    def _dispatch(
         self,
         message: GateMessage,
         own: TicketId = NO_TICKET,
@@ -185,6 +185,6 @@
                 on_verdict(verdict)
             elif verdict.ticket == own:
                 mine = verdict
-        if self.state.queue and self.state.rate.is_named:
-            self._look_again()
+        if self.state.queue and self.state.rate.is_limited:
+            self._schedule_alarm()
         return mine
--- a/wagtaildale/admission/ledger.py
+++ b/wagtaildale/admission/ledger.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from wagtaildale.types import RequestId
 
-REMEMBERED: Final = 65_536
+MAX_REQUESTS: Final = 65_536
 
 
 class RunLedger:
@@ -36,7 +36,7 @@
         if request_id in self._runs:
             return False
         self._runs[request_id] = None
-        if len(self._runs) > REMEMBERED:
+        if len(self._runs) > MAX_REQUESTS:
             self._runs.popitem(last=False)
         return True
 
--- a/wagtaildale/admission/limits.py
+++ b/wagtaildale/admission/limits.py
@@ -10,17 +10,17 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Final, final
 
-from wagtaildale.admission.usual import UsualTime
+from wagtaildale.admission.run_times import RunTimes
 
 if TYPE_CHECKING:
     from wagtaildale.admission.state import AdmissionState
 
-FAST: Final = 0.1
-SLOW: Final = 0.005
-SLOWED: Final = 4.0
-NOTICEABLE_SECONDS: Final = 0.005
-SHRINK_FAILED: Final = 0.8
-SHRINK_SLOWED: Final = 0.95
+FAST_GAIN: Final = 0.1
+SLOW_GAIN: Final = 0.005
+SLOWDOWN_RATIO: Final = 4.0
+MIN_SLOW_SECONDS: Final = 0.005
+FAILURE_FACTOR: Final = 0.8
+SLOWDOWN_FACTOR: Final = 0.95
 COOLDOWN_SECONDS: Final = 0.1
 
 
@@ -55,54 +55,54 @@
         work_class: service and class.
     """
     if ending is not Ending.failed:
-        _note_times(state, ending, seconds, work_class)
+        _record_run_time(state, ending, seconds, work_class)
     if ending is Ending.abandoned:
         return
     if ending is Ending.failed:
         if state.adaptive:
-            _shrink(state, SHRINK_FAILED, now)
+            _lower_limit(state, FAILURE_FACTOR, now)
         return
-    if not state.usual_seconds:
+    if not state.baseline_seconds:
         # Failure: the usual time starts from a guess, every answer looks
         # slow beside it, and a healthy server is held to one slot.
-        state.usual_seconds = seconds
+        state.baseline_seconds = seconds
         state.service_seconds = seconds
-    state.service_seconds += (seconds - state.service_seconds) * FAST
-    state.usual_seconds += (seconds - state.usual_seconds) * SLOW
+    state.service_seconds += (seconds - state.service_seconds) * FAST_GAIN
+    state.baseline_seconds += (seconds - state.baseline_seconds) * SLOW_GAIN
     known = state.class_seconds.get(work_class, seconds)
-    state.class_seconds[work_class] = known + (seconds - known) * FAST
+    state.class_seconds[work_class] = known + (seconds - known) * FAST_GAIN
     if not state.adaptive:
         return
     if _is_slowed(state):
-        _shrink(state, SHRINK_SLOWED, now)
+        _lower_limit(state, SLOWDOWN_FACTOR, now)
     elif len(state.running) + 1 >= int(state.limit):
         state.limit = min(state.slots, state.limit + 1 / state.limit)
 
 
-def _note_times(
+def _record_run_time(
     state: AdmissionState,
     ending: Ending,
     seconds: float,
     work_class: str,
 ) -> None:
-    usual = state.class_usual.setdefault(work_class, UsualTime())
-    ratio = seconds / usual.told if usual.told else 0
+    usual = state.class_run_times.setdefault(work_class, RunTimes())
+    ratio = seconds / usual.reliable_mean if usual.reliable_mean else 0
     if ending is Ending.abandoned:
         usual.note_abandoned(seconds)
-        state.condition.note_abandoned(ratio)
+        state.slowness.note_abandoned(ratio)
         return
     usual.note(seconds)
     if ratio:
-        state.condition.note(ratio)
+        state.slowness.note(ratio)
 
 
 def _is_slowed(state: AdmissionState) -> bool:
-    slowed = state.service_seconds > SLOWED * state.usual_seconds
-    return slowed and state.service_seconds > NOTICEABLE_SECONDS
+    slowed = state.service_seconds > SLOWDOWN_RATIO * state.baseline_seconds
+    return slowed and state.service_seconds > MIN_SLOW_SECONDS
 
 
-def _shrink(state: AdmissionState, factor: float, now: float) -> None:
-    if now - state.shrunk_at < COOLDOWN_SECONDS:
+def _lower_limit(state: AdmissionState, factor: float, now: float) -> None:
+    if now - state.lowered_at < COOLDOWN_SECONDS:
         return
     state.limit = max(1, state.limit * factor)
-    state.shrunk_at = now
+    state.lowered_at = now
--- a/wagtaildale/admission/messages.py
+++ b/wagtaildale/admission/messages.py
@@ -16,7 +16,7 @@
 MIDDLE_RANK: Final = 1
 
 
-class Arrived(Struct, frozen=True, kw_only=True, gc=False):
+class RequestArrived(Struct, frozen=True, kw_only=True, gc=False):
     """A request asks to run.
 
     Attributes:
@@ -41,7 +41,7 @@
     stands_for: float = 1
 
 
-class Finished(Struct, frozen=True, kw_only=True, gc=False):
+class RequestFinished(Struct, frozen=True, kw_only=True, gc=False):
     """A request that ran is done.
 
     Attributes:
@@ -57,7 +57,7 @@
     work_class: str = ''
 
 
-class LeaseGiven(Struct, frozen=True, kw_only=True, gc=False):
+class LeaseGranted(Struct, frozen=True, kw_only=True, gc=False):
     """A request that was admitted has yet to send its run message.
 
     Attributes:
@@ -69,7 +69,7 @@
     ends_at: float
 
 
-class RunCame(Struct, frozen=True, kw_only=True, gc=False):
+class LeaseRedeemed(Struct, frozen=True, kw_only=True, gc=False):
     """The run message for a lease has come."""
 
     ticket: TicketId
@@ -79,13 +79,13 @@
     """Leases may have ended."""
 
 
-class GaveUp(Struct, frozen=True, kw_only=True, gc=False):
+class RequestCancelled(Struct, frozen=True, kw_only=True, gc=False):
     """A request that waits is no longer wanted."""
 
     ticket: TicketId
 
 
-class DrainBegun(Struct, frozen=True, kw_only=True, gc=False):
+class DrainStarted(Struct, frozen=True, kw_only=True, gc=False):
     """The instance leaves: nothing new is admitted."""
 
 
@@ -111,12 +111,12 @@
 
 Verdict = Admitted | Refused
 GateMessage = (
-    Arrived
-    | Finished
-    | LeaseGiven
-    | RunCame
+    RequestArrived
+    | RequestFinished
+    | LeaseGranted
+    | LeaseRedeemed
     | TimePassed
-    | GaveUp
-    | DrainBegun
+    | RequestCancelled
+    | DrainStarted
     | ServerMessage
 )
--- a/wagtaildale/admission/queue.py
+++ b/wagtaildale/admission/queue.py
@@ -17,24 +17,24 @@
 
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
     Refused,
+    RequestArrived,
     Verdict,
 )
-from wagtaildale.admission.refusals import refuse_late, shed
-from wagtaildale.admission.state import AdmissionState, Waiting
+from wagtaildale.admission.refusals import refuse_overdue, refuse_overloaded
+from wagtaildale.admission.state import AdmissionState, QueuedRequest
 from wagtaildale.errors.codes import Code
 
 MILLISECONDS: Final = 1000
 # Of the time that a request has: how long it is held without a slot. Under
 # overload no slot is idle, and whoever was held for a quarter comes back with
 # the target missed, only to be refused again.
-HELD_SHARE: Final = 0.1
+MAX_HOLD_SHARE: Final = 0.1
 
 
-def judge(
+def decide_arrival(
     state: AdmissionState,
-    message: Arrived,
+    message: RequestArrived,
     now: float,
 ) -> list[Verdict]:
     """Decide on a request that has come.
@@ -51,79 +51,81 @@
     code = Code.draining if state.draining else Code.past_deadline
     if state.draining or message.deadline <= now:
         return [Refused(ticket=message.ticket, code=code)]
-    waiting = _make_waiting(state, message, now)
+    waiting = _build_queued(state, message, now)
     ahead = _count_ahead(state, waiting, now)
-    state.note_target(message.within_ms / MILLISECONDS)
-    state.rate.note_rank(message.rank, now=now)
+    state.note_target_seconds(message.within_ms / MILLISECONDS)
+    state.rate.note_request(message.rank, now=now)
     state.demand.note(
         message.pass_rank,
         stands_for=message.stands_for,
         now=now,
     )
-    if state.has_room_for(waiting, now) and not ahead:
+    if state.can_run(waiting, now) and not ahead:
         return [_admit(state, waiting, now)]
     return _enqueue(state, waiting, patient=message.patient, now=now)
 
 
-def _make_waiting(
+def _build_queued(
     state: AdmissionState,
-    message: Arrived,
+    message: RequestArrived,
     now: float,
-) -> Waiting:
-    seconds = state.find_seconds(message.work_class)
+) -> QueuedRequest:
+    seconds = state.find_run_seconds(message.work_class)
     within = message.within_ms / MILLISECONDS
-    due = now + within
-    latest = due - seconds
+    target_at = now + within
+    start_by = target_at - seconds
     if message.patient:
-        held = HELD_SHARE * (message.deadline - now)
-        latest = max(latest, now + held)
-    return Waiting(
+        held = MAX_HOLD_SHARE * (message.deadline - now)
+        start_by = max(start_by, now + held)
+    return QueuedRequest(
         rank=message.rank,
-        due=due,
+        target_at=target_at,
         ticket=message.ticket,
         deadline=message.deadline,
-        latest=min(latest, message.deadline),
-        seconds=seconds,
+        start_by=min(start_by, message.deadline),
+        run_seconds=seconds,
     )
 
 
 def _enqueue(
     state: AdmissionState,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     *,
     patient: bool,
     now: float,
 ) -> list[Verdict]:
     ahead = _count_ahead(state, waiting, now)
     start = now + state.estimate_wait(ahead, rank=waiting.rank, now=now)
-    if not _can_wait(waiting, start, patient=patient):
+    if not _may_queue(waiting, start, patient=patient):
         # An answer that cannot be in time is refused now, not late.
-        return [shed(state, waiting, now)]
+        return [refuse_overloaded(state, waiting, now)]
     insort(state.queue, waiting)
-    if len(state.queue) <= state.queue_most:
+    if len(state.queue) <= state.max_queue_length:
         return []
     # What can wait longest is shed first: the last of the queue.
-    return [shed(state, state.queue.pop(), now)]
+    return [refuse_overloaded(state, state.queue.pop(), now)]
 
 
-def _can_wait(waiting: Waiting, start: float, *, patient: bool) -> bool:
+def _may_queue(waiting: QueuedRequest, start: float, *, patient: bool) -> bool:
     if waiting.is_in_time(start):
-        return start + waiting.seconds <= waiting.deadline
-    if not patient or start > waiting.latest:
+        return start + waiting.run_seconds <= waiting.deadline
+    if not patient or start > waiting.start_by:
         return False
-    return start + waiting.seconds <= waiting.deadline
+    return start + waiting.run_seconds <= waiting.deadline
 
 
-def _count_ahead(state: AdmissionState, waiting: Waiting, now: float) -> int:
+def _count_ahead(
+    state: AdmissionState, waiting: QueuedRequest, now: float
+) -> int:
     in_time = waiting.is_in_time(now)
     return sum(
-        _goes_first(other, waiting, now, in_time) for other in state.queue
+        _runs_before(other, waiting, now, in_time) for other in state.queue
     )
 
 
-def _goes_first(
-    other: Waiting,
-    waiting: Waiting,
+def _runs_before(
+    other: QueuedRequest,
+    waiting: QueuedRequest,
     now: float,
     in_time: bool,
 ) -> bool:
@@ -133,16 +135,18 @@
     other_in_time = other.is_in_time(now)
     if other_in_time != in_time:
         return other_in_time
-    return other.due < waiting.due
+    return other.target_at < waiting.target_at
 
 
-def _admit(state: AdmissionState, waiting: Waiting, now: float) -> Admitted:
+def _admit(
+    state: AdmissionState, waiting: QueuedRequest, now: float
+) -> Admitted:
     state.running[waiting.ticket] = now
-    state.rate.take(now=now)
+    state.rate.take_token(now=now)
     return Admitted(ticket=waiting.ticket)
 
 
-def end_leases(state: AdmissionState, now: float) -> list[Verdict]:
+def expire_leases(state: AdmissionState, now: float) -> list[Verdict]:
     """Give back the slots whose run message did not come in time.
 
     Args:
@@ -171,7 +175,7 @@
     Returns:
         Verdicts on requests that waited.
     """
-    verdicts = _refuse_held(state, now)
+    verdicts = _refuse_overdue(state, now)
     following = _find_next(state, now)
     while following is not None:
         state.queue.remove(following)
@@ -180,25 +184,25 @@
     return verdicts
 
 
-def _refuse_held(state: AdmissionState, now: float) -> list[Verdict]:
-    held = [waiting for waiting in state.queue if waiting.latest <= now]
+def _refuse_overdue(state: AdmissionState, now: float) -> list[Verdict]:
+    held = [waiting for waiting in state.queue if waiting.start_by <= now]
     verdicts: list[Verdict] = []
     for waiting in held:
         state.queue.remove(waiting)
         # With a slot free now it runs after all, though late.
-        if waiting.deadline > now and state.has_room_for(waiting, now):
+        if waiting.deadline > now and state.can_run(waiting, now):
             verdicts.append(_admit(state, waiting, now))
         else:
-            verdicts.append(refuse_late(state, waiting, now))
+            verdicts.append(refuse_overdue(state, waiting, now))
     return verdicts
 
 
-def _find_next(state: AdmissionState, now: float) -> Waiting | None:
-    late: Waiting | None = None
+def _find_next(state: AdmissionState, now: float) -> QueuedRequest | None:
+    late: QueuedRequest | None = None
     for waiting in state.queue:
         if late is not None and waiting.rank > late.rank:
             return late
-        if not state.has_room_for(waiting, now):
+        if not state.can_run(waiting, now):
             continue
         if waiting.is_in_time(now):
             return waiting
--- a/wagtaildale/admission/rates.py
+++ b/wagtaildale/admission/rates.py
@@ -17,12 +17,12 @@
 # not come evenly.
 BURST_SECONDS: Final = 0.5
 # A token to run, and one that is kept for more important requests.
-LEAST_BURST: Final = 2.0
-KEPT_TOKENS: Final = 1.0
+MIN_BURST_TOKENS: Final = 2.0
+RESERVED_TOKENS: Final = 1.0
 # A server that named none would never be heard to take requests again.
-LEAST_PER_SECOND: Final = 0.5
+MIN_PER_SECOND: Final = 0.5
 # For so long tokens are kept for a rank of which a request came.
-RANK_SECONDS: Final = 2.0
+RANK_ACTIVE_SECONDS: Final = 2.0
 
 
 class RateLimit(Struct, kw_only=True):
@@ -30,27 +30,27 @@
 
     Attributes:
         per_second: that it takes; nothing while it names no limit.
-        is_heard: whether this process has heard the server itself.
+        is_observed: whether this process has heard the server itself.
         tokens: as last counted.
         counted_at: when that was, seconds.
-        told_from: when the run began whose answer named the limit, or ended
+        source_sent_at: when the run began whose answer named the limit, or ended
             it, seconds.
-        ranks: when a request of each rank came last, seconds.
+        last_seen_by_rank: when a request of each rank came last, seconds.
     """
 
     per_second: float | None = None
-    is_heard: bool = False
+    is_observed: bool = False
     tokens: float = 0
     counted_at: float = 0
-    told_from: float = -inf
-    ranks: dict[int, float] = field(default_factory=dict)
+    source_sent_at: float = -inf
+    last_seen_by_rank: dict[int, float] = field(default_factory=dict)
 
     @property
-    def is_named(self) -> bool:
+    def is_limited(self) -> bool:
         """Whether the server names a limit."""
         return self.per_second is not None
 
-    def note_told(
+    def note_answer(
         self,
         per_second: float | None,
         *,
@@ -68,13 +68,13 @@
             begun_at: when its request was sent to the server, seconds.
             now: seconds.
         """
-        is_later = begun_at >= self.told_from or not self.is_heard
+        is_later = begun_at >= self.source_sent_at or not self.is_observed
         if is_later or _is_lower(per_second, self.per_second):
-            self.told_from = max(self.told_from, begun_at)
-            self._change(per_second, now)
-        self.is_heard = True
+            self.source_sent_at = max(self.source_sent_at, begun_at)
+            self._set_rate(per_second, now)
+        self.is_observed = True
 
-    def note_brought(self, per_second: float, *, now: float) -> None:
+    def note_forwarded(self, per_second: float, *, now: float) -> None:
         """Note a limit that an entry has heard from an earlier owner.
 
         Failure guarded here: an owner that has just started lets as many
@@ -84,23 +84,23 @@
             per_second: the limit.
             now: seconds.
         """
-        if not self.is_heard and _is_lower(per_second, self.per_second):
-            self._change(per_second, now)
+        if not self.is_observed and _is_lower(per_second, self.per_second):
+            self._set_rate(per_second, now)
 
-    def note_started(self) -> None:
+    def note_restart(self) -> None:
         """Note that the server has started anew: it has named nothing yet."""
         self.per_second = None
-        self.is_heard = True
-        self.told_from = -inf
+        self.is_observed = True
+        self.source_sent_at = -inf
 
-    def note_rank(self, rank: int, *, now: float) -> None:
+    def note_request(self, rank: int, *, now: float) -> None:
         """Note that a request comes.
 
         Args:
             rank: of its class; 0 goes first.
             now: seconds.
         """
-        self.ranks[rank] = now
+        self.last_seen_by_rank[rank] = now
 
     def has_token(self, rank: int, *, now: float) -> bool:
         """Tell whether a request may go to the server now.
@@ -114,14 +114,14 @@
         """
         return self.find_wait(rank, ahead=0, now=now) <= 0
 
-    def take(self, *, now: float) -> None:
+    def take_token(self, *, now: float) -> None:
         """Take a token: a request goes to the server.
 
         Args:
             now: seconds.
         """
         if self.per_second is not None:
-            self._count(now)
+            self._refill(now)
             self.tokens -= 1
 
     def find_wait(self, rank: int, *, ahead: int, now: float) -> float:
@@ -137,38 +137,38 @@
         """
         if self.per_second is None:
             return 0
-        self._count(now)
-        missing = ahead + 1 + self._find_kept(rank, now) - self.tokens
-        return max(0, missing / _bound(self.per_second))
+        self._refill(now)
+        missing = ahead + 1 + self._find_reserved(rank, now) - self.tokens
+        return max(0, missing / _clamp_rate(self.per_second))
 
-    def _find_kept(self, rank: int, now: float) -> float:
+    def _find_reserved(self, rank: int, now: float) -> float:
         # Failure: whatever comes first takes each token, and a booking meets
         # an empty bucket as often as a report does.
-        return KEPT_TOKENS * any(
-            other < rank and now - at < RANK_SECONDS
-            for other, at in self.ranks.items()
+        return RESERVED_TOKENS * any(
+            other < rank and now - at < RANK_ACTIVE_SECONDS
+            for other, at in self.last_seen_by_rank.items()
         )
 
-    def _change(self, per_second: float | None, now: float) -> None:
+    def _set_rate(self, per_second: float | None, now: float) -> None:
         if self.per_second is None:
             # The server has just had more than it can bear.
             self.tokens = 1
             self.counted_at = now
-        self._count(now)
+        self._refill(now)
         self.per_second = per_second
-        self._count(now)
+        self._refill(now)
 
-    def _count(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if self.per_second is None:
             return
-        rate = _bound(self.per_second)
+        rate = _clamp_rate(self.per_second)
         grown = self.tokens + (now - self.counted_at) * rate
-        self.tokens = min(grown, max(LEAST_BURST, rate * BURST_SECONDS))
+        self.tokens = min(grown, max(MIN_BURST_TOKENS, rate * BURST_SECONDS))
         self.counted_at = now
 
 
-def _bound(per_second: float) -> float:
-    return max(LEAST_PER_SECOND, per_second)
+def _clamp_rate(per_second: float) -> float:
+    return max(MIN_PER_SECOND, per_second)
 
 
 def _is_lower(per_second: float | None, known: float | None) -> bool:
--- a/wagtaildale/admission/refusals.py
+++ b/wagtaildale/admission/refusals.py
@@ -9,12 +9,12 @@
 
 if TYPE_CHECKING:
     from wagtaildale.admission.messages import Verdict
-    from wagtaildale.admission.state import AdmissionState, Waiting
+    from wagtaildale.admission.state import AdmissionState, QueuedRequest
 
 
-def refuse_late(
+def refuse_overdue(
     state: AdmissionState,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     now: float,
 ) -> Refused:
     """Refuse a request that was held for too long.
@@ -28,11 +28,13 @@
         The refusal.
     """
     if state.rate.has_token(waiting.rank, now=now):
-        return refuse(state, waiting, Code.past_deadline, now)
-    return refuse(state, waiting, Code.rate_limited, now)
+        return build_refusal(state, waiting, Code.past_deadline, now)
+    return build_refusal(state, waiting, Code.rate_limited, now)
 
 
-def shed(state: AdmissionState, waiting: Waiting, now: float) -> Refused:
+def refuse_overloaded(
+    state: AdmissionState, waiting: QueuedRequest, now: float
+) -> Refused:
     """Refuse a request that there is no room for.
 
     Args:
@@ -46,7 +48,7 @@
     ahead = len(state.queue)
     slot_wait = state.estimate_slot_wait(ahead)
     if state.rate.find_wait(waiting.rank, ahead=ahead, now=now) > slot_wait:
-        return refuse(state, waiting, Code.rate_limited, now)
+        return build_refusal(state, waiting, Code.rate_limited, now)
     return Refused(
         ticket=waiting.ticket,
         code=Code.overloaded,
@@ -54,9 +56,9 @@
     )
 
 
-def refuse(
+def build_refusal(
     state: AdmissionState,
-    waiting: Waiting,
+    waiting: QueuedRequest,
     code: Code,
     now: float,
 ) -> Refused:
@@ -94,7 +96,7 @@
     return [Refused(ticket=each.ticket, code=code) for each in waiting]
 
 
-def refuse_hopeless(state: AdmissionState, now: float) -> list[Verdict]:
+def refuse_rate_limited(state: AdmissionState, now: float) -> list[Verdict]:
     """Refuse those in the queue that a named rate leaves no time for.
 
     Failure guarded here: a limit is named or falls, and requests that were
@@ -108,13 +110,15 @@
     Returns:
         The refusals.
     """
-    kept: list[Waiting] = []
+    kept: list[QueuedRequest] = []
     verdicts: list[Verdict] = []
     for waiting in state.queue:
         wait = state.rate.find_wait(waiting.rank, ahead=len(kept), now=now)
-        if now + wait <= waiting.latest:
+        if now + wait <= waiting.start_by:
             kept.append(waiting)
         else:
-            verdicts.append(refuse(state, waiting, Code.rate_limited, now))
+            verdicts.append(
+                build_refusal(state, waiting, Code.rate_limited, now)
+            )
     state.queue = kept
     return verdicts
--- a/wagtaildale/admission/replays.py
+++ b/wagtaildale/admission/replay_cache.py
@@ -13,8 +13,8 @@
 
 from msgspec import Struct
 
-ANSWERS_KEPT: Final = 1024
-LARGEST_ANSWER: Final = 65_536
+MAX_KEYS: Final = 1024
+MAX_ANSWER_BYTES: Final = 65_536
 
 
 @final
@@ -26,7 +26,7 @@
     answered = 'answered'
 
 
-class KeptAnswer(Struct, frozen=True, kw_only=True):
+class StoredAnswer(Struct, frozen=True, kw_only=True):
     """An answer of the backend server.
 
     Attributes:
@@ -44,14 +44,14 @@
     """A key and what became of its request."""
 
     state: KeyState
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
-class Replays:
+class ReplayCache:
     """Keys seen by one owner, the latest ones.
 
     Example:
-        >>> replays = Replays()
+        >>> replays = ReplayCache()
         >>> replays.begin('k').state is KeyState.fresh
         True
         >>> replays.begin('k').state is KeyState.running
@@ -76,11 +76,11 @@
         if known is not None:
             return known
         self._entries[key] = KeyEntry(state=KeyState.running)
-        if len(self._entries) > ANSWERS_KEPT:
+        if len(self._entries) > MAX_KEYS:
             self._entries.popitem(last=False)
         return KeyEntry(state=KeyState.fresh)
 
-    def keep(self, key: str, answer: KeptAnswer | None) -> None:
+    def store(self, key: str, answer: StoredAnswer | None) -> None:
         """Keep the answer of a request that ran.
 
         Args:
--- a/wagtaildale/admission/usual.py
+++ b/wagtaildale/admission/run_times.py
@@ -7,15 +7,15 @@
 from msgspec import Struct
 
 # Of a run in the usual time of its class: thirty of them make most of it.
-USUAL_GAIN: Final = 0.03
+MEAN_GAIN: Final = 0.03
 # Of a run in the time that the class takes now: ten of them make most of it.
 # Fewer would tell the luck of single runs, and what is told is kept for long.
 RECENT_GAIN: Final = 0.1
 # Single runs differ by a third; the mean of ten is known to a tenth.
-RUNS_TO_TELL: Final = 10
+MIN_RUNS: Final = 10
 
 
-class UsualTime(Struct, kw_only=True, gc=False):
+class RunTimes(Struct, kw_only=True, gc=False):
     """What requests of a class take at one backend server.
 
     Attributes:
@@ -29,14 +29,14 @@
     recent: float = 0
 
     @property
-    def told(self) -> float:
+    def reliable_mean(self) -> float:
         """Seconds that entries are told; 0 while the runs are too few.
 
         Failure guarded here: the first run at a server opens a connection,
         or meets a cold cache. Told as usual it keeps every entry away for
         as long as they believe it, and no second run shows it wrong.
         """
-        return self.mean if self.runs >= RUNS_TO_TELL else 0
+        return self.mean if self.runs >= MIN_RUNS else 0
 
     def note(self, seconds: float) -> None:
         """Note a run.
@@ -46,7 +46,7 @@
         """
         self.runs += 1
         gain = 1 / self.runs
-        self.mean += (seconds - self.mean) * max(USUAL_GAIN, gain)
+        self.mean += (seconds - self.mean) * max(MEAN_GAIN, gain)
         self.recent += (seconds - self.recent) * max(RECENT_GAIN, gain)
 
     def note_abandoned(self, seconds: float) -> None:
--- a/wagtaildale/admission/server_messages.py
+++ b/wagtaildale/admission/server_messages.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 
-class SlotsTold(Struct, frozen=True, kw_only=True, gc=False):
+class SlotsPublished(Struct, frozen=True, kw_only=True, gc=False):
     """The backend server has published how many requests it runs at once.
 
     Attributes:
@@ -16,7 +16,7 @@
     slots: int
 
 
-class RateTold(Struct, frozen=True, kw_only=True, gc=False):
+class RateReported(Struct, frozen=True, kw_only=True, gc=False):
     """The backend server has answered, and perhaps named a rate.
 
     Attributes:
@@ -28,7 +28,7 @@
     begun_at: float
 
 
-class RateBrought(Struct, frozen=True, kw_only=True, gc=False):
+class RateForwarded(Struct, frozen=True, kw_only=True, gc=False):
     """An entry has heard of a rate from an earlier owner of the server.
 
     Attributes:
@@ -38,11 +38,11 @@
     per_second: float
 
 
-class ServerStarted(Struct, frozen=True, kw_only=True, gc=False):
+class ServerRestarted(Struct, frozen=True, kw_only=True, gc=False):
     """The backend server has ended; the next one has named nothing."""
 
 
-class ServerLeaves(Struct, frozen=True, kw_only=True, gc=False):
+class LeavingReported(Struct, frozen=True, kw_only=True, gc=False):
     """The backend server has said that it leaves: nobody waits for it."""
 
 
@@ -51,10 +51,10 @@
 
 
 ServerMessage = (
-    SlotsTold
-    | RateTold
-    | RateBrought
-    | ServerStarted
-    | ServerLeaves
+    SlotsPublished
+    | RateReported
+    | RateForwarded
+    | ServerRestarted
+    | LeavingReported
     | ProbeSent
 )
--- a/wagtaildale/admission/shares.py
+++ b/wagtaildale/admission/shares.py
@@ -26,19 +26,19 @@
     from collections.abc import Mapping
 
 # Shares go between nodes in ten-thousandths.
-PARTS: Final = 10_000
+PARTS_PER_WHOLE: Final = 10_000
 # Of the load that was; a burst is known within a second of its begin.
-MEMORY_SECONDS: Final = 1.0
+DECAY_SECONDS: Final = 1.0
 # Of the share of all requests that pass: what each class has at the least, so
 # that none is turned away altogether for a more important one.
-LEAST_OF_EVEN: Final = 0.3
+MIN_SHARE_OF_EVEN: Final = 0.3
 # Some requests of each rank must come, or it is not known that they would.
-LEAST_PARTS: Final = 2
-LEAST_IMPORTANT: Final = 255
-LATE: Final = 3
+MIN_PARTS: Final = 2
+LOWEST_RANK: Final = 255
+LATE_RANK_OFFSET: Final = 3
 # Between two tellings, and by how much a share differs from what was told.
-TELL_SECONDS: Final = 0.25
-TELL_FACTOR: Final = 1.3
+ANNOUNCE_INTERVAL_SECONDS: Final = 0.25
+ANNOUNCE_RATIO: Final = 1.3
 
 
 def find_pass_rank(rank: int, *, is_late: bool) -> int:
@@ -51,7 +51,7 @@
     Returns:
         Even in time; odd if late, behind those in time of the next class.
     """
-    return 2 * rank + LATE * is_late
+    return 2 * rank + LATE_RANK_OFFSET * is_late
 
 
 class PassShare(Struct, frozen=True, array_like=True, gc=False):
@@ -60,12 +60,12 @@
     Attributes:
         rank: all those of more important ranks pass; see ``find_pass_rank``.
         parts: of this rank.
-        rest_parts: of less important ones that can be in time.
+        lower_rank_parts: of less important ones that can be in time.
     """
 
-    rank: int = LEAST_IMPORTANT
-    parts: int = PARTS
-    rest_parts: int = PARTS
+    rank: int = LOWEST_RANK
+    parts: int = PARTS_PER_WHOLE
+    lower_rank_parts: int = PARTS_PER_WHOLE
 
     def find(self, rank: int) -> float:
         """Find the share of a rank that passes.
@@ -74,14 +74,14 @@
             rank: see ``find_pass_rank``.
 
         Returns:
-            From ``LEAST_PARTS`` to 1.
+            From ``MIN_PARTS`` to 1.
         """
         if rank < self.rank:
             return 1
-        parts = LEAST_PARTS if rank % 2 else self.rest_parts
+        parts = MIN_PARTS if rank % 2 else self.lower_rank_parts
         if rank == self.rank:
             parts = self.parts
-        return min(PARTS, max(LEAST_PARTS, parts)) / PARTS
+        return min(PARTS_PER_WHOLE, max(MIN_PARTS, parts)) / PARTS_PER_WHOLE
 
 
 ALL_PASS: Final = PassShare()
@@ -91,16 +91,16 @@
     """Requests a second that would come if all of them passed.
 
     Attributes:
-        amounts: by rank, requests of about ``MEMORY_SECONDS``.
+        amounts: by rank, requests of about ``DECAY_SECONDS``.
         counted_at: when that was, seconds.
-        told: which share entries were told last.
-        told_at: when that was, seconds.
+        announced: which share entries were told last.
+        announced_at: when that was, seconds.
     """
 
     amounts: dict[int, float] = field(default_factory=dict)
     counted_at: float = 0
-    told: PassShare = ALL_PASS
-    told_at: float = 0
+    announced: PassShare = ALL_PASS
+    announced_at: float = 0
 
     def note(self, rank: int, *, stands_for: float, now: float) -> None:
         """Count a request.
@@ -110,7 +110,7 @@
             stands_for: how many such requests it was drawn among.
             now: seconds.
         """
-        self._fade(now)
+        self._decay(now)
         self.amounts[rank] = self.amounts.get(rank, 0) + stands_for
 
     def measure(self, now: float) -> float:
@@ -123,10 +123,12 @@
             Requests a second.
         """
         # Metrics are read by another thread: nothing is moved forward here.
-        kept = exp((self.counted_at - now) / MEMORY_SECONDS)
-        return kept * sum(tuple(self.amounts.values())) / MEMORY_SECONDS
+        kept = exp((self.counted_at - now) / DECAY_SECONDS)
+        return kept * sum(tuple(self.amounts.values())) / DECAY_SECONDS
 
-    def share_out(self, per_second: float | None, *, now: float) -> PassShare:
+    def compute_pass_share(
+        self, per_second: float | None, *, now: float
+    ) -> PassShare:
         """Share what a server takes out to the ranks.
 
         Args:
@@ -138,16 +140,16 @@
         """
         if per_second is None:
             return ALL_PASS
-        self._fade(now)
-        return _share_out(
+        self._decay(now)
+        return _divide_rate(
             per_second,
             {
-                rank: amount / MEMORY_SECONDS
+                rank: amount / DECAY_SECONDS
                 for rank, amount in self.amounts.items()
             },
         )
 
-    def take_change(self, share: PassShare, *, now: float) -> bool:
+    def update_announcement(self, share: PassShare, *, now: float) -> bool:
         """Find whether entries are to be told of a share, and note it.
 
         Args:
@@ -157,22 +159,25 @@
         Returns:
             Whether it differs from what they know.
         """
-        if now - self.told_at < TELL_SECONDS or not _differs(share, self.told):
+        if (
+            now - self.announced_at < ANNOUNCE_INTERVAL_SECONDS
+            or not _needs_announcement(share, self.announced)
+        ):
             return False
-        self.told = share
-        self.told_at = now
+        self.announced = share
+        self.announced_at = now
         return True
 
-    def _fade(self, now: float) -> None:
-        kept = exp((self.counted_at - now) / MEMORY_SECONDS)
+    def _decay(self, now: float) -> None:
+        kept = exp((self.counted_at - now) / DECAY_SECONDS)
         self.counted_at = now
         for rank in self.amounts:
             self.amounts[rank] *= kept
 
 
-def _share_out(per_second: float, demand: Mapping[int, float]) -> PassShare:
+def _divide_rate(per_second: float, demand: Mapping[int, float]) -> PassShare:
     in_time = sum(often for rank, often in demand.items() if not rank % 2)
-    least = LEAST_OF_EVEN * min(1, per_second / max(1, in_time))
+    least = MIN_SHARE_OF_EVEN * min(1, per_second / max(1, in_time))
     kept = {rank: 0 if rank % 2 else least for rank in demand}
     left = per_second - least * in_time
     for rank in sorted(demand):
@@ -188,11 +193,11 @@
 
 
 def _to_parts(share: float) -> int:
-    return max(LEAST_PARTS, round(share * PARTS))
+    return max(MIN_PARTS, round(share * PARTS_PER_WHOLE))
 
 
-def _differs(share: PassShare, other: PassShare) -> bool:
+def _needs_announcement(share: PassShare, other: PassShare) -> bool:
     if share.rank != other.rank:
         return True
     ratio = share.parts / max(1, other.parts)
-    return not 1 / TELL_FACTOR < ratio < TELL_FACTOR
+    return not 1 / ANNOUNCE_RATIO < ratio < ANNOUNCE_RATIO
--- a/wagtaildale/admission/condition.py
+++ b/wagtaildale/admission/slowness.py
@@ -15,34 +15,34 @@
 
 # Of a run: five of them make most of the ratio, and one that takes several
 # times its usual time, as one in a hundred does, makes nothing of it.
-GAIN: Final = 0.2
+SLOWDOWN_GAIN: Final = 0.2
 # Of a faster run while it is slow: few requests come to a server that is told
 # to be slow, and five of them are to show that it is well.
-WELL_GAIN: Final = 0.4
-MOST_RATIO: Final = 5.0
+RECOVERY_GAIN: Final = 0.4
+MAX_RATIO: Final = 5.0
 # A server of twice its time misses the targets of short requests. Runs differ
 # by a third of their mean; what lies between the two changes nothing.
 SLOW_RATIO: Final = 2.0
-WELL_RATIO: Final = 1.4
+RECOVERED_RATIO: Final = 1.4
 # Between two tellings: a server at the edge does not tell it with each run.
-TELL_SECONDS: Final = 0.5
+ANNOUNCE_INTERVAL_SECONDS: Final = 0.5
 
 
-class Condition(Struct, kw_only=True, gc=False):
+class Slowness(Struct, kw_only=True, gc=False):
     """The time of a backend server's runs now over their usual time.
 
     Attributes:
         ratio: of some five runs.
         is_slow: what entries were told last.
-        told_at: when they were told, seconds.
+        announced_at: when they were told, seconds.
     """
 
     ratio: float = 1
     is_slow: bool = False
-    told_at: float = 0
+    announced_at: float = 0
 
     @property
-    def told_ratio(self) -> float:
+    def announced_ratio(self) -> float:
         """What entries are told: what it is while it is slow, else 1.
 
         A server that is well again is on its way to its usual time; what is
@@ -56,8 +56,12 @@
         Args:
             ratio: of its time over the usual time of its class.
         """
-        gain = WELL_GAIN if self.is_slow and ratio < self.ratio else GAIN
-        self.ratio += (min(MOST_RATIO, ratio) - self.ratio) * gain
+        gain = (
+            RECOVERY_GAIN
+            if self.is_slow and ratio < self.ratio
+            else SLOWDOWN_GAIN
+        )
+        self.ratio += (min(MAX_RATIO, ratio) - self.ratio) * gain
 
     def note_abandoned(self, ratio: float) -> None:
         """Note a run that was given up: it would have taken longer.
@@ -68,7 +72,7 @@
         if ratio > self.ratio:
             self.note(ratio)
 
-    def take_change(self, *, now: float) -> bool:
+    def update_announcement(self, *, now: float) -> bool:
         """Find whether entries are to be told of a change, and note it.
 
         Args:
@@ -77,10 +81,13 @@
         Returns:
             Whether it began or ended and the last telling was not just now.
         """
-        edge = WELL_RATIO if self.is_slow else SLOW_RATIO
+        edge = RECOVERED_RATIO if self.is_slow else SLOW_RATIO
         is_slow = self.ratio > edge
-        if is_slow is self.is_slow or now - self.told_at < TELL_SECONDS:
+        if (
+            is_slow is self.is_slow
+            or now - self.announced_at < ANNOUNCE_INTERVAL_SECONDS
+        ):
             return False
         self.is_slow = is_slow
-        self.told_at = now
+        self.announced_at = now
         return True
--- a/wagtaildale/admission/tests/gates.py
+++ b/wagtaildale/admission/tests/gates.py
@@ -9,13 +9,13 @@
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
-    Finished,
     Refused,
+    RequestArrived,
+    RequestFinished,
     TicketId,
     TimePassed,
 )
-from wagtaildale.admission.server_messages import RateTold, SlotsTold
+from wagtaildale.admission.server_messages import RateReported, SlotsPublished
 from wagtaildale.admission.state import make_admission
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 SLOTS: Final = 10
 
 
-class LoadedGate:
+class SimulatedGate:
     """A gate, its server and callers that ask evenly.
 
     Attributes:
@@ -47,7 +47,7 @@
         self._tickets = count(1)
         self._ranks: dict[TicketId, int] = {}
         self._runs: list[tuple[float, float, TicketId]] = []
-        self._tell(SlotsTold(slots=slots))
+        self._tell(SlotsPublished(slots=slots))
 
     def run(self, seconds: float, *, per_second: dict[int, float]) -> None:
         """Let callers ask for a while.
@@ -70,7 +70,7 @@
         ticket = TicketId(next(self._tickets))
         self._ranks[ticket] = rank
         self._tell(
-            Arrived(
+            RequestArrived(
                 ticket=ticket,
                 within_ms=within_ms,
                 deadline=self.now + PATIENCE_SECONDS,
@@ -84,7 +84,7 @@
             at >= since and rank in {None, known} for at, known in self.arrivals
         )
 
-    def find_most(self, window: float, *, since: float = 0) -> int:
+    def find_max_arrivals(self, window: float, *, since: float = 0) -> int:
         """Find the most requests that went to the server in any window."""
         times = [at for at, _rank in self.arrivals if at >= since]
         return max(
@@ -99,9 +99,9 @@
         self.now += STEP_SECONDS
         while self._runs and self._runs[0][0] <= self.now:
             _ends_at, begun_at, ticket = heapq.heappop(self._runs)
-            told = RateTold(per_second=self.limit, begun_at=begun_at)
+            told = RateReported(per_second=self.limit, begun_at=begun_at)
             self._tell(told)
-            self._tell(Finished(ticket=ticket, seconds=RUN_SECONDS))
+            self._tell(RequestFinished(ticket=ticket, seconds=RUN_SECONDS))
         self._tell(TimePassed())
 
     def _tell(self, message: GateMessage) -> None:
--- a/wagtaildale/admission/tests/test_decisions.py
+++ b/wagtaildale/admission/tests/test_decisions.py
@@ -5,9 +5,9 @@
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
-    Finished,
     Refused,
+    RequestArrived,
+    RequestFinished,
     TicketId,
     TimePassed,
     Verdict,
@@ -28,7 +28,7 @@
     seconds: float = 20,
     now: float = 0,
 ) -> list[Verdict]:
-    arrived = Arrived(
+    arrived = RequestArrived(
         ticket=TicketId(number),
         within_ms=within_ms,
         deadline=now + seconds,
@@ -37,14 +37,14 @@
 
 
 def finish(state: AdmissionState, number: int, *, now: float) -> list[Verdict]:
-    finished = Finished(ticket=TicketId(number), seconds=0.08)
+    finished = RequestFinished(ticket=TicketId(number), seconds=0.08)
     return decide_admission(finished, state, now=now)
 
 
 def build_busy(slots: int = SLOTS) -> AdmissionState:
     state = make_admission(slots)
     state.service_seconds = 0.08
-    state.usual_seconds = 0.08
+    state.baseline_seconds = 0.08
     for number in range(1, slots + 1):
         arrive(state, number, within_ms=LOOKUP_MS)
     return state
@@ -87,7 +87,7 @@
     """
     state = build_busy()
     state.class_seconds['short'] = 0.001
-    arrived = Arrived(
+    arrived = RequestArrived(
         ticket=TicketId(9),
         within_ms=1000,
         deadline=1,
@@ -109,7 +109,7 @@
 def test_full_queue_sheds_what_can_wait_longest() -> None:
     state = build_busy()
     state.service_seconds = 0.0001
-    most = state.queue_most
+    most = state.max_queue_length
     for number in range(100, 100 + most):
         arrive(state, number, within_ms=REPORT_MS)
     verdicts = arrive(state, 9, within_ms=LOOKUP_MS)
@@ -143,7 +143,7 @@
 
 def test_second_attempt_takes_only_a_free_slot() -> None:
     """Under overload second attempts take the slots of first ones."""
-    spare = Arrived(
+    spare = RequestArrived(
         ticket=TicketId(9),
         within_ms=0,
         deadline=1,
@@ -166,7 +166,7 @@
     for number in range(11, 15):
         arrive(state, number, within_ms=140, seconds=1.2)
     late = decide_admission(
-        Arrived(ticket=TicketId(20), within_ms=70, deadline=1.2),
+        RequestArrived(ticket=TicketId(20), within_ms=70, deadline=1.2),
         state,
         now=0,
     )
--- a/wagtaildale/admission/tests/test_limits.py
+++ b/wagtaildale/admission/tests/test_limits.py
@@ -6,8 +6,8 @@
 
 from wagtaildale.admission.limits import Ending, adjust_limit
 from wagtaildale.admission.messages import TicketId
+from wagtaildale.admission.run_times import MIN_RUNS
 from wagtaildale.admission.state import AdmissionState, make_admission
-from wagtaildale.admission.usual import RUNS_TO_TELL
 
 SLOTS = 8
 
@@ -82,11 +82,11 @@
             )
 
     run(0.1, 1)
-    assert not state.find_usual(work_class).told
-    run(0.001, RUNS_TO_TELL - 1)
-    assert 0.001 < state.find_usual(work_class).told < 0.02
+    assert not state.find_run_times(work_class).reliable_mean
+    run(0.001, MIN_RUNS - 1)
+    assert 0.001 < state.find_run_times(work_class).reliable_mean < 0.02
     run(0.001, 100)
-    assert state.find_usual(work_class).told < 0.002
+    assert state.find_run_times(work_class).reliable_mean < 0.002
 
 
 def test_server_whose_runs_are_all_given_up_is_known_to_be_slow() -> None:
@@ -107,9 +107,9 @@
             now=0,
             work_class='files/lookup',
         )
-    usual = state.find_usual('files/lookup')
+    usual = state.find_run_times('files/lookup')
     assert usual.recent > 0.5
-    assert usual.told == pytest.approx(0.2)
+    assert usual.reliable_mean == pytest.approx(0.2)
 
 
 def test_run_that_is_given_up_early_tells_nothing() -> None:
@@ -123,4 +123,4 @@
             now=0,
             work_class='files/lookup',
         )
-    assert state.find_usual('files/lookup').recent == pytest.approx(0.2)
+    assert state.find_run_times('files/lookup').recent == pytest.approx(0.2)
--- a/wagtaildale/admission/tests/test_rates.py
+++ b/wagtaildale/admission/tests/test_rates.py
@@ -9,18 +9,18 @@
 from wagtaildale.admission.decisions import decide_admission
 from wagtaildale.admission.messages import (
     Admitted,
-    Finished,
     Refused,
+    RequestFinished,
     TicketId,
 )
 from wagtaildale.admission.rates import RateLimit
 from wagtaildale.admission.server_messages import (
     ProbeSent,
-    RateBrought,
-    RateTold,
-    ServerStarted,
+    RateForwarded,
+    RateReported,
+    ServerRestarted,
 )
-from wagtaildale.admission.tests.gates import RUN_SECONDS, LoadedGate
+from wagtaildale.admission.tests.gates import RUN_SECONDS, SimulatedGate
 from wagtaildale.errors.codes import Code
 
 WINDOW: Final = 4.0
@@ -42,11 +42,11 @@
     asked: float,
 ) -> None:
     """A quick server gets many times its rate with few requests running."""
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = limit
     gate.run(12, per_second={USUAL: asked})
     told = 4 * RUN_SECONDS
-    assert gate.find_most(WINDOW, since=told) <= find_allowed(limit)
+    assert gate.find_max_arrivals(WINDOW, since=told) <= find_allowed(limit)
     taken = gate.count_arrivals(told)
     assert taken >= 0.9 * min(asked, limit) * (12 - told) - 2
 
@@ -55,14 +55,14 @@
 def test_limit_that_changes_is_followed(limits: tuple[float, float]) -> None:
     """A server lowers its limit, and gets as many as before."""
     before, after = limits
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = before
     gate.run(6, per_second={USUAL: 200})
     gate.limit = after
     gate.run(6, per_second={USUAL: 200})
     # At a low rate the next answer may take as long as a token.
     told = 6 + 4 * RUN_SECONDS + 1 / before
-    assert gate.find_most(WINDOW, since=told) <= find_allowed(after)
+    assert gate.find_max_arrivals(WINDOW, since=told) <= find_allowed(after)
     last = gate.count_arrivals(gate.now - WINDOW)
     assert last >= 0.9 * min(after, 200) * WINDOW - 2
 
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize('limit', [0, 0.2, 10])
 def test_limit_ends_when_the_server_names_none(limit: float) -> None:
     """A server is well again, and nobody asks it to find out."""
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = limit
     gate.run(4, per_second={USUAL: 100})
     gate.limit = None
@@ -80,7 +80,7 @@
 
 def test_burst_after_a_quiet_spell_is_bounded() -> None:
     """Nobody asks for a minute, and a server in need gets a minute's worth."""
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = 10
     gate.run(2, per_second={USUAL: 100})
     gate.now += 60
@@ -92,20 +92,20 @@
 def test_answers_of_older_requests_do_not_end_a_limit() -> None:
     """Answers to requests from before the need come after it was named."""
     rate = RateLimit()
-    rate.note_told(5, begun_at=2, now=3)
-    rate.note_told(None, begun_at=1, now=4)
-    rate.note_told(50, begun_at=1, now=4)
+    rate.note_answer(5, begun_at=2, now=3)
+    rate.note_answer(None, begun_at=1, now=4)
+    rate.note_answer(50, begun_at=1, now=4)
     assert rate.per_second == 5
-    rate.note_told(4, begun_at=1, now=4)
+    rate.note_answer(4, begun_at=1, now=4)
     assert rate.per_second == 4
-    rate.note_told(None, begun_at=3, now=5)
+    rate.note_answer(None, begun_at=3, now=5)
     assert rate.per_second is None
 
 
 def test_limit_that_entries_bring_counts_until_the_server_is_heard() -> None:
     """An owner that has just started knows no limit of its server."""
-    gate = LoadedGate()
-    brought = RateBrought(per_second=2)
+    gate = SimulatedGate()
+    brought = RateForwarded(per_second=2)
     decide_admission(brought, gate.state, now=gate.now)
     for _time in range(20):
         gate.ask()
@@ -117,11 +117,11 @@
 
 def test_server_that_starts_anew_has_named_nothing() -> None:
     """A server is back after its end, and is held to an old limit."""
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = 1
     gate.run(2, per_second={USUAL: 50})
     gate.limit = None
-    decide_admission(ServerStarted(), gate.state, now=gate.now)
+    decide_admission(ServerRestarted(), gate.state, now=gate.now)
     since = gate.now
     gate.run(1, per_second={USUAL: 50})
     assert gate.count_arrivals(since) >= 45
@@ -130,10 +130,10 @@
 def test_requests_of_the_node_itself_count() -> None:
     """A server in need gets health checks beside all that it takes."""
     rate = RateLimit()
-    rate.note_told(1, begun_at=0, now=0)
-    rate.take(now=0)
+    rate.note_answer(1, begun_at=0, now=0)
+    rate.take_token(now=0)
     before = rate.find_wait(USUAL, ahead=0, now=0)
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.state.rate = rate
     decide_admission(ProbeSent(), gate.state, now=0)
     assert rate.find_wait(USUAL, ahead=0, now=0) == before + 1
@@ -141,7 +141,7 @@
 
 def test_least_important_are_refused_first() -> None:
     """Bookings meet an empty bucket as often as reports do."""
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = 30
     gate.run(8, per_second={URGENT: 20, USUAL: 100})
     since = 2
@@ -152,7 +152,7 @@
 
 def test_requests_that_a_new_limit_leaves_no_time_are_refused_at_once() -> None:
     """Callers in the queue wait until they are late, only to be refused."""
-    gate = LoadedGate(slots=1)
+    gate = SimulatedGate(slots=1)
     for _time in range(4):
         gate.ask()
     assert not gate.refusals
@@ -164,7 +164,7 @@
 
 def test_refusal_says_when_the_rate_allows_another() -> None:
     """Callers come back at once to a server that takes one in two seconds."""
-    gate = LoadedGate()
+    gate = SimulatedGate()
     gate.limit = 0.5
     gate.run(2, per_second={USUAL: 50})
     last = gate.refusals[-1][0]
@@ -174,13 +174,13 @@
 
 def test_answer_without_a_limit_turns_nobody_away() -> None:
     """A request whose turn has come is refused by the answer before it."""
-    gate = LoadedGate(slots=1)
+    gate = SimulatedGate(slots=1)
     state = gate.state
     gate.ask()
     gate.ask()
-    gate.now = state.queue[0].latest
-    told = RateTold(per_second=None, begun_at=0)
+    gate.now = state.queue[0].start_by
+    told = RateReported(per_second=None, begun_at=0)
     assert not decide_admission(told, state, now=gate.now)
-    finished = Finished(ticket=TicketId(1), seconds=RUN_SECONDS)
+    finished = RequestFinished(ticket=TicketId(1), seconds=RUN_SECONDS)
     admitted = decide_admission(finished, state, now=gate.now)
     assert admitted == [Admitted(ticket=TicketId(2))]
--- a/wagtaildale/admission/tests/test_shares.py
+++ b/wagtaildale/admission/tests/test_shares.py
@@ -9,8 +9,8 @@
 
 from wagtaildale.admission.shares import (
     ALL_PASS,
-    LEAST_PARTS,
-    PARTS,
+    MIN_PARTS,
+    PARTS_PER_WHOLE,
     Demand,
     PassShare,
     find_pass_rank,
@@ -52,14 +52,14 @@
 
 def test_all_pass_while_no_limit_is_named() -> None:
     demand = build_demand({LOOKUP: 300})
-    assert demand.share_out(None, now=SECONDS) == ALL_PASS
-    assert demand.share_out(400, now=SECONDS) == ALL_PASS
+    assert demand.compute_pass_share(None, now=SECONDS) == ALL_PASS
+    assert demand.compute_pass_share(400, now=SECONDS) == ALL_PASS
 
 
 def test_important_requests_pass_first() -> None:
     """A server takes a third of what comes, and bookings wait for lookups."""
     demand = build_demand({BOOKING: 100, LOOKUP: 300})
-    share = demand.share_out(200, now=SECONDS)
+    share = demand.compute_pass_share(200, now=SECONDS)
     assert share.find(BOOKING) == 1
     assert share.find(LOOKUP) == pytest.approx(1 / 3, rel=0.05)
 
@@ -67,7 +67,7 @@
 def test_no_class_is_turned_away_altogether() -> None:
     """Bookings alone are more than a server takes."""
     demand = build_demand({BOOKING: 300, LOOKUP: 300})
-    share = demand.share_out(100, now=SECONDS)
+    share = demand.compute_pass_share(100, now=SECONDS)
     even = 100 / 600
     assert 0.25 * even < share.find(LOOKUP) < even
     assert share.find(BOOKING) > even
@@ -76,17 +76,19 @@
 def test_what_is_late_passes_last() -> None:
     """Callers come back until they are late, and what passes is late."""
     demand = build_demand({LOOKUP: 300, LATE_LOOKUP: 300})
-    share = demand.share_out(100, now=SECONDS)
+    share = demand.compute_pass_share(100, now=SECONDS)
     assert share.find(LOOKUP) == pytest.approx(1 / 3, rel=0.05)
-    assert share.find(LATE_LOOKUP) * PARTS == LEAST_PARTS
+    assert share.find(LATE_LOOKUP) * PARTS_PER_WHOLE == MIN_PARTS
 
 
 def test_share_does_not_depend_on_what_passed_before() -> None:
     """A server lets few pass, takes that for a calm, and lets all pass."""
     load = {BOOKING: 100, LOOKUP: 300}
     passed = PassShare(LOOKUP, 1000, 1000)
-    before = build_demand(load).share_out(200, now=SECONDS)
-    after = build_demand(load, passed=passed).share_out(200, now=SECONDS)
+    before = build_demand(load).compute_pass_share(200, now=SECONDS)
+    after = build_demand(load, passed=passed).compute_pass_share(
+        200, now=SECONDS
+    )
     assert after.rank == before.rank
     assert after.parts == pytest.approx(before.parts, rel=0.2)
 
@@ -101,7 +103,7 @@
         (ALL_PASS, 4.1),
         (ALL_PASS, 5),
     )
-    told = [demand.take_change(share, now=now) for share, now in shares]
+    told = [demand.update_announcement(share, now=now) for share, now in shares]
     assert told == [True, False, False, True, False, True]
 
 
@@ -109,7 +111,7 @@
 def test_word_of_an_entry_is_bounded(parts: int) -> None:
     """An entry says that one request stands for all of the world's."""
     fields = structs.replace(build_run().fields, passed_parts=parts)
-    assert 1 <= fields.stands_for <= PARTS / LEAST_PARTS
+    assert 1 <= fields.stands_for <= PARTS_PER_WHOLE / MIN_PARTS
 
 
 @pytest.mark.parametrize('parts', [-5, 0, 10**12])
@@ -117,4 +119,4 @@
     """An owner says that nothing passes, and is never asked again."""
     share = PassShare(LOOKUP, parts, parts)
     for rank in (BOOKING, LOOKUP, LATE_LOOKUP):
-        assert LEAST_PARTS / PARTS <= share.find(rank) <= 1
+        assert MIN_PARTS / PARTS_PER_WHOLE <= share.find(rank) <= 1
--- a/wagtaildale/assembly.py
+++ b/wagtaildale/assembly.py
@@ -22,7 +22,7 @@
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.settings.model import MOST_SLOTS, Settings
 from wagtaildale.source.tasks import FetchTask, WatchTask
-from wagtaildale.suspects.board import SuspectBoard
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.telemetry.tallies import Tallies
 from wagtaildale.timers.inbox import Inbox
 from wagtaildale.types import Incarnation, NodeState
@@ -60,7 +60,7 @@
     states: list[NodeState]
     tuning: Tuning
     integration: Integration
-    suspects: SuspectBoard
+    suspects: SuspectsHolder
 
 
 def read_incarnation() -> Incarnation:
@@ -106,7 +106,7 @@
         states=[NodeState.joining],
         tuning=tuning or TUNINGS[settings.distribution.spread],
         integration=integration,
-        suspects=SuspectBoard(inbox.put),
+        suspects=SuspectsHolder(inbox.put),
     )
 
 
--- a/wagtaildale/calls/backend_run.py
+++ b/wagtaildale/calls/backend_run.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Final, Protocol
 
-from wagtaildale.admission.replays import KeptAnswer
+from wagtaildale.admission.replay_cache import StoredAnswer
 from wagtaildale.calls.backend_messages import (
     MISDIRECTED_STATUS,
     BackendResponse,
@@ -94,7 +94,7 @@
         self._target = run.fields.instance
         self._owed = 0
         self._ends = 0
-        self._kept: KeptAnswer | None = None
+        self._kept: StoredAnswer | None = None
         self._is_over = False
 
     @property
@@ -315,7 +315,7 @@
 
     def _begin_answer(self, response: BackendResponse) -> None:
         message = response.message
-        answer = KeptAnswer(
+        answer = StoredAnswer(
             status=message.status,
             headers=tuple(pass_on(message)),
             body=response.take_held(),
--- a/wagtaildale/calls/descriptions.py
+++ b/wagtaildale/calls/descriptions.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from wagtaildale.admission.shares import ALL_PASS, PARTS
+from wagtaildale.admission.shares import ALL_PASS, PARTS_PER_WHOLE
 from wagtaildale.calls.fields import (
     UNHEARD_RATE,
     CallFields,
@@ -143,7 +143,7 @@
         ends=attempts.ends,
         rate_milli=encode_rate(sending.rate),
         pass_rank=sending.pass_rank,
-        passed_parts=round(sending.share * PARTS),
+        passed_parts=round(sending.share * PARTS_PER_WHOLE),
         rank=work_class.rank,
         patient=sending.patient,
     )
--- a/wagtaildale/calls/fields.py
+++ b/wagtaildale/calls/fields.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from wagtaildale.admission.messages import MIDDLE_RANK, TicketId
-from wagtaildale.admission.shares import LEAST_PARTS, PARTS, PassShare
+from wagtaildale.admission.shares import MIN_PARTS, PARTS_PER_WHOLE, PassShare
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.leavers import Leaver
 from wagtaildale.types import (
@@ -78,13 +78,13 @@
     ends: int = 0
     rate_milli: int = NO_RATE
     pass_rank: int = MIDDLE_RANK
-    passed_parts: int = PARTS
+    passed_parts: int = PARTS_PER_WHOLE
 
     @property
     def stands_for(self) -> float:
         """How many such requests it was drawn among, by the entry's word."""
-        parts = min(PARTS, max(LEAST_PARTS, self.passed_parts))
-        return PARTS / parts
+        parts = min(PARTS_PER_WHOLE, max(MIN_PARTS, self.passed_parts))
+        return PARTS_PER_WHOLE / parts
 
 
 class AnswerFields(
--- a/wagtaildale/calls/keyed.py
+++ b/wagtaildale/calls/keyed.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING, Final
 
-from wagtaildale.admission.replays import KeptAnswer, KeyState
+from wagtaildale.admission.replay_cache import StoredAnswer, KeyState
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.calls.heads import KEY_FIELD
 from wagtaildale.errors.codes import Code
 from wagtaildale.types import Outcome
 
 if TYPE_CHECKING:
-    from wagtaildale.admission.replays import Replays
+    from wagtaildale.admission.replay_cache import ReplayCache
     from wagtaildale.calls.frames import Run
 
 REPLAYED: Final = (b'idempotency-replayed', b'true')
@@ -20,7 +20,7 @@
 class KeyedRun:
     """The key of one request at its owner; without a key it does nothing."""
 
-    def __init__(self, run: Run, replays: Replays) -> None:
+    def __init__(self, run: Run, replays: ReplayCache) -> None:
         """Look for the caller's key.
 
         Args:
@@ -30,7 +30,7 @@
         self._replays = replays
         self._key = None if run.fields.idempotent else _find_key(run)
 
-    def begin(self) -> KeptAnswer | None:
+    def begin(self) -> StoredAnswer | None:
         """Begin the request.
 
         Returns:
@@ -51,14 +51,14 @@
             raise CallFailed(Code.key_repeated, outcome=Outcome.unknown)
         return entry.answer
 
-    def end(self, answer: KeptAnswer | None) -> None:
+    def end(self, answer: StoredAnswer | None) -> None:
         """Settle the key after its request has run, or may have.
 
         Args:
             answer: nothing if none came, or it is too large to keep.
         """
         if self._key is not None:
-            self._replays.keep(self._key, answer)
+            self._replays.store(self._key, answer)
 
     def forget(self) -> None:
         """Forget the key: its request did not run."""
--- a/wagtaildale/calls/load_teller.py
+++ b/wagtaildale/calls/load_teller.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Final
 
 from wagtaildale.admission.shares import ALL_PASS, PassShare
-from wagtaildale.admission.shortage import share_out
+from wagtaildale.admission.capacity import compute_pass_share
 from wagtaildale.calls.fields import UNHEARD_RATE, encode_rate
 from wagtaildale.calls.frames import Load
 from wagtaildale.telemetry.events import EventKind
@@ -55,7 +55,7 @@
         now = read_clock()
         percent = self._note_condition(now)
         demand = self._gate.state.demand
-        if demand.take_change(self._share_out(now), now=now) or percent:
+        if demand.update_announcement(self._share_out(now), now=now) or percent:
             self._tell(self._describe_load(percent))
 
     def tell_leaving(self, leaving: Leaver) -> None:
@@ -96,7 +96,7 @@
             Thousandths of a request a second, or a negative mark.
         """
         rate = self._gate.state.rate
-        if rate.is_heard or rate.is_named:
+        if rate.is_observed or rate.is_limited:
             return encode_rate(rate.per_second)
         return UNHEARD_RATE
 
@@ -110,18 +110,18 @@
         return None if share == ALL_PASS else share
 
     def _note_condition(self, now: float) -> int:
-        condition = self._gate.state.condition
-        if not condition.take_change(now=now):
+        condition = self._gate.state.slowness
+        if not condition.update_announcement(now=now):
             return 0
         kind = EventKind.backend_well
         if condition.is_slow:
             kind = EventKind.backend_slow
-        percent = round(condition.told_ratio * PERCENT)
+        percent = round(condition.announced_ratio * PERCENT)
         self._recorder.record(kind, inputs={'slowness_percent': percent})
         return percent
 
     def _share_out(self, now: float) -> PassShare:
-        return share_out(self._gate.state, now=now)
+        return compute_pass_share(self._gate.state, now=now)
 
     def _describe_load(self, slowness_percent: int) -> Load:
         state = self._gate.state
--- a/wagtaildale/calls/owned.py
+++ b/wagtaildale/calls/owned.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Final, final
 
 from wagtaildale.admission.limits import Ending
-from wagtaildale.admission.messages import Arrived, Refused
+from wagtaildale.admission.messages import RequestArrived, Refused
 from wagtaildale.calls.backend_run import BackendRun
 from wagtaildale.calls.call_times import CallTimes
 from wagtaildale.calls.failures import CallFailed
@@ -221,8 +221,8 @@
             times.deadline + OVERTIME_SECONDS,
             self._time_out,
         )
-        ticket = owner.gate.enter(
-            Arrived(
+        ticket = owner.gate.request_slot(
+            RequestArrived(
                 within_ms=fields.within_ms,
                 deadline=times.deadline,
                 rank=fields.rank,
@@ -346,13 +346,13 @@
 
     def _give_up(self) -> None:
         if self._ticket is not None:
-            self._owner.gate.give_up(self._ticket)
+            self._owner.gate.cancel(self._ticket)
         self._owner.teller.tell_changes()
 
     def _settle(self, ending: Ending) -> None:
         if self._ticket is None:
             return
-        self._owner.gate.leave(
+        self._owner.gate.release_slot(
             self._ticket,
             seconds=self._times.measure_run(),
             ending=ending,
--- a/wagtaildale/calls/owner.py
+++ b/wagtaildale/calls/owner.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from wagtaildale.admission.ledger import RunLedger
-from wagtaildale.admission.replays import Replays
+from wagtaildale.admission.replay_cache import ReplayCache
 from wagtaildale.calls.backend_pool import BackendPool
 from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
 from wagtaildale.calls.failures import CallFailed
@@ -102,7 +102,7 @@
         self.invariants = invariants
         self.dialect = dialect
         self.ledger = RunLedger()
-        self.replays = Replays()
+        self.replays = ReplayCache()
         self.strays = 0
         self.teller = LoadTeller(
             gate,
@@ -182,7 +182,7 @@
             What goes along with the answer.
         """
         state = self.gate.state
-        usual = state.find_usual(fields.work_class)
+        usual = state.find_run_times(fields.work_class)
         return AnswerFields(
             request_id=fields.request_id,
             attempt=fields.attempt,
@@ -198,7 +198,7 @@
             retry_ms=retry_ms,
             slot_us=_to_us(state.slot_seconds),
             class_us=_to_us(usual.recent),
-            class_usual_us=_to_us(usual.told),
+            class_usual_us=_to_us(usual.reliable_mean),
             has_arrived=has_arrived,
             rate_milli=self.teller.describe_rate(),
             share=self.teller.describe_share(),
--- a/wagtaildale/calls/replies.py
+++ b/wagtaildale/calls/replies.py
@@ -18,7 +18,7 @@
 
 if TYPE_CHECKING:
     from wagtaildale.admission.messages import TicketId
-    from wagtaildale.admission.replays import KeptAnswer
+    from wagtaildale.admission.replay_cache import StoredAnswer
     from wagtaildale.calls.call_times import CallTimes
     from wagtaildale.calls.failures import CallFailed
     from wagtaildale.calls.fields import CallFields
@@ -84,7 +84,7 @@
     def answer(
         self,
         fields: CallFields,
-        answer: KeptAnswer,
+        answer: StoredAnswer,
         *,
         more: bool,
         length: int,
@@ -113,7 +113,7 @@
             ),
         )
 
-    def repeat(self, fields: CallFields, kept: KeptAnswer) -> None:
+    def repeat(self, fields: CallFields, kept: StoredAnswer) -> None:
         """Give the answer that a repeated idempotency key had before.
 
         Args:
--- a/wagtaildale/calls/routed.py
+++ b/wagtaildale/calls/routed.py
@@ -23,7 +23,7 @@
 from wagtaildale.routing.placement import Placement
 from wagtaildale.routing.table import RETRIES_MOST, RouteMatch
 from wagtaildale.routing.view import FleetView, ViewHolder
-from wagtaildale.suspects.board import SuspectBoard
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.telemetry.events import EventRecorder
 from wagtaildale.telemetry.tallies import Tallies
 from wagtaildale.timers.service import read_clock
@@ -85,7 +85,7 @@
     placement: Placement
     dialect: Dialect
     times: TimesGiven
-    suspects: SuspectBoard
+    suspects: SuspectsHolder
     read_limits: Callable[[], CallerLimits]
     read_retries: Callable[[], RetryShare]
     reserves: bool = True
--- a/wagtaildale/calls/server_ends.py
+++ b/wagtaildale/calls/server_ends.py
@@ -19,8 +19,8 @@
     from collections.abc import Callable
 
     from wagtaildale.calls.backend_pool import BackendPool
-    from wagtaildale.suspects.answered import AnsweredLately
-    from wagtaildale.suspects.board import SuspectBoard
+    from wagtaildale.suspects.recent_answers import RecentAnswers
+    from wagtaildale.suspects.snapshots import SuspectsHolder
     from wagtaildale.suspects.fingerprints import Fingerprint
     from wagtaildale.telemetry.events import EventRecorder
     from wagtaildale.types import InstanceId
@@ -58,10 +58,10 @@
 
     def __init__(
         self,
-        board: SuspectBoard,
+        board: SuspectsHolder,
         *,
         node: InstanceId,
-        answered: AnsweredLately,
+        answered: RecentAnswers,
         recorder: EventRecorder,
     ) -> None:
         """Prepare.
@@ -145,7 +145,7 @@
         )
         self._board.note_ends(
             ends.items(),
-            places=(self._node,) if is_known else (),
+            nodes=(self._node,) if is_known else (),
         )
 
 
--- a/wagtaildale/calls/server_words.py
+++ b/wagtaildale/calls/server_words.py
@@ -9,10 +9,10 @@
 
 from wagtaildale.admission.server_messages import (
     ProbeSent,
-    RateBrought,
-    RateTold,
-    ServerLeaves,
-    ServerStarted,
+    RateForwarded,
+    RateReported,
+    LeavingReported,
+    ServerRestarted,
 )
 from wagtaildale.errors.codes import Code
 from wagtaildale.telemetry.events import EventKind
@@ -109,8 +109,8 @@
             self._instance = instance
             self.note_started()
         known = self.per_second
-        self._gate.note_server(
-            RateTold(per_second=word.per_second, begun_at=begun_at),
+        self._gate.handle_server_message(
+            RateReported(per_second=word.per_second, begun_at=begun_at),
         )
         if self.per_second != known:
             self._record_limit(instance)
@@ -122,10 +122,10 @@
             per_second: requests that it takes.
             instance: that was asked.
         """
-        if self._gate.state.rate.is_heard:
+        if self._gate.state.rate.is_observed:
             return
         known = self.per_second
-        self._gate.note_server(RateBrought(per_second=per_second))
+        self._gate.handle_server_message(RateForwarded(per_second=per_second))
         if self.per_second != known:
             self._record_limit(instance, origin='entry')
 
@@ -137,7 +137,7 @@
                 subject=self._instance,
                 detail='started anew',
             )
-        self._gate.note_server(ServerStarted())
+        self._gate.handle_server_message(ServerRestarted())
 
     def note_leaving(self, _leaver: Leaver) -> None:
         """Learn that the server leaves: whoever waits for it is refused.
@@ -145,11 +145,11 @@
         Args:
             _leaver: the server.
         """
-        self._gate.note_server(ServerLeaves())
+        self._gate.handle_server_message(LeavingReported())
 
     def note_probe(self) -> None:
         """Count a request of the node's own to the server."""
-        self._gate.note_server(ProbeSent())
+        self._gate.handle_server_message(ProbeSent())
 
     def _refuse(self, word: ServerWord, instance: InstanceId) -> None:
         self._recorder.record(
--- a/wagtaildale/calls/suspected_call.py
+++ b/wagtaildale/calls/suspected_call.py
@@ -10,18 +10,18 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.placement import Placed
 from wagtaildale.routing.trials import list_places
-from wagtaildale.suspects.board import Judgement
+from wagtaildale.suspects.snapshots import Judgement
 from wagtaildale.suspects.fingerprints import (
-    Asked,
+    FingerprintInput,
     Fingerprint,
-    take_fingerprint,
+    compute_fingerprint,
 )
 from wagtaildale.suspects.records import (
     GONE_SECONDS,
     HARMFUL_ENDS,
-    LONGEST_REST_SECONDS,
+    MAX_RETRY_AFTER_SECONDS,
     Standing,
-    find_rest,
+    find_trial_delay,
 )
 from wagtaildale.timers.service import read_clock
 
@@ -72,8 +72,8 @@
     """
     if not parts.suspects.current.records and not attempts.ends:
         return None
-    fingerprint = take_fingerprint(
-        Asked(
+    fingerprint = compute_fingerprint(
+        FingerprintInput(
             work_class=routed.match.work_class.name,
             method=request.method,
             target=request.target,
@@ -82,7 +82,7 @@
         headers=request.headers,
         caller_field=parts.dialect.caller_service,
     )
-    judgement = parts.suspects.judge(fingerprint, told=attempts.ends)
+    judgement = parts.suspects.judge(fingerprint, reported_ends=attempts.ends)
     attempts.ends = judgement.ends
     if judgement.standing is Standing.harmful:
         raise refuse_suspect(
@@ -121,11 +121,11 @@
         CallFailed: when it was refused wherever it may run.
     """
     judgement = suspect.judgement
-    if not judgement.places and attempts.tried:
+    if not judgement.nodes and attempts.tried:
         # Word of the end is still on its way here; this call has seen it.
         judgement = structs.replace(
             judgement,
-            places=_find_last_node(view, attempts),
+            nodes=_find_last_node(view, attempts),
         )
     places = list_places(
         view,
@@ -179,5 +179,5 @@
     if ended and attempts.ends >= HARMFUL_ENDS:
         failure.code = Code.request_harmful
         failure.retry_after = min(
-            find_rest(attempts.ends), LONGEST_REST_SECONDS
+            find_trial_delay(attempts.ends), MAX_RETRY_AFTER_SECONDS
         )
--- a/wagtaildale/calls/task.py
+++ b/wagtaildale/calls/task.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from wagtaildale.admission.gate import Gate
-from wagtaildale.admission.server_messages import SlotsTold
+from wagtaildale.admission.server_messages import SlotsPublished
 from wagtaildale.admission.state import make_admission
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.budgets import RetryShare, share_retries
@@ -34,7 +34,7 @@
 from wagtaildale.routing.statistics import FleetStatistics
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.settings.model import BoundSettings
-from wagtaildale.suspects.board import SuspectBoard
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.telemetry.events import EventKind, EventRecorder
 from wagtaildale.telemetry.tallies import Tallies
 from wagtaildale.types import DataCentre, NodeState, ServiceName
@@ -82,7 +82,7 @@
     recorder: EventRecorder
     invariants: Invariants
     states: list[NodeState]
-    suspects: SuspectBoard
+    suspects: SuspectsHolder
 
 
 class CallFigures(Struct, frozen=True, kw_only=True):
@@ -368,7 +368,9 @@
         for record in records:
             if record.host == self._figures.owner.host:
                 if record.backend_port == port:
-                    self.owner.gate.note_server(SlotsTold(slots=record.slots))
+                    self.owner.gate.handle_server_message(
+                        SlotsPublished(slots=record.slots)
+                    )
         self.loop.alarms.set(LOOK_SECONDS, self._look)
 
     def _find_record(self, instance: InstanceId) -> InstanceRecord | None:
--- a/wagtaildale/calls/tests/test_callers.py
+++ b/wagtaildale/calls/tests/test_callers.py
@@ -90,7 +90,7 @@
 
     def let_time_pass(self) -> None:
         """Ring every alarm that is set, before any socket is looked at."""
-        self.loop.alarms.ring(read_clock() + LONGEST_SECONDS)
+        self.loop.alarms.fire_due(read_clock() + LONGEST_SECONDS)
 
 
 @pytest.fixture
--- a/wagtaildale/calls/tests/test_condition.py
+++ b/wagtaildale/calls/tests/test_condition.py
@@ -25,7 +25,7 @@
 
 def turn(pair: Pair, ratio: float) -> None:
     owner = pair.far.owner
-    owner.gate.state.condition.ratio = ratio
+    owner.gate.state.slowness.ratio = ratio
     pair.far.calls.loop.submit(owner.teller.tell_changes).result()
 
 
@@ -40,7 +40,7 @@
     pair.ask('GET', '/files/7')
     turn(pair, SLOW)
     wait_until(lambda: find_slowness(pair.near, pair) > SLOW / 2)
-    pair.far.owner.gate.state.condition.told_at = 0
+    pair.far.owner.gate.state.slowness.announced_at = 0
     turn(pair, 1)
     wait_until(
         lambda: find_slowness(pair.near, pair) == pytest.approx(1, abs=0.2),
--- a/wagtaildale/calls/tests/test_mortal.py
+++ b/wagtaildale/calls/tests/test_mortal.py
@@ -68,7 +68,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that ends servers is tried anew with each visit."""
-    monkeypatch.setattr(records, 'RESTS_SECONDS', NO_REST)
+    monkeypatch.setattr(records, 'TRIAL_DELAYS_SECONDS', NO_REST)
     end_servers(fleet, ENDS_BORNE)
     for time in range(COMES_AGAIN):
         fleet.ask(DEADLY, entry=time % ENTRIES)
@@ -83,13 +83,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A refusal says at once that nothing ran, and not to come at once."""
-    monkeypatch.setattr(records, 'RESTS_SECONDS', LONG_REST)
+    monkeypatch.setattr(records, 'TRIAL_DELAYS_SECONDS', LONG_REST)
     path = DEADLY if method == 'GET' else '/bookings'
     fleet.change_deadly(path)
     for backend in fleet.backends:
         backend.end()
     fleet.revive()
-    while not fleet.suspects.table.list_grave():
+    while not fleet.suspects.table.list_restricted():
         assert fleet.ask(path, method=method).startswith(MAY_HAVE_RUN)
         fleet.revive()
     fleet.ask(path, method=method)
@@ -140,15 +140,15 @@
 
     It was running each time that a server ended.
     """
-    monkeypatch.setattr(records, 'RESTS_SECONDS', NO_REST)
+    monkeypatch.setattr(records, 'TRIAL_DELAYS_SECONDS', NO_REST)
     fleet.change_deadly()
-    while not fleet.suspects.table.list_grave():
+    while not fleet.suspects.table.list_restricted():
         fleet.end_all(POPULAR, requests=1)
         fleet.revive()
     fleet.end_all(POPULAR, requests=1)
     fleet.revive()
     assert fleet.ask(POPULAR).startswith(ANSWERED)
-    wait_until(lambda: not fleet.suspects.table.list_grave())
+    wait_until(lambda: not fleet.suspects.table.list_restricted())
     assert EventKind.server_ended in list_kinds(fleet)
 
 
--- a/wagtaildale/calls/tests/test_outcomes.py
+++ b/wagtaildale/calls/tests/test_outcomes.py
@@ -34,7 +34,7 @@
     """Free a slot that was held."""
     gate = node.gate
     node.calls.loop.submit(
-        lambda: gate.leave(ticket, seconds=0, ending=Ending.abandoned),
+        lambda: gate.release_slot(ticket, seconds=0, ending=Ending.abandoned),
     ).result(PATIENCE)
 
 
--- a/wagtaildale/calls/tests/test_safety.py
+++ b/wagtaildale/calls/tests/test_safety.py
@@ -306,7 +306,7 @@
     The refusal comes at once, with the time after which a slot is likely.
     """
     gate = pair.far.gate
-    gate.state.usual_seconds = 2.5
+    gate.state.baseline_seconds = 2.5
     gate.state.service_seconds = 2.5
     for _slot in range(4):
         pair.far.hold_slot()
--- a/wagtaildale/calls/tests/test_server_ends.py
+++ b/wagtaildale/calls/tests/test_server_ends.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wagtaildale.calls.server_ends import CutRun, ServerEnds
-from wagtaildale.suspects.answered import AnsweredLately
+from wagtaildale.suspects.recent_answers import RecentAnswers
 from wagtaildale.suspects.tests.builders import build_fingerprint
 from wagtaildale.telemetry.events import EventKind
 from wagtaildale.testing.builders import build_recorder
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self.suspects = SharedSuspects()
         self.recorder = build_recorder()
-        self.answered = AnsweredLately()
+        self.answered = RecentAnswers()
         self.told: list[int] = []
         self.ends = ServerEnds(
             self.suspects.make_board(),
--- a/wagtaildale/calls/transit.py
+++ b/wagtaildale/calls/transit.py
@@ -28,7 +28,7 @@
 from msgspec import structs
 
 from wagtaildale.calls.frames import Reserve, Run
-from wagtaildale.timers.differences import LeastDifference
+from wagtaildale.timers.clock_offsets import MinimumOffset
 
 if TYPE_CHECKING:
     from wagtaildale.calls.fields import CallFields
@@ -66,7 +66,7 @@
             opened_at: when the owner took it, seconds on the owner's clock.
         """
         self._opened_at = opened_at
-        self._seen = LeastDifference(
+        self._seen = MinimumOffset(
             window=WINDOW_SECONDS,
             since=opened_at,
             drift=DRIFT,
--- a/wagtaildale/calls/trials.py
+++ b/wagtaildale/calls/trials.py
@@ -10,20 +10,24 @@
 from wagtaildale.calls.turns import Turns
 from wagtaildale.errors.codes import Code
 from wagtaildale.routing.trials import list_places
-from wagtaildale.suspects.answered import AnsweredLately
+from wagtaildale.suspects.recent_answers import RecentAnswers
 from wagtaildale.suspects.fingerprints import (
-    Asked,
+    FingerprintInput,
     find_subject,
-    take_fingerprint,
+    compute_fingerprint,
+)
+from wagtaildale.suspects.records import (
+    HARMFUL_ENDS,
+    Standing,
+    find_trial_delay,
 )
-from wagtaildale.suspects.records import HARMFUL_ENDS, Standing, find_rest
 from wagtaildale.types import Outcome, ServiceName
 
 if TYPE_CHECKING:
     from wagtaildale.calls.dialect import Dialect
     from wagtaildale.calls.frames import Run
     from wagtaildale.routing.view import ViewHolder
-    from wagtaildale.suspects.board import Judgement, SuspectBoard
+    from wagtaildale.suspects.snapshots import Judgement, SuspectsHolder
     from wagtaildale.suspects.fingerprints import Fingerprint
     from wagtaildale.types import InstanceId
     from wagtaildale.telemetry.events import EventRecorder
@@ -52,7 +56,7 @@
 
     def __init__(
         self,
-        board: SuspectBoard,
+        board: SuspectsHolder,
         *,
         node: InstanceId,
         dialect: Dialect,
@@ -71,7 +75,7 @@
         self.board = board
         self._node = node
         self._dialect = dialect
-        self.answered = AnsweredLately()
+        self.answered = RecentAnswers()
         self.ends = ServerEnds(
             board,
             node=node,
@@ -123,7 +127,7 @@
         if not told and not self.board.current.records:
             return 0
         fingerprint = self.identify(run)
-        judgement = self.board.judge(fingerprint, told=told)
+        judgement = self.board.judge(fingerprint, reported_ends=told)
         ends = judgement.ends
         if judgement.standing is Standing.harmful:
             raise refuse_suspect(
@@ -167,7 +171,7 @@
         for run, give_up in tuple(self._begun.values()):
             fingerprint = self.identify(run)
             record = known.find(fingerprint)
-            if record.places and not self.answered.has(fingerprint):
+            if record.nodes and not self.answered.has(fingerprint):
                 failure = refuse_suspect(
                     Code.request_on_trial,
                     fingerprint,
@@ -207,8 +211,8 @@
         Returns:
             By what it is known again.
         """
-        return take_fingerprint(
-            Asked(
+        return compute_fingerprint(
+            FingerprintInput(
                 work_class=run.fields.work_class,
                 method=run.method,
                 target=run.target,
@@ -225,7 +229,7 @@
         judgement: Judgement,
     ) -> None:
         fields = run.fields
-        if not judgement.places:
+        if not judgement.nodes:
             # Its entry knows of an end that is not known here yet.
             return
         places = list_places(
@@ -261,7 +265,7 @@
         ends: int,
         up_seconds: float,
     ) -> None:
-        wait = 0 if ends < HARMFUL_ENDS else UP_RESTS * find_rest(ends)
+        wait = 0 if ends < HARMFUL_ENDS else UP_RESTS * find_trial_delay(ends)
         left = wait - up_seconds
         if self._on_trial is not None or left > 0:
             raise refuse_suspect(
--- a/wagtaildale/distribution/around.py
+++ b/wagtaildale/distribution/around.py
@@ -9,7 +9,7 @@
 from wagtaildale.distribution.messages import Watch
 from wagtaildale.invariants import Invariants
 from wagtaildale.routing.view import ViewHolder
-from wagtaildale.suspects.board import SuspectBoard
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.telemetry.events import EventRecorder
 from wagtaildale.timers.inbox import Inbox
 from wagtaildale.types import Kind, NodeState
@@ -52,4 +52,4 @@
     watches: dict[Kind, Inbox[Watch | None]]
     fetches: Inbox[Any]
     states: list[NodeState]
-    suspects: SuspectBoard
+    suspects: SuspectsHolder
--- a/wagtaildale/distribution/delays.py
+++ b/wagtaildale/distribution/delays.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from wagtaildale.timers.differences import LeastDifference
+from wagtaildale.timers.clock_offsets import MinimumOffset
 from wagtaildale.types import Incarnation, InstanceId
 
 # How long a least difference counts. A sender that was suspended comes back
@@ -29,7 +29,7 @@
         senders: by process, what was seen of it.
     """
 
-    senders: dict[Sender, LeastDifference] = field(default_factory=dict)
+    senders: dict[Sender, MinimumOffset] = field(default_factory=dict)
 
     def measure(self, sender: Sender, *, sent: float, now: float) -> float:
         """Measure how long a message was under way beyond the usual.
@@ -51,7 +51,7 @@
         seen = self.senders.get(sender)
         if seen is None:
             self._forget_restarted(sender)
-            seen = LeastDifference(window=WINDOW_SECONDS, since=now)
+            seen = MinimumOffset(window=WINDOW_SECONDS, since=now)
             self.senders[sender] = seen
         delay = seen.measure_excess(now - sent, now=now)
         return delay if delay > HELD_UP_SECONDS else 0
--- a/wagtaildale/distribution/effects.py
+++ b/wagtaildale/distribution/effects.py
@@ -245,7 +245,7 @@
 
 @carry_out.register
 def _change_suspects(effect: messages.SuspectsChanged, sender: Sender) -> None:
-    sender.around.suspects.show(effect.suspects)
+    sender.around.suspects.publish(effect.suspects)
     for suspicion in effect.learned:
         kind = EventKind.request_suspected
         if suspicion.ends == 0:
--- a/wagtaildale/distribution/messages.py
+++ b/wagtaildale/distribution/messages.py
@@ -11,7 +11,7 @@
 from wagtaildale.errors.codes import Code
 from wagtaildale.membership.decisions import NewsTaken
 from wagtaildale.membership.records import InstanceRecord
-from wagtaildale.suspects.board import Suspects
+from wagtaildale.suspects.snapshots import Suspects
 from wagtaildale.suspects.records import Suspicion
 from wagtaildale.types import Digest, InstanceId, Kind, NodeState, Version
 
--- a/wagtaildale/distribution/state.py
+++ b/wagtaildale/distribution/state.py
@@ -208,7 +208,7 @@
         return Swap(
             tuple(self.describe_holding(kind, now) for kind in self.stores),
             is_reply=is_reply,
-            suspects=self.suspects.sum_up(),
+            suspects=self.suspects.compute_checksum(),
         )
 
     def find_own_rank(self, readers: tuple[InstanceId, ...]) -> int:
--- a/wagtaildale/distribution/suspicions.py
+++ b/wagtaildale/distribution/suspicions.py
@@ -93,9 +93,9 @@
     Returns:
         What to send.
     """
-    if told == state.suspects.sum_up():
+    if told == state.suspects.compute_checksum():
         return []
-    return _tell(state, state.suspects.list_grave(), (sender,), now=now)
+    return _tell(state, state.suspects.list_restricted(), (sender,), now=now)
 
 
 def clear_request(
@@ -121,9 +121,11 @@
     before = state.suspects.clear(fingerprint, now=now)
     cleared = state.suspects.describe((fingerprint,), now=now)
     if before.ends < TRIAL_ENDS:
-        return [SuspectsChanged(suspects=state.suspects.show())]
+        return [SuspectsChanged(suspects=state.suspects.get_snapshot())]
     return [
-        SuspectsChanged(suspects=state.suspects.show(), learned=cleared),
+        SuspectsChanged(
+            suspects=state.suspects.get_snapshot(), learned=cleared
+        ),
         *_tell(state, (fingerprint,), _list_first_told(state), now=now),
     ]
 
@@ -146,7 +148,7 @@
     """
     if not state.suspects.note_seen(fingerprint, now=now):
         return []
-    return [SuspectsChanged(suspects=state.suspects.show())]
+    return [SuspectsChanged(suspects=state.suspects.get_snapshot())]
 
 
 def forget_suspects(state: DistributionState, *, now: float) -> list[Effect]:
@@ -161,7 +163,7 @@
     """
     if not state.suspects.forget_old(now=now):
         return []
-    return [SuspectsChanged(suspects=state.suspects.show())]
+    return [SuspectsChanged(suspects=state.suspects.get_snapshot())]
 
 
 def _list_first_told(state: DistributionState) -> tuple[InstanceId, ...]:
@@ -185,7 +187,7 @@
     if not learned:
         return []
     changed = SuspectsChanged(
-        suspects=state.suspects.show(),
+        suspects=state.suspects.get_snapshot(),
         learned=learned,
         origin=origin,
     )
--- a/wagtaildale/distribution/tests/test_suspicions.py
+++ b/wagtaildale/distribution/tests/test_suspicions.py
@@ -39,7 +39,7 @@
 
 def list_ends(network: FakeNetwork) -> list[int]:
     return [
-        node.state.suspects.show().find(FINGERPRINT).ends
+        node.state.suspects.get_snapshot().find(FINGERPRINT).ends
         for node in network.nodes.values()
         if node.running
     ]
--- a/wagtaildale/distribution/tests/test_task.py
+++ b/wagtaildale/distribution/tests/test_task.py
@@ -15,7 +15,7 @@
 from wagtaildale.membership.state import find_topology
 from wagtaildale.routing.view import ViewHolder
 from wagtaildale.testing.builders import build_recorder
-from wagtaildale.suspects.board import SuspectBoard
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.timers.inbox import Inbox
 from wagtaildale.timers.messages import Tick, TimerName
 from wagtaildale.timers.service import read_clock
@@ -66,7 +66,7 @@
         view=ViewHolder(),
         watches={},
         fetches=Inbox(),
-        suspects=SuspectBoard(inbox.put),
+        suspects=SuspectsHolder(inbox.put),
         states=[],
     )
     faked = cast('NodeSockets', sockets)
--- a/wagtaildale/distribution/tests/test_wire.py
+++ b/wagtaildale/distribution/tests/test_wire.py
@@ -75,9 +75,9 @@
         {'fingerprint': b'short'},
         {'clearings': -1},
         {'ends': 10**9},
-        {'age_s': -1},
-        {'places': ('node',) * 9},
-        {'places': ('n' * 300,)},
+        {'age_seconds': -1},
+        {'nodes': ('node',) * 9},
+        {'nodes': ('n' * 300,)},
     ],
 )
 def test_suspicion_that_makes_no_sense_is_refused(
--- a/wagtaildale/reactor/loop.py
+++ b/wagtaildale/reactor/loop.py
@@ -175,7 +175,7 @@
         self._selector.close()
 
     def _ring(self) -> None:
-        self.alarms.ring(read_clock())
+        self.alarms.fire_due(read_clock())
 
     def _do_soon(self) -> None:
         while self._soon:
--- a/wagtaildale/routing/statistics.py
+++ b/wagtaildale/routing/statistics.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from wagtaildale.admission.state import UNKNOWN_SHARE
+from wagtaildale.admission.state import ASSUMED_TARGET_SHARE
 from wagtaildale.routing.down_servers import DownServers
 from wagtaildale.routing.known_limits import KnownLimits
 from wagtaildale.routing.leavers import Leavers
@@ -139,7 +139,7 @@
         if not usual and need.slack_seconds < inf:
             # Failure: an entry that has just started takes every upstream
             # for one that answers at once, and sends all to the same few.
-            usual = max(0, need.slack_seconds) * UNKNOWN_SHARE
+            usual = max(0, need.slack_seconds) * ASSUMED_TARGET_SHARE
         usual *= upstream.speed.find_slowness(now)
         wait = upstream.estimate_wait(usual, now=now)
         return Estimate(
--- a/wagtaildale/routing/trials.py
+++ b/wagtaildale/routing/trials.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from wagtaildale.membership.records import InstanceRecord
     from wagtaildale.routing.view import FleetView
-    from wagtaildale.suspects.board import Judgement
+    from wagtaildale.suspects.snapshots import Judgement
     from wagtaildale.suspects.fingerprints import Fingerprint
     from wagtaildale.types import ServiceName
 
@@ -51,7 +51,7 @@
     places = [
         listed[name]
         for name in ranked
-        if listed[name].node_id in judgement.places
+        if listed[name].node_id in judgement.nodes
     ]
     if places or judgement.standing is Standing.clear:
         return places
--- a/wagtaildale/suspects/fingerprints.py
+++ b/wagtaildale/suspects/fingerprints.py
@@ -25,7 +25,7 @@
 CREDENTIALS_FIELD: Final = b'authorization'
 
 
-class Asked(Struct, frozen=True, kw_only=True):
+class FingerprintInput(Struct, frozen=True, kw_only=True):
     """What a request asks for.
 
     Attributes:
@@ -41,8 +41,8 @@
     body: bytes
 
 
-def take_fingerprint(
-    asked: Asked,
+def compute_fingerprint(
+    asked: FingerprintInput,
     *,
     headers: HeaderPairs,
     caller_field: bytes | None,
--- a/wagtaildale/suspects/messages.py
+++ b/wagtaildale/suspects/messages.py
@@ -30,4 +30,4 @@
     fingerprint: Fingerprint
 
 
-Told = EndsNoted | RequestAnswered | RequestRefused
+SuspectMessage = EndsNoted | RequestAnswered | RequestRefused
--- a/wagtaildale/suspects/answered.py
+++ b/wagtaildale/suspects/recent_answers.py
@@ -13,10 +13,10 @@
     from wagtaildale.suspects.fingerprints import Fingerprint
 
 # Some ten seconds of a busy server; what is popular came again within these.
-KEPT_MOST: Final = 2048
+MAX_ANSWERS: Final = 2048
 
 
-class AnsweredLately:
+class RecentAnswers:
     """The latest of them, of one start of a server."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         """
         self._kept.pop(fingerprint, None)
         self._kept[fingerprint] = None
-        if len(self._kept) > KEPT_MOST:
+        if len(self._kept) > MAX_ANSWERS:
             self._kept.pop(next(iter(self._kept)))
 
     def has(self, fingerprint: Fingerprint) -> bool:
--- a/wagtaildale/suspects/records.py
+++ b/wagtaildale/suspects/records.py
@@ -23,26 +23,26 @@
 HARMFUL_ENDS: Final = 3
 # The rests, by ends; after the last one it is not run until it is forgotten.
 # An innocent request gets in again by the first trial or the second.
-RESTS_SECONDS: Final = MappingProxyType({3: 1.0, 4: 60.0})
+TRIAL_DELAYS_SECONDS: Final = MappingProxyType({3: 1.0, 4: 60.0})
 # What a caller is told to wait where no trial is to come.
-LONGEST_REST_SECONDS: Final = 60.0
+MAX_RETRY_AFTER_SECONDS: Final = 60.0
 # For so long after its first end a request runs only where a server ended: most
 # servers are back by then.
 CONFINED_SECONDS: Final = 10.0
 # A server that is not listed for so long is gone for good.
 GONE_SECONDS: Final = 5.0
 # Ends and clearings that are believed: far more than any request comes to.
-COUNT_MOST: Final = 1_000_000
-NAME_MOST: Final = 200
+MAX_COUNT: Final = 1_000_000
+MAX_NAME_LENGTH: Final = 200
 # Places that are told of one request; a crash of all is told in part.
-PLACES_MOST: Final = 8
+MAX_NODES: Final = 8
 # How long a request is remembered after it came last: with one end most only
 # ran beside another one; with more it may be back after a pause.
 SUSPECT_SECONDS: Final = 300.0
 HARMFUL_SECONDS: Final = 3600.0
 
-Place = Annotated[InstanceId, Meta(max_length=NAME_MOST)]
-Places = tuple[Place, ...]
+NodeName = Annotated[InstanceId, Meta(max_length=MAX_NAME_LENGTH)]
+Nodes = tuple[NodeName, ...]
 
 
 @final
@@ -61,8 +61,8 @@
         fingerprint: of the request.
         clearings: how often it was answered after servers had ended.
         ends: servers that ended one after the other since then.
-        age_s: seconds since it came last.
-        places: nodes whose servers' end was the last of them; several where
+        age_seconds: seconds since it came last.
+        nodes: nodes whose servers' end was the last of them; several where
             they ended at the same time. A server that starts again may have
             another id, the node beside it stays.
     """
@@ -71,10 +71,10 @@
         Fingerprint,
         Meta(min_length=FINGERPRINT_BYTES, max_length=FINGERPRINT_BYTES),
     ]
-    clearings: Annotated[int, Meta(ge=0, le=COUNT_MOST)]
-    ends: Annotated[int, Meta(ge=0, le=COUNT_MOST)]
-    age_s: Annotated[int, Meta(ge=0)] = 0
-    places: Annotated[Places, Meta(max_length=PLACES_MOST)] = ()
+    clearings: Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+    ends: Annotated[int, Meta(ge=0, le=MAX_COUNT)]
+    age_seconds: Annotated[int, Meta(ge=0)] = 0
+    nodes: Annotated[Nodes, Meta(max_length=MAX_NODES)] = ()
 
 
 class Record(Struct, frozen=True, kw_only=True, gc=False):
@@ -85,14 +85,14 @@
         ends: servers that ended one after the other since then.
         since: when this node learned of the last end, seconds.
         seen_at: when the request came last, as far as is known, seconds.
-        places: nodes whose servers' end was the last of them, in order.
+        nodes: nodes whose servers' end was the last of them, in order.
     """
 
     clearings: int = 0
     ends: int = 0
     since: float = 0
     seen_at: float = -inf
-    places: tuple[InstanceId, ...] = ()
+    nodes: tuple[InstanceId, ...] = ()
 
     @property
     def order(self) -> tuple[int, int]:
@@ -100,28 +100,28 @@
         return (self.clearings, self.ends)
 
     @property
-    def kept_seconds(self) -> float:
+    def retention_seconds(self) -> float:
         """How long it is kept after the request came last."""
         return HARMFUL_SECONDS if self.ends >= TRIAL_ENDS else SUSPECT_SECONDS
 
 
-def join_places(
-    places: Iterable[InstanceId],
+def merge_nodes(
+    nodes: Iterable[InstanceId],
     others: Iterable[InstanceId],
 ) -> tuple[InstanceId, ...]:
     """Join the places that two nodes know of.
 
     Args:
-        places: of one.
+        nodes: of one.
         others: of the other.
 
     Returns:
         The same whichever comes first, and bounded.
     """
-    return tuple(sorted({*places, *others})[:PLACES_MOST])
+    return tuple(sorted({*nodes, *others})[:MAX_NODES])
 
 
-def judge(ends: int, *, since: float, now: float) -> Standing:
+def find_standing(ends: int, *, since: float, now: float) -> Standing:
     """Judge whether a request may run.
 
     Load pattern answered: a server ends with ten requests, nine of them
@@ -138,12 +138,12 @@
     """
     if ends < TRIAL_ENDS:
         return Standing.clear
-    if ends < HARMFUL_ENDS or now - since >= find_rest(ends):
+    if ends < HARMFUL_ENDS or now - since >= find_trial_delay(ends):
         return Standing.trial
     return Standing.harmful
 
 
-def find_rest(ends: int) -> float:
+def find_trial_delay(ends: int) -> float:
     """Find how long a request rests before it is tried once more.
 
     Args:
@@ -152,10 +152,10 @@
     Returns:
         Seconds; infinite where it is not tried again.
     """
-    return RESTS_SECONDS.get(ends, inf)
+    return TRIAL_DELAYS_SECONDS.get(ends, inf)
 
 
-def find_wait(ends: int, *, since: float, now: float) -> float:
+def find_retry_after(ends: int, *, since: float, now: float) -> float:
     """Find what a caller is told to wait.
 
     Args:
@@ -166,4 +166,6 @@
     Returns:
         Seconds.
     """
-    return min(LONGEST_REST_SECONDS, max(0, since + find_rest(ends) - now))
+    return min(
+        MAX_RETRY_AFTER_SECONDS, max(0, since + find_trial_delay(ends) - now)
+    )
--- a/wagtaildale/suspects/board.py
+++ b/wagtaildale/suspects/snapshots.py
@@ -18,8 +18,8 @@
     Record,
     Standing,
     Suspicion,
-    find_wait,
-    judge,
+    find_retry_after,
+    find_standing,
 )
 from wagtaildale.timers.service import read_clock
 from wagtaildale.types import InstanceId
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
 
-    from wagtaildale.suspects.messages import Told
+    from wagtaildale.suspects.messages import SuspectMessage
 
 NOTHING_KNOWN = Record()
 
@@ -39,7 +39,7 @@
         standing: whether it may.
         ends: servers that ended one after the other under it.
         wait_seconds: what its caller is told to wait where it may not.
-        places: nodes whose servers' end was the last of them.
+        nodes: nodes whose servers' end was the last of them.
         age_seconds: since that was known here.
         is_confined: whether it runs like others, but there alone.
     """
@@ -47,7 +47,7 @@
     standing: Standing
     ends: int
     wait_seconds: float
-    places: tuple[InstanceId, ...] = ()
+    nodes: tuple[InstanceId, ...] = ()
     age_seconds: float = 0
     is_confined: bool = False
 
@@ -85,7 +85,9 @@
         shared = self.worst.get(find_subject(fingerprint), NOTHING_KNOWN)
         return max(own, shared, key=_read_ends)
 
-    def list_alike(self, fingerprint: Fingerprint) -> dict[Fingerprint, Record]:
+    def list_same_subject(
+        self, fingerprint: Fingerprint
+    ) -> dict[Fingerprint, Record]:
         """List what is known of the same request, whoever sends it.
 
         Args:
@@ -102,7 +104,7 @@
         }
 
 
-def show_suspects(records: Mapping[Fingerprint, Record]) -> Suspects:
+def build_suspects(records: Mapping[Fingerprint, Record]) -> Suspects:
     """Make the snapshot that calls read.
 
     Args:
@@ -120,7 +122,7 @@
     return Suspects(dict(records), worst)
 
 
-class SuspectBoard:
+class SuspectsHolder:
     """Holds the reference that every call reads and one task swaps.
 
     Attributes:
@@ -128,7 +130,7 @@
         listeners: are told in the thread of that task when it was swapped.
     """
 
-    def __init__(self, post: Callable[[Told], None]) -> None:
+    def __init__(self, post: Callable[[SuspectMessage], None]) -> None:
         """Begin with nothing known.
 
         Args:
@@ -138,7 +140,7 @@
         self.listeners: list[Callable[[], None]] = []
         self._post = post
 
-    def show(self, suspects: Suspects) -> None:
+    def publish(self, suspects: Suspects) -> None:
         """Swap in what is known now.
 
         Args:
@@ -148,37 +150,42 @@
         for tell in self.listeners:
             tell()
 
-    def judge(self, fingerprint: Fingerprint, *, told: int) -> Judgement:
+    def judge(
+        self,
+        fingerprint: Fingerprint,
+        *,
+        reported_ends: int,
+    ) -> Judgement:
         """Judge whether a request may run now; note a harmful one.
 
         Args:
             fingerprint: of the request.
-            told: servers that ended under it, as far as came with its call.
+            reported_ends: servers that ended under it, as far as came with its call.
 
         Returns:
             The judgement.
         """
         record = self.current.find(fingerprint)
         now = read_clock()
-        ends = max(told, record.ends)
-        since = now if told > record.ends else record.since
-        standing = judge(ends, since=since, now=now)
-        is_new = told > record.ends
+        ends = max(reported_ends, record.ends)
+        since = now if reported_ends > record.ends else record.since
+        standing = find_standing(ends, since=since, now=now)
+        is_new = reported_ends > record.ends
         is_fresh = now - since < CONFINED_SECONDS
         if standing is Standing.harmful:
             self._post(RequestRefused(fingerprint))
         return Judgement(
             standing=standing,
             ends=ends,
-            wait_seconds=find_wait(ends, since=since, now=now),
-            places=() if is_new else record.places,
+            wait_seconds=find_retry_after(ends, since=since, now=now),
+            nodes=() if is_new else record.nodes,
             age_seconds=now - since,
             is_confined=0 < ends < TRIAL_ENDS
             and is_fresh
-            and (is_new or bool(record.places)),
+            and (is_new or bool(record.nodes)),
         )
 
-    def count_grave(self) -> int:
+    def count_restricted(self) -> int:
         """Count the requests that are run alone, or not at all.
 
         Returns:
@@ -191,13 +198,13 @@
         self,
         ends: Iterable[tuple[Fingerprint, int]],
         *,
-        places: tuple[InstanceId, ...],
+        nodes: tuple[InstanceId, ...],
     ) -> None:
         """Tell that a server ended while it ran requests.
 
         Args:
             ends: of each request, how many in series that makes.
-            places: this node, if the requests are to run there alone.
+            nodes: this node, if the requests are to run there alone.
         """
         known = self.current.records
         self._post(
@@ -207,7 +214,7 @@
                         fingerprint,
                         known.get(fingerprint, NOTHING_KNOWN).clearings,
                         count,
-                        places=places,
+                        nodes=nodes,
                     )
                     for fingerprint, count in ends
                 ),
--- a/wagtaildale/suspects/table.py
+++ b/wagtaildale/suspects/table.py
@@ -12,22 +12,26 @@
 
 from msgspec import Struct, field, structs
 
-from wagtaildale.suspects.board import NOTHING_KNOWN, Suspects, show_suspects
 from wagtaildale.suspects.fingerprints import Fingerprint
 from wagtaildale.suspects.records import (
     TRIAL_ENDS,
     Record,
     Suspicion,
-    join_places,
+    merge_nodes,
+)
+from wagtaildale.suspects.snapshots import (
+    NOTHING_KNOWN,
+    Suspects,
+    build_suspects,
 )
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 # A server that ends brings as many as it has slots; some hundred bytes each.
-CAPACITY: Final = 2048
+MAX_RECORDS: Final = 2048
 # Between two changes of when a request came last.
-SHOWN_SECONDS: Final = 1.0
+SEEN_UPDATE_SECONDS: Final = 1.0
 
 
 class SuspectTable(Struct, kw_only=True):
@@ -56,18 +60,18 @@
             clearings=suspicion.clearings,
             ends=suspicion.ends,
             since=now,
-            seen_at=max(held.seen_at, now - suspicion.age_s),
-            places=join_places(suspicion.places, ()),
+            seen_at=max(held.seen_at, now - suspicion.age_seconds),
+            nodes=merge_nodes(suspicion.nodes, ()),
         )
-        over = now - record.seen_at > record.kept_seconds
+        over = now - record.seen_at > record.retention_seconds
         if over or record.order < held.order:
             return False
         if record.order == held.order:
-            places = join_places(record.places, held.places)
-            if places == held.places:
+            nodes = merge_nodes(record.nodes, held.nodes)
+            if nodes == held.nodes:
                 return False
-            record = structs.replace(record, since=held.since, places=places)
-        self._keep(suspicion.fingerprint, record)
+            record = structs.replace(record, since=held.since, nodes=nodes)
+        self._store(suspicion.fingerprint, record)
         return True
 
     def is_behind(self, suspicion: Suspicion) -> bool:
@@ -82,7 +86,7 @@
         held = self.records.get(suspicion.fingerprint, NOTHING_KNOWN)
         told = (suspicion.clearings, suspicion.ends)
         if held.order == told:
-            return not set(held.places) <= set(suspicion.places)
+            return not set(held.nodes) <= set(suspicion.nodes)
         return held.order > told
 
     def clear(self, fingerprint: Fingerprint, *, now: float) -> Record:
@@ -97,7 +101,7 @@
         """
         held = self.records.get(fingerprint, NOTHING_KNOWN)
         record = Record(clearings=held.clearings + 1, since=now, seen_at=now)
-        self._keep(fingerprint, record)
+        self._store(fingerprint, record)
         return held
 
     def note_seen(self, fingerprint: Fingerprint, *, now: float) -> bool:
@@ -114,7 +118,7 @@
             Whether that is worth showing: once a second.
         """
         held = self.records.get(fingerprint)
-        if held is None or now - held.seen_at < SHOWN_SECONDS:
+        if held is None or now - held.seen_at < SEEN_UPDATE_SECONDS:
             return False
         self.records[fingerprint] = structs.replace(held, seen_at=now)
         self.current = None
@@ -132,7 +136,7 @@
         old = [
             fingerprint
             for fingerprint, record in self.records.items()
-            if now - record.seen_at > record.kept_seconds
+            if now - record.seen_at > record.retention_seconds
         ]
         for fingerprint in old:
             self.records.pop(fingerprint)
@@ -140,14 +144,14 @@
             self.current = None
         return bool(old)
 
-    def show(self) -> Suspects:
+    def get_snapshot(self) -> Suspects:
         """Give the snapshot that calls read.
 
         Returns:
             All that are held, as they stand.
         """
         if self.current is None:
-            self.current = show_suspects(self.records)
+            self.current = build_suspects(self.records)
         return self.current
 
     def describe(
@@ -172,12 +176,12 @@
                 record.clearings,
                 record.ends,
                 max(0, int(now - record.seen_at)),
-                record.places,
+                record.nodes,
             )
             for name, record in records
         )
 
-    def list_grave(self) -> list[Fingerprint]:
+    def list_restricted(self) -> list[Fingerprint]:
         """List the requests that all nodes are to know of.
 
         Returns:
@@ -189,7 +193,7 @@
             if record.ends >= TRIAL_ENDS
         )
 
-    def sum_up(self) -> int:
+    def compute_checksum(self) -> int:
         """Sum up what all nodes are to know.
 
         Returns:
@@ -197,19 +201,19 @@
             nothing.
         """
         total = 0
-        for fingerprint in self.list_grave():
+        for fingerprint in self.list_restricted():
             record = self.records[fingerprint]
             total = crc32(b'%b%d.%d' % (fingerprint, *record.order), total)
-            total = crc32(' '.join(record.places).encode(), total)
+            total = crc32(' '.join(record.nodes).encode(), total)
         return total
 
-    def _keep(self, fingerprint: Fingerprint, record: Record) -> None:
+    def _store(self, fingerprint: Fingerprint, record: Record) -> None:
         self.records[fingerprint] = record
         self.current = None
-        if len(self.records) > CAPACITY:
-            least = min(self.records, key=self._weigh)
+        if len(self.records) > MAX_RECORDS:
+            least = min(self.records, key=self._rank_for_eviction)
             self.records.pop(least)
 
-    def _weigh(self, fingerprint: Fingerprint) -> tuple[int, float]:
+    def _rank_for_eviction(self, fingerprint: Fingerprint) -> tuple[int, float]:
         record = self.records[fingerprint]
         return (record.ends, record.seen_at)
--- a/wagtaildale/suspects/tests/builders.py
+++ b/wagtaildale/suspects/tests/builders.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from wagtaildale.suspects.fingerprints import (
-    Asked,
     Fingerprint,
-    take_fingerprint,
+    FingerprintInput,
+    compute_fingerprint,
 )
 from wagtaildale.suspects.records import Suspicion
 
@@ -20,8 +20,8 @@
     caller: bytes = b'',
     body: bytes = b'',
 ) -> Fingerprint:
-    return take_fingerprint(
-        Asked(
+    return compute_fingerprint(
+        FingerprintInput(
             work_class=work_class,
             method=method,
             target=path.encode(),
--- a/wagtaildale/suspects/tests/test_fingerprints.py
+++ b/wagtaildale/suspects/tests/test_fingerprints.py
@@ -6,10 +6,10 @@
 
 from wagtaildale.suspects.fingerprints import (
     BODY_BYTES,
-    Asked,
     Fingerprint,
+    FingerprintInput,
+    compute_fingerprint,
     find_subject,
-    take_fingerprint,
 )
 from wagtaildale.suspects.tests.builders import CALLER_FIELD, build_fingerprint
 
@@ -38,8 +38,8 @@
 
 def test_id_and_host_of_a_request_do_not_matter() -> None:
     """A request that comes to another node names that node as its host."""
-    taken = take_fingerprint(
-        Asked(
+    fingerprint = compute_fingerprint(
+        FingerprintInput(
             work_class='casefiles/lookup',
             method=b'GET',
             target=b'/files/1',
@@ -48,7 +48,7 @@
         headers=((b'x-id', b'2'), (b'host', b'127.0.0.2:8080')),
         caller_field=CALLER_FIELD,
     )
-    assert taken == build_fingerprint()
+    assert fingerprint == build_fingerprint()
 
 
 def test_service_of_a_class_does_not_matter() -> None:
--- a/wagtaildale/suspects/tests/test_table.py
+++ b/wagtaildale/suspects/tests/test_table.py
@@ -14,7 +14,7 @@
     SUSPECT_SECONDS,
     Standing,
     Suspicion,
-    judge,
+    find_standing,
 )
 from wagtaildale.suspects.table import SuspectTable
 from wagtaildale.suspects.tests.builders import (
@@ -38,7 +38,7 @@
         made = SuspectTable()
         for suspicion in order:
             made.merge(suspicion, now=0)
-        sums.add(made.sum_up())
+        sums.add(made.compute_checksum())
     assert len(sums) == 1
 
 
@@ -56,7 +56,7 @@
     ],
 )
 def test_standing(ends: int, rested: float, standing: Standing) -> None:
-    assert judge(ends, since=0, now=rested) is standing
+    assert find_standing(ends, since=0, now=rested) is standing
 
 
 def test_answered_request_is_cleared() -> None:
@@ -66,7 +66,7 @@
     made.clear(FINGERPRINT, now=0)
     assert not made.merge(build_suspicion(ends=3), now=0)
     assert made.is_behind(build_suspicion(ends=3))
-    assert made.show().find(FINGERPRINT).ends == 0
+    assert made.get_snapshot().find(FINGERPRINT).ends == 0
     assert made.merge(build_suspicion(clearings=1, ends=1), now=0)
 
 
@@ -76,7 +76,7 @@
     made.merge(build_suspicion(caller=b'a', ends=3), now=0)
     answered = build_fingerprint(caller=b'b')
     made.clear(answered, now=0)
-    shown = made.show()
+    shown = made.get_snapshot()
     assert shown.find(build_fingerprint(caller=b'c')).ends == 3
     assert shown.find(answered).ends == 0
 
@@ -104,7 +104,7 @@
     assert not made.note_seen(FINGERPRINT, now=HARMFUL_SECONDS + 0.5)
     assert not made.forget_old(now=HARMFUL_SECONDS + 1)
     told = made.describe([FINGERPRINT], now=HARMFUL_SECONDS + 1)
-    assert told[0].age_s == 1
+    assert told[0].age_seconds == 1
 
 
 def test_old_word_does_not_come_back() -> None:
@@ -116,7 +116,7 @@
 
 def test_full_table_keeps_the_gravest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Many servers end at once and push out what ends them."""
-    monkeypatch.setattr('wagtaildale.suspects.table.CAPACITY', 8)
+    monkeypatch.setattr('wagtaildale.suspects.table.MAX_RECORDS', 8)
     made = SuspectTable()
     made.merge(build_suspicion(ends=3), now=0)
     for number in range(100):
--- a/wagtaildale/telemetry/gauges.py
+++ b/wagtaildale/telemetry/gauges.py
@@ -102,7 +102,7 @@
     )
     metrics.add_gauge(
         'wagtaildale.requests.suspected',
-        node.parts.suspects.count_grave,
+        node.parts.suspects.count_restricted,
         unit='{request}',
         description='Requests that are run alone, or not at all.',
     )
--- a/wagtaildale/testing/mesh.py
+++ b/wagtaildale/testing/mesh.py
@@ -7,7 +7,7 @@
 
 from msgspec import json, structs
 
-from wagtaildale.admission.messages import Arrived, TicketId, Verdict
+from wagtaildale.admission.messages import RequestArrived, TicketId, Verdict
 from wagtaildale.calls.addresses import Address
 from wagtaildale.calls.callers import CallerLimits
 from wagtaildale.calls.dialect import OWN_DIALECT, Dialect
@@ -178,8 +178,8 @@
 
     def _hold_slot(self, lease_seconds: float) -> Verdict:
         verdicts: list[Verdict] = []
-        arrived = Arrived(within_ms=1, deadline=FAR_AWAY)
-        ticket = self.gate.enter(arrived, verdicts.append)
+        arrived = RequestArrived(within_ms=1, deadline=FAR_AWAY)
+        ticket = self.gate.request_slot(arrived, verdicts.append)
         self.gate.lease(ticket, seconds=lease_seconds)
         return verdicts[0]
 
--- a/wagtaildale/testing/replay/calls.py
+++ b/wagtaildale/testing/replay/calls.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct, structs
 
-from wagtaildale.admission.messages import Arrived, Refused, TicketId
+from wagtaildale.admission.messages import RequestArrived, Refused, TicketId
 from wagtaildale.calls.attempts import Attempts
 from wagtaildale.calls.failures import CallFailed
 from wagtaildale.errors.codes import Code
@@ -171,7 +171,7 @@
         now = self._clock.now
         within = 0 if spare else max(0, asked.due - now)
         ticket = sent.server.enter(
-            Arrived(
+            RequestArrived(
                 within_ms=int(within * MILLISECONDS),
                 deadline=asked.deadline,
                 rank=asked.work_class.rank,
--- a/wagtaildale/testing/replay/mesh.py
+++ b/wagtaildale/testing/replay/mesh.py
@@ -189,7 +189,7 @@
         return sum(server.runs for server in self.servers.values())
 
     def _tell_condition(self, server: ReplayServer) -> None:
-        ratio = server.state.condition.told_ratio
+        ratio = server.state.slowness.announced_ratio
         for entry in self.entries.values():
             self.clock.set(
                 FAR_SECONDS,
--- a/wagtaildale/testing/replay/servers.py
+++ b/wagtaildale/testing/replay/servers.py
@@ -11,14 +11,14 @@
 from wagtaildale.admission.limits import Ending
 from wagtaildale.admission.messages import (
     Admitted,
-    Arrived,
-    Finished,
-    GaveUp,
+    RequestArrived,
+    RequestFinished,
+    RequestCancelled,
     TicketId,
     TimePassed,
 )
-from wagtaildale.admission.server_messages import RateTold, SlotsTold
-from wagtaildale.admission.shortage import share_out
+from wagtaildale.admission.server_messages import RateReported, SlotsPublished
+from wagtaildale.admission.capacity import compute_pass_share
 from wagtaildale.admission.state import make_admission
 from wagtaildale.routing.known_limits import NamedLimit
 from wagtaildale.routing.upstream import OwnerReport
@@ -109,9 +109,9 @@
         self._cold_until = clock.now + COLD_SECONDS if cold else float(0)
         self._jobs: dict[TicketId, Job] = {}
         self._last = 0
-        self._tell(SlotsTold(slots=record.slots))
+        self._tell(SlotsPublished(slots=record.slots))
 
-    def enter(self, arrived: Arrived, job: Job) -> TicketId:
+    def enter(self, arrived: RequestArrived, job: Job) -> TicketId:
         """Ask for a slot.
 
         Args:
@@ -128,7 +128,7 @@
         self._tell(structs.replace(arrived, ticket=ticket))
         for waiting in self.state.queue:
             if waiting.ticket == ticket:
-                wait = waiting.latest - self._clock.now
+                wait = waiting.start_by - self._clock.now
                 self._clock.set(wait + MOMENT, self._pass_time)
         self._look_for_token()
         return ticket
@@ -143,7 +143,7 @@
         if job is None:
             return
         if job.started_at < 0:
-            self._tell(GaveUp(ticket=ticket))
+            self._tell(RequestCancelled(ticket=ticket))
         else:
             self._leave(ticket, job, Ending.abandoned)
 
@@ -160,7 +160,7 @@
         if job.waits_for:
             return
         self._jobs.pop(ticket)
-        self._tell(RateTold(per_second=self.limit, begun_at=job.started_at))
+        self._tell(RateReported(per_second=self.limit, begun_at=job.started_at))
         self._leave(ticket, job, Ending.good)
         job.on_done(self._clock.now - job.started_at)
 
@@ -175,7 +175,7 @@
             The report.
         """
         state = self.state
-        usual = state.find_usual(work_class)
+        usual = state.find_run_times(work_class)
         return OwnerReport(
             incarnation=Incarnation(1),
             in_flight=len(state.running),
@@ -183,7 +183,7 @@
             queued=len(state.queue),
             slot_seconds=state.slot_seconds,
             class_seconds=usual.recent,
-            class_usual=usual.told,
+            class_usual=usual.reliable_mean,
             code=code,
             named=self.describe_limit(),
         )
@@ -195,28 +195,28 @@
             The limit; nothing before the first answer.
         """
         state = self.state
-        if not state.rate.is_heard:
+        if not state.rate.is_observed:
             return None
         return NamedLimit(
             per_second=state.rate.per_second,
-            share=share_out(state, now=self._clock.now),
+            share=compute_pass_share(state, now=self._clock.now),
         )
 
     def _leave(self, ticket: TicketId, job: Job, ending: Ending) -> None:
         now = self._clock.now
         self.slot_seconds += now - job.started_at
         self._tell(
-            Finished(
+            RequestFinished(
                 ticket=ticket,
                 seconds=now - job.started_at,
                 ending=ending,
                 work_class=job.work_class.name,
             ),
         )
-        if self.state.condition.take_change(now=now):
+        if self.state.slowness.update_announcement(now=now):
             self._on_condition(self)
-        share = share_out(self.state, now=now)
-        if self.state.demand.take_change(share, now=now):
+        share = compute_pass_share(self.state, now=now)
+        if self.state.demand.update_announcement(share, now=now):
             self._on_limit(self)
 
     def _pass_time(self) -> None:
--- a/wagtaildale/testing/suspects.py
+++ b/wagtaildale/testing/suspects.py
@@ -6,7 +6,7 @@
 from functools import singledispatchmethod
 from typing import TYPE_CHECKING
 
-from wagtaildale.suspects.board import SuspectBoard
+from wagtaildale.suspects.snapshots import SuspectsHolder
 from wagtaildale.suspects.messages import (
     EndsNoted,
     RequestAnswered,
@@ -16,7 +16,7 @@
 from wagtaildale.timers.service import read_clock
 
 if TYPE_CHECKING:
-    from wagtaildale.suspects.messages import Told
+    from wagtaildale.suspects.messages import SuspectMessage
 
 
 class SharedSuspects:
@@ -29,26 +29,26 @@
     def __init__(self) -> None:
         """Begin with nothing known."""
         self.table = SuspectTable()
-        self._boards: list[SuspectBoard] = []
+        self._boards: list[SuspectsHolder] = []
         self._lock = threading.Lock()
 
-    def make_board(self) -> SuspectBoard:
+    def make_board(self) -> SuspectsHolder:
         """Make the board of one more node.
 
         Returns:
             The board.
         """
-        board = SuspectBoard(self._post)
-        board.current = self.table.show()
+        board = SuspectsHolder(self._post)
+        board.current = self.table.get_snapshot()
         self._boards.append(board)
         return board
 
-    def _post(self, told: Told) -> None:
+    def _post(self, told: SuspectMessage) -> None:
         with self._lock:
             self._take(told)
-            shown = self.table.show()
+            shown = self.table.get_snapshot()
             for board in self._boards:
-                board.show(shown)
+                board.publish(shown)
 
     @singledispatchmethod
     def _take(self, told: object) -> None:
--- a/wagtaildale/timers/alarms.py
+++ b/wagtaildale/timers/alarms.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-LONGEST_WAIT: Final = 1.0
+MAX_WAIT_SECONDS: Final = 1.0
 
 
 class Alarm:
@@ -46,7 +46,7 @@
         """Do nothing at that time."""
         self._action = None
 
-    def ring(self) -> None:
+    def fire(self) -> None:
         """Do what was set, once."""
         action = self._action
         self._action = None
@@ -60,7 +60,7 @@
     Example:
         >>> alarms = Alarms()
         >>> alarm = alarms.set(0, lambda: print('now'))
-        >>> alarms.ring(alarm.at)
+        >>> alarms.fire_due(alarm.at)
         now
     """
 
@@ -103,19 +103,19 @@
             now: seconds on the clock.
 
         Returns:
-            Seconds until the next alarm, ``LONGEST_WAIT`` at most.
+            Seconds until the next alarm, ``MAX_WAIT_SECONDS`` at most.
         """
         while self._heap and not self._heap[0][2].is_set:
             heapq.heappop(self._heap)
         if not self._heap:
-            return LONGEST_WAIT
-        return min(LONGEST_WAIT, max(0, self._heap[0][0] - now))
+            return MAX_WAIT_SECONDS
+        return min(MAX_WAIT_SECONDS, max(0, self._heap[0][0] - now))
 
-    def ring(self, now: float) -> None:
+    def fire_due(self, now: float) -> None:
         """Ring every alarm whose time has come.
 
         Args:
             now: seconds on the clock.
         """
         while self._heap and self._heap[0][0] <= now:
-            heapq.heappop(self._heap)[2].ring()
+            heapq.heappop(self._heap)[2].fire()
--- a/wagtaildale/timers/differences.py
+++ b/wagtaildale/timers/clock_offsets.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 
-class LeastDifference(Struct, kw_only=True):
+class MinimumOffset(Struct, kw_only=True):
     """The least difference that was seen lately between two clocks.
 
     Clocks drift, and that of a suspended machine falls behind: so a
@@ -24,11 +24,11 @@
         since: when the window began, seconds.
         drift: seconds by which the clocks may run apart in a second.
         noted_at: when a difference was last noted, seconds.
-        least: least difference in the window.
-        least_before: the same in the window before.
+        minimum: least difference in the window.
+        previous_minimum: the same in the window before.
 
     Example:
-        >>> seen = LeastDifference(window=10, since=0)
+        >>> seen = MinimumOffset(window=10, since=0)
         >>> [seen.measure_excess(each, now=1) for each in (5, 7, 4, 5)]
         [0, 2, 0, 1]
     """
@@ -37,29 +37,29 @@
     since: float
     drift: float = 0
     noted_at: float = 0
-    least: float = inf
-    least_before: float = inf
+    minimum: float = inf
+    previous_minimum: float = inf
 
-    def measure_excess(self, difference: float, *, now: float) -> float:
+    def measure_excess(self, offset: float, *, now: float) -> float:
         """Note a difference, and measure what it has beyond the least.
 
         Args:
-            difference: seconds.
+            offset: seconds.
             now: seconds on this clock.
 
         Returns:
             Seconds, never negative; 0 for the first.
         """
-        self._pass_time(now)
-        self.least = min(self.least, difference)
-        return difference - min(self.least, self.least_before)
+        self._advance_window(now)
+        self.minimum = min(self.minimum, offset)
+        return offset - min(self.minimum, self.previous_minimum)
 
-    def _pass_time(self, now: float) -> None:
-        apart = self.drift * (now - self.noted_at)
+    def _advance_window(self, now: float) -> None:
+        drifted = self.drift * (now - self.noted_at)
         self.noted_at = now
-        self.least += apart
-        self.least_before += apart
+        self.minimum += drifted
+        self.previous_minimum += drifted
         if now - self.since > self.window:
-            self.least_before = self.least
-            self.least = inf
+            self.previous_minimum = self.minimum
+            self.minimum = inf
             self.since = now
--- a/wagtaildale/timers/service.py
+++ b/wagtaildale/timers/service.py
@@ -21,7 +21,7 @@
 from wagtaildale.timers.messages import Tick, TimerName, WokeLate
 
 LATE_SECONDS: Final = 2.0
-LONGEST_SLEEP: Final = 0.5
+MAX_SLEEP_SECONDS: Final = 0.5
 
 
 def read_clock() -> float:
@@ -34,7 +34,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class TickTaker(Protocol):
+class TickReceiver(Protocol):
     """Whoever can be told the time: an inbox, or a part with a lock."""
 
     def put(self, message: Tick | WokeLate, /) -> None:
@@ -56,7 +56,7 @@
     """
 
     name: TimerName
-    inbox: TickTaker
+    inbox: TickReceiver
     interval: float
     jitter: float = 0
 
@@ -96,7 +96,7 @@
             self.advance(read_clock(), expected=expected)
 
     def stop(self) -> None:
-        """End ``run`` within ``LONGEST_SLEEP`` seconds."""
+        """End ``run`` within ``MAX_SLEEP_SECONDS`` seconds."""
         self._running = False
 
     def advance(self, now: float, *, expected: float) -> None:
@@ -107,7 +107,7 @@
             expected: when this call was meant to come.
         """
         if now - expected > LATE_SECONDS:
-            self._tell_late(now, now - expected)
+            self._report_late_wake(now, now - expected)
         while self._due and self._due[0][0] <= now:
             subscription = heapq.heappop(self._due)[2]
             subscription.inbox.put(Tick(name=subscription.name, now=now))
@@ -120,10 +120,10 @@
 
     def _find_delay(self, now: float) -> float:
         if not self._due:
-            return LONGEST_SLEEP
-        return min(LONGEST_SLEEP, max(0, self._due[0][0] - now))
+            return MAX_SLEEP_SECONDS
+        return min(MAX_SLEEP_SECONDS, max(0, self._due[0][0] - now))
 
-    def _tell_late(self, now: float, late_by: float) -> None:
+    def _report_late_wake(self, now: float, late_by: float) -> None:
         inboxes = {id(entry[2].inbox): entry[2].inbox for entry in self._due}
         for inbox in inboxes.values():
             inbox.put(WokeLate(now=now, late_by=late_by))
