--- a/properties/test_admission.py
+++ b/properties/test_admission.py
@@ -1,4 +1,4 @@
-"""State machine: the gate before a backend server."""
+"""State machine test of the gate before a backend server."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Requests arrive, finish and give up; the instance drains."""
+    """Requests arrive, finish and are cancelled; the instance drains."""
 
     tickets = Bundle('tickets')
 
@@ -40,7 +40,7 @@
         self.last = 0
         self.verdicts: dict[TicketId, Verdict] = {}
         self.finished: set[TicketId] = set()
-        self.gave_up: set[TicketId] = set()
+        self.cancelled: set[TicketId] = set()
         self.deadlines: dict[TicketId, float] = {}
 
     @rule(
@@ -52,7 +52,7 @@
         self.last += 1
         ticket = TicketId(self.last)
         self.deadlines[ticket] = self.now + seconds
-        self._tell(
+        self._dispatch(
             RequestArrived(
                 ticket=ticket,
                 within_ms=within_ms,
@@ -65,13 +65,13 @@
     def finish(self, ticket: TicketId, seconds: float) -> None:
         if isinstance(self.verdicts.get(ticket), Admitted):
             self.finished.add(ticket)
-            self._tell(RequestFinished(ticket=ticket, seconds=seconds))
+            self._dispatch(RequestFinished(ticket=ticket, seconds=seconds))
 
     @rule(ticket=tickets)
-    def give_up(self, ticket: TicketId) -> None:
+    def cancel(self, ticket: TicketId) -> None:
         if ticket not in self.verdicts:
-            self.gave_up.add(ticket)
-            self._tell(RequestCancelled(ticket=ticket))
+            self.cancelled.add(ticket)
+            self._dispatch(RequestCancelled(ticket=ticket))
 
     @rule(seconds=st.floats(0, 1))
     def wait(self, seconds: float) -> None:
@@ -79,15 +79,15 @@
 
     @rule()
     def drain(self) -> None:
-        self._tell(DrainStarted())
+        self._dispatch(DrainStarted())
 
     @invariant()
-    def slots_bound_what_runs(self) -> None:
+    def running_requests_do_not_exceed_slots(self) -> None:
         assert len(self.state.running) <= SLOTS
 
     @invariant()
-    def nobody_waits_while_there_is_room(self) -> None:
-        # The last slots are kept for what cannot wait.
+    def no_request_waits_while_slots_are_free(self) -> None:
+        # Reserved slots may be free: they are for urgent requests.
         assert (
             not self.state.queue
             or self.state.free_slots <= self.state.reserved_slots
@@ -97,16 +97,16 @@
     def draining_gate_queues_nothing(self) -> None:
         assert not (self.state.draining and self.state.queue)
 
-    def _tell(self, message: object) -> None:
-        drained = self.state.draining
+    def _dispatch(self, message: object) -> None:
+        was_draining = self.state.draining
         verdicts = decide_admission(message, self.state, now=self.now)
         for verdict in verdicts:
-            # Nobody is told twice: what was refused never runs after.
+            # Each request gets one verdict: a refused one never runs later.
             assert verdict.ticket not in self.verdicts
-            assert verdict.ticket not in self.gave_up
+            assert verdict.ticket not in self.cancelled
             self.verdicts[verdict.ticket] = verdict
             if isinstance(verdict, Admitted):
-                assert not drained
+                assert not was_draining
                 assert self.deadlines[verdict.ticket] >= self.now
             else:
                 assert isinstance(verdict, Refused)
--- a/wagtaildale/admission/__init__.py
+++ b/wagtaildale/admission/__init__.py
@@ -1,1 +1,1 @@
-"""What the owner admits, queues and refuses."""
+"""Admission control at the owner: admits, queues or refuses requests."""
--- a/wagtaildale/admission/capacity.py
+++ b/wagtaildale/admission/capacity.py
@@ -1,8 +1,8 @@
-"""How many requests a second a server is to be asked for.
+"""Computes which share of their requests entries may send to a server.
 
-Load pattern answered: a server names a limit, or most servers of a service
-are gone. Each request is taken to three of those that are left, and all but
-one in ten of them is refused there.
+When a server names a rate limit, or most servers of a service are gone, more
+requests arrive than the remaining servers can run. Without a share, each
+request is tried at three of them, and nine requests in ten are refused there.
 """
 
 from __future__ import annotations
@@ -13,20 +13,22 @@
     from wagtaildale.admission.shares import PassShare
     from wagtaildale.admission.state import AdmissionState
 
-# Of what a server has room for. What is a little over it had better come: it
-# fills the gaps that long runs leave. Beyond this a request has no prospects.
+# Multiple of a server's capacity that entries may send. Some excess is useful,
+# since it fills the gaps that long runs leave. Requests beyond this factor
+# have no chance of being admitted.
 CAPACITY_FACTOR: Final = 2.5
 
 
 def compute_pass_share(state: AdmissionState, *, now: float) -> PassShare:
-    """Share out what a server takes to those who ask.
+    """Compute the share of requests that entries may send to a server.
 
     Args:
-        state: the gate before it.
-        now: seconds.
+        state: state of the gate before the server.
+        now: current time, seconds.
 
     Returns:
-        What entries may send: all of it while there is a prospect of it.
+        The share of each rank; ``ALL_PASS`` if the server can run them all, or
+        if neither a rate limit nor a run time is known.
     """
     per_second = state.rate.per_second
     if per_second is None and state.slot_seconds:
--- a/wagtaildale/admission/decisions.py
+++ b/wagtaildale/admission/decisions.py
@@ -1,7 +1,8 @@
-"""Decides who runs, who waits and who is refused.
+"""Decides which requests run, wait or are refused.
 
-Deterministic: no clock, no lock. A refusal given here is true, since no
-request reaches the backend server but by an ``Admitted`` from here.
+The decisions are deterministic: they read no clock and take no lock. A
+refusal guarantees that the request has not run, because only requests that
+were ``Admitted`` here are sent to the backend server.
 """
 
 from __future__ import annotations
@@ -46,18 +47,18 @@
     *,
     now: float,
 ) -> list[Verdict]:
-    """Decide on one message to the gate.
+    """Handle one message to the gate.
 
     Args:
-        message: what has come.
-        state: the gate; moved forward in place.
-        now: seconds.
+        message: event to handle, a ``GateMessage``.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Verdicts on this request and on others that waited.
+        Verdicts on this request and on queued requests.
 
     Raises:
-        TypeError: for a message that no gate knows.
+        TypeError: if the message is not a ``GateMessage``.
     """
     raise TypeError(f'got {message!r}, expected a message to a gate')
 
@@ -112,9 +113,9 @@
     *,
     now: float,
 ) -> list[Verdict]:
-    # Failure: an entry is paused between its reservation and its run
-    # message, and wakes when the slot has long been given to another. The
-    # lease ends by this owner's own clock; a run after that is refused.
+    # An entry may be paused between its reservation and its run message and
+    # resume after the slot has been given to another request. The lease
+    # expires by this owner's own clock, and a later run message is refused.
     verdicts = expire_leases(state, now)
     if state.leases.pop(message.ticket, None) is None:
         refused = Refused(ticket=message.ticket, code=Code.lease_ended)
@@ -139,8 +140,8 @@
     *,
     now: float,
 ) -> list[Verdict]:
-    told = message.slots
-    if not told or (told == state.slots and not state.adaptive):
+    slots = message.slots
+    if not slots or (slots == state.slots and not state.adaptive):
         return []
     state.slots = message.slots
     state.limit = float(message.slots)
--- a/wagtaildale/admission/gate.py
+++ b/wagtaildale/admission/gate.py
@@ -1,8 +1,8 @@
-"""The gate that calls pass on the way to the backend server.
+"""Admits calls on their way to the backend server.
 
-The decisions are those of ``decisions``; here each request is given a
-ticket, and whoever asked is told its verdict, at once or when a slot is
-free. The gate belongs to the task that carries the calls.
+The gate assigns a ticket to each request, passes events to ``decisions``, and
+calls back with the verdict, at once or when a slot is free. It is used only
+by the thread of the task that carries the calls.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
     from wagtaildale.admission.state import AdmissionState
     from wagtaildale.timers.alarms import Alarm, Alarms
 
-# So that an alarm rings when the token that it is set for is there.
+# Margin after the time of a token, so that the alarm finds the token there.
 ALARM_MARGIN_SECONDS: Final = 0.0005
 
 
@@ -42,20 +42,20 @@
     """Admits, queues and refuses requests for one backend server.
 
     Attributes:
-        state: slots and queue.
+        state: slots and queue of the backend server.
     """
 
     def __init__(self, state: AdmissionState, *, alarms: Alarms) -> None:
-        """Open the gate.
+        """Create a gate that admits requests.
 
         Args:
-            state: slots and queue.
-            alarms: of the task that the gate belongs to.
+            state: slots and queue of the backend server.
+            alarms: alarms of the task that the gate belongs to.
         """
         self.state = state
         self._alarms = alarms
-        self._waiting: dict[TicketId, Callable[[Verdict], None]] = {}
-        self._last = 0
+        self._callbacks: dict[TicketId, Callable[[Verdict], None]] = {}
+        self._last_ticket = 0
         self._alarm: Alarm | None = None
 
     def request_slot(
@@ -63,57 +63,59 @@
         arrived: RequestArrived,
         on_verdict: Callable[[Verdict], None],
     ) -> TicketId:
-        """Ask for a slot.
+        """Request a slot.
 
         Args:
-            arrived: the request; it gets a ticket here.
-            on_verdict: is told ``Admitted``, after which ``release_slot`` is due,
-                or ``Refused``; perhaps before this returns.
+            arrived: the request; its ticket is assigned here.
+            on_verdict: called with ``Admitted`` or ``Refused``, possibly
+                before this method returns. After ``Admitted`` the slot has
+                to be returned with ``release_slot``.
 
         Returns:
-            Names the request here.
+            The ticket that identifies the request at this gate.
         """
-        self._last += 1
-        ticket = TicketId(self._last)
-        self._waiting[ticket] = on_verdict
+        self._last_ticket += 1
+        ticket = TicketId(self._last_ticket)
+        self._callbacks[ticket] = on_verdict
         self._dispatch(structs.replace(arrived, ticket=ticket))
-        if ticket in self._waiting:
+        if ticket in self._callbacks:
             self._schedule_alarm()
         return ticket
 
     def cancel(self, ticket: TicketId) -> None:
-        """Wait no longer.
+        """Remove a request from the queue.
 
         Args:
-            ticket: of a request that waits.
+            ticket: ticket of a queued request.
         """
-        if self._waiting.pop(ticket, None) is not None:
+        if self._callbacks.pop(ticket, None) is not None:
             self._dispatch(RequestCancelled(ticket=ticket))
 
     def lease(self, ticket: TicketId, *, seconds: float) -> None:
-        """Hold an admitted request's slot for a run message.
+        """Hold the slot of an admitted request until its run message.
 
-        Failure guarded here: an entry dies after it has reserved, and the
-        slot stays held while others wait; an alarm gives it back.
+        If the entry dies after its reservation, the slot would stay held
+        while other requests wait. An alarm frees it.
 
         Args:
-            ticket: of the request.
-            seconds: until the slot goes back.
+            ticket: ticket of the request.
+            seconds: time after which the slot is freed.
         """
         ends_at = read_clock() + seconds
         self._dispatch(LeaseGranted(ticket=ticket, ends_at=ends_at))
         self._alarms.set_at(ends_at, self._advance_time)
 
     def redeem(self, ticket: TicketId) -> Verdict:
-        """Begin the run for which a slot is held.
+        """Start the run for which a slot is held.
 
         Args:
-            ticket: of the lease.
+            ticket: ticket of the lease.
 
         Returns:
-            ``Admitted``, after which ``release_slot`` is due, or ``Refused``.
+            ``Admitted``, after which the slot has to be returned with
+            ``release_slot``, or ``Refused`` if the lease has expired.
         """
-        verdict = self._dispatch(LeaseRedeemed(ticket=ticket), own=ticket)
+        verdict = self._dispatch(LeaseRedeemed(ticket=ticket), awaited=ticket)
         assert verdict is not None
         return verdict
 
@@ -125,13 +127,13 @@
         ending: Ending,
         work_class: str = '',
     ) -> None:
-        """Give the slot back.
+        """Free the slot of a request.
 
         Args:
-            ticket: of an admitted request.
-            seconds: it spent at the backend server.
-            ending: how it ended there.
-            work_class: service and class.
+            ticket: ticket of an admitted request.
+            seconds: time spent at the backend server.
+            ending: how the request ended at the backend server.
+            work_class: the request's service and class.
         """
         self._dispatch(
             RequestFinished(
@@ -143,29 +145,29 @@
         )
 
     def handle_server_message(self, message: ServerMessage) -> None:
-        """Take what is known of the backend server.
+        """Apply new information about the backend server.
 
         Args:
-            message: of its slots, its rate or its start.
+            message: report of its slots, its rate limit or its state.
         """
         self._dispatch(message)
 
     def drain(self) -> None:
-        """Admit nothing more; what waits is refused."""
+        """Refuse all queued and new requests."""
         self._dispatch(DrainStarted())
 
     def _schedule_alarm(self) -> None:
-        # One alarm for the whole queue, at the first time that a request in
-        # it is held for too long, or may have its token.
+        # One alarm serves the whole queue. It fires when the first request in
+        # the queue is overdue or may get its rate limit token.
         token_at = self.state.find_token_at(read_clock())
         start_by = min(waiting.start_by for waiting in self.state.queue)
-        first = min(start_by, token_at + ALARM_MARGIN_SECONDS)
+        next_at = min(start_by, token_at + ALARM_MARGIN_SECONDS)
         alarm = self._alarm
-        if alarm is not None and alarm.is_set and alarm.at <= first:
+        if alarm is not None and alarm.is_set and alarm.at <= next_at:
             return
         if alarm is not None:
             alarm.cancel()
-        self._alarm = self._alarms.set_at(first, self._advance_time)
+        self._alarm = self._alarms.set_at(next_at, self._advance_time)
 
     def _advance_time(self) -> None:
         self._dispatch(TimePassed())
@@ -175,16 +177,16 @@
     def _dispatch(
         self,
         message: GateMessage,
-        own: TicketId = NO_TICKET,
+        awaited: TicketId = NO_TICKET,
     ) -> Verdict | None:
-        mine: Verdict | None = None
+        awaited_verdict: Verdict | None = None
         verdicts = decide_admission(message, self.state, now=read_clock())
         for verdict in verdicts:
-            on_verdict = self._waiting.pop(verdict.ticket, None)
+            on_verdict = self._callbacks.pop(verdict.ticket, None)
             if on_verdict is not None:
                 on_verdict(verdict)
-            elif verdict.ticket == own:
-                mine = verdict
+            elif verdict.ticket == awaited:
+                awaited_verdict = verdict
         if self.state.queue and self.state.rate.is_limited:
             self._schedule_alarm()
-        return mine
+        return awaited_verdict
--- a/wagtaildale/admission/ledger.py
+++ b/wagtaildale/admission/ledger.py
@@ -1,4 +1,4 @@
-"""Remembers which non-idempotent requests have run here."""
+"""Records which non-idempotent requests have run at this owner."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RunLedger:
-    """The latest non-idempotent requests that were let through.
+    """Ids of the latest non-idempotent requests that were run.
 
     Example:
         >>> ledger = RunLedger()
@@ -21,17 +21,17 @@
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty ledger."""
         self._runs: OrderedDict[RequestId, None] = OrderedDict()
 
     def note_run(self, request_id: RequestId) -> bool:
-        """Note that a request is about to run.
+        """Record that a request is about to run.
 
         Args:
-            request_id: 128 random bits.
+            request_id: identifies the request; 128 random bits.
 
         Returns:
-            Whether it is the first time; if not, it must not run.
+            Whether it runs for the first time; if not, it must not run.
         """
         if request_id in self._runs:
             return False
@@ -41,9 +41,9 @@
         return True
 
     def forget(self, request_id: RequestId) -> None:
-        """Forget a request that was let through and yet did not run.
+        """Remove a request that was recorded but did not run.
 
         Args:
-            request_id: of a request whose refusal says "not run".
+            request_id: identifies a request whose refusal says "not run".
         """
         self._runs.pop(request_id, None)
--- a/wagtaildale/admission/limits.py
+++ b/wagtaildale/admission/limits.py
@@ -1,8 +1,8 @@
-"""The limit of what runs at once: it follows what is observed.
+"""Adjusts the concurrency limit of a backend server to observed run times.
 
-The published number of slots bounds it from above. Health and load
-endpoints are not asked: they lag or mislead. What counts is how long
-requests took and whether the backend server refused or failed them.
+The published number of slots is the upper bound. Health and load endpoints
+are not used, since they lag or mislead. The limit depends on how long
+requests took and on whether the backend server refused or failed them.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @final
 class Ending(Enum):
-    """How a request at the backend server ended."""
+    """How a request ended at the backend server."""
 
     good = 'good'
     failed = 'failed'
@@ -41,18 +41,18 @@
     now: float,
     work_class: str = '',
 ) -> None:
-    """Note the time of a request and move the limit.
+    """Record the run time of a request and adjust the limit.
 
-    Multiplicative decrease when the backend server sheds, fails or has
-    become several times slower than it was; additive increase while the
-    limit is used up.
+    The limit decreases multiplicatively when the backend server sheds or
+    fails a request, or is several times slower than its baseline. It
+    increases additively while it is fully used.
 
     Args:
-        state: the gate; moved forward in place.
-        ending: how the request ended.
-        seconds: it spent at the backend server.
-        now: seconds.
-        work_class: service and class.
+        state: state of the gate; updated in place.
+        ending: how the request ended at the backend server.
+        seconds: time that the request spent at the backend server.
+        now: current time, seconds.
+        work_class: the request's service and class.
     """
     if ending is not Ending.failed:
         _record_run_time(state, ending, seconds, work_class)
@@ -63,8 +63,9 @@
             _lower_limit(state, FAILURE_FACTOR, now)
         return
     if not state.baseline_seconds:
-        # Failure: the usual time starts from a guess, every answer looks
-        # slow beside it, and a healthy server is held to one slot.
+        # The baseline starts from the first run. If it started from an
+        # assumed value, every run could look slow next to it, which would
+        # reduce a healthy server to one slot.
         state.baseline_seconds = seconds
         state.service_seconds = seconds
     state.service_seconds += (seconds - state.service_seconds) * FAST_GAIN
--- a/wagtaildale/admission/messages.py
+++ b/wagtaildale/admission/messages.py
@@ -1,4 +1,4 @@
-"""What the gate before a backend server is told, and what it answers."""
+"""Messages to the gate before a backend server, and its verdicts."""
 
 from __future__ import annotations
 
@@ -17,18 +17,21 @@
 
 
 class RequestArrived(Struct, frozen=True, kw_only=True, gc=False):
-    """A request asks to run.
+    """A request has arrived and asks to run.
 
     Attributes:
-        ticket: names the request at this gate.
-        within_ms: milliseconds left of its class's target.
-        deadline: seconds on the clock.
-        rank: of its class; 0 goes first.
-        patient: whether it may wait past its target; if not, it is refused
-            when it would, and can be asked for elsewhere.
-        work_class: service and class.
-        pass_rank: by which it was drawn; see ``admission.shares``.
-        stands_for: how many such requests it was drawn among.
+        ticket: identifies the request at this gate.
+        within_ms: time left until the target of its class, milliseconds.
+        deadline: time after which no response is awaited, seconds on the
+            clock.
+        rank: priority of the request's class; 0 is served first.
+        patient: whether it may wait past its target. If not, it is refused
+            instead, so that the entry can try another upstream.
+        work_class: the request's service and class.
+        pass_rank: rank by which the entry sampled it; see
+            ``admission.shares``.
+        stands_for: number of callers' requests that it was sampled from,
+            itself included.
     """
 
     within_ms: int
@@ -42,13 +45,13 @@
 
 
 class RequestFinished(Struct, frozen=True, kw_only=True, gc=False):
-    """A request that ran is done.
+    """A request has ended at the backend server.
 
     Attributes:
-        ticket: which one.
-        seconds: it spent at the backend server.
-        ending: how it ended there.
-        work_class: service and class.
+        ticket: identifies the request at this gate.
+        seconds: time that the request spent at the backend server.
+        ending: how the request ended there.
+        work_class: the request's service and class.
     """
 
     ticket: TicketId
@@ -58,11 +61,11 @@
 
 
 class LeaseGranted(Struct, frozen=True, kw_only=True, gc=False):
-    """A request that was admitted has yet to send its run message.
+    """A slot is held for an admitted request until its run message.
 
     Attributes:
-        ticket: which one.
-        ends_at: when the slot goes back unless the run has come, seconds.
+        ticket: identifies the request at this gate.
+        ends_at: when the slot is freed without a run message, seconds.
     """
 
     ticket: TicketId
@@ -70,23 +73,23 @@
 
 
 class LeaseRedeemed(Struct, frozen=True, kw_only=True, gc=False):
-    """The run message for a lease has come."""
+    """The run message for a lease has arrived."""
 
     ticket: TicketId
 
 
 class TimePassed(Struct, frozen=True, kw_only=True, gc=False):
-    """Leases may have ended."""
+    """Leases may have expired, or queued requests may be due."""
 
 
 class RequestCancelled(Struct, frozen=True, kw_only=True, gc=False):
-    """A request that waits is no longer wanted."""
+    """A queued request is cancelled."""
 
     ticket: TicketId
 
 
 class DrainStarted(Struct, frozen=True, kw_only=True, gc=False):
-    """The instance leaves: nothing new is admitted."""
+    """The instance is leaving: no more requests are admitted."""
 
 
 class Admitted(Struct, frozen=True, kw_only=True, gc=False):
@@ -96,12 +99,12 @@
 
 
 class Refused(Struct, frozen=True, kw_only=True, gc=False):
-    """A request does not run, and never did.
+    """A request is refused and has not run.
 
     Attributes:
-        ticket: which one.
-        code: why.
-        retry_after: seconds after which asking again is worth it.
+        ticket: identifies the request at this gate.
+        code: reason of the refusal.
+        retry_after: time after which a retry may succeed, seconds.
     """
 
     ticket: TicketId
--- a/wagtaildale/admission/queue.py
+++ b/wagtaildale/admission/queue.py
@@ -1,13 +1,12 @@
-"""Who waits at the gate, in which order, and how long.
-
-Load pattern answered: more requests than the server can carry, for seconds
-or for good. Served in the order they came, all of them wait until all of
-them are late, and the slots run what nobody is glad of any more. So a
-request that cannot be answered by its target is refused at once, while
-going elsewhere or coming back is still of use, and a free slot goes to the
-first request that can still be in time. One that cannot runs when nothing
-else of its rank waits, and is refused when a tenth of its time is over: its
-caller can still do something with the refusal then.
+"""Queues requests at the gate: which ones wait, in which order, how long.
+
+Under overload, first-in first-out order makes every request wait until it is
+late, and slots run requests whose responses are no longer of use. Therefore a
+request that cannot be answered by its target is refused at once, while a
+retry elsewhere or later can still succeed. A free slot goes to the first
+request that can still meet its target. A request that cannot meet it runs if
+no other request of its rank waits, and is refused after a tenth of its time,
+while its caller can still act on the refusal.
 """
 
 from __future__ import annotations
@@ -26,9 +25,9 @@
 from wagtaildale.errors.codes import Code
 
 MILLISECONDS: Final = 1000
-# Of the time that a request has: how long it is held without a slot. Under
-# overload no slot is idle, and whoever was held for a quarter comes back with
-# the target missed, only to be refused again.
+# Share of its time that a request may wait for a slot past its target. Under
+# overload no slot is idle: after waiting a quarter of its time, a caller
+# retries with its target missed and is refused again.
 MAX_HOLD_SHARE: Final = 0.1
 
 
@@ -37,16 +36,16 @@
     message: RequestArrived,
     now: float,
 ) -> list[Verdict]:
-    """Decide on a request that has come.
+    """Decide on a request that has arrived.
 
     Args:
-        state: the gate; moved forward in place.
+        state: state of the gate; updated in place.
         message: the request.
-        now: seconds.
+        now: current time, seconds.
 
     Returns:
-        The verdict on it, or on one that it takes the place of; none while
-        it waits.
+        The verdict on the request, or on a queued one that it displaces;
+        empty if it waits and displaces none.
     """
     code = Code.draining if state.draining else Code.past_deadline
     if state.draining or message.deadline <= now:
@@ -70,7 +69,7 @@
     message: RequestArrived,
     now: float,
 ) -> QueuedRequest:
-    seconds = state.find_run_seconds(message.work_class)
+    seconds = state.estimate_run_seconds(message.work_class)
     within = message.within_ms / MILLISECONDS
     target_at = now + within
     start_by = target_at - seconds
@@ -97,12 +96,12 @@
     ahead = _count_ahead(state, waiting, now)
     start = now + state.estimate_wait(ahead, rank=waiting.rank, now=now)
     if not _may_queue(waiting, start, patient=patient):
-        # An answer that cannot be in time is refused now, not late.
+        # Refused at once, not after a useless wait.
         return [refuse_overloaded(state, waiting, now)]
     insort(state.queue, waiting)
     if len(state.queue) <= state.max_queue_length:
         return []
-    # What can wait longest is shed first: the last of the queue.
+    # Shed the last in the queue, which can wait longest.
     return [refuse_overloaded(state, state.queue.pop(), now)]
 
 
@@ -131,7 +130,7 @@
 ) -> bool:
     if other.rank != waiting.rank:
         return other.rank < waiting.rank
-    # Of one rank those go first that can still be in time.
+    # Within a rank, requests that can still meet their target run first.
     other_in_time = other.is_in_time(now)
     if other_in_time != in_time:
         return other_in_time
@@ -147,14 +146,14 @@
 
 
 def expire_leases(state: AdmissionState, now: float) -> list[Verdict]:
-    """Give back the slots whose run message did not come in time.
+    """Free the slots of leases that have expired without a run message.
 
     Args:
-        state: the gate; moved forward in place.
-        now: seconds.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Verdicts on requests that waited.
+        Verdicts on queued requests.
     """
     ended = [
         ticket for ticket, ends_at in state.leases.items() if ends_at <= now
@@ -166,14 +165,14 @@
 
 
 def admit_waiting(state: AdmissionState, now: float) -> list[Verdict]:
-    """Let those in the queue run that may now, and refuse those held too long.
+    """Admit queued requests that may run, and refuse those that are overdue.
 
     Args:
-        state: the gate; moved forward in place.
-        now: seconds.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
-        Verdicts on requests that waited.
+        Verdicts on queued requests.
     """
     verdicts = _refuse_overdue(state, now)
     following = _find_next(state, now)
@@ -185,11 +184,11 @@
 
 
 def _refuse_overdue(state: AdmissionState, now: float) -> list[Verdict]:
-    held = [waiting for waiting in state.queue if waiting.start_by <= now]
+    overdue = [waiting for waiting in state.queue if waiting.start_by <= now]
     verdicts: list[Verdict] = []
-    for waiting in held:
+    for waiting in overdue:
         state.queue.remove(waiting)
-        # With a slot free now it runs after all, though late.
+        # It still runs, though late, if a slot is free now.
         if waiting.deadline > now and state.can_run(waiting, now):
             verdicts.append(_admit(state, waiting, now))
         else:
--- a/wagtaildale/admission/rates.py
+++ b/wagtaildale/admission/rates.py
@@ -1,9 +1,9 @@
-"""The rate of requests that a backend server takes, as it names it.
+"""Applies the request rate limit that a backend server names.
 
-Load pattern answered: a server in need asks for fewer requests a second than
-come. A number of slots bounds no rate: a quick server gets many times what it
-named with few requests running. A token bucket stands beside the slots: each
-request to the server takes a token, whoever sends it and why.
+A backend server under load may name a limit in requests per second. Slots
+do not bound a rate: a fast server can get many times its limit with few
+concurrent requests. A token bucket is therefore used in addition to the
+slots. Every request to the server takes a token, including the node's own.
 """
 
 from __future__ import annotations
@@ -13,29 +13,31 @@
 
 from msgspec import Struct, field
 
-# What a server did not get for half a second it may get at once: callers do
-# not come evenly.
+# Requests that a server did not get in the last half second may be sent at
+# once, since callers do not send them evenly.
 BURST_SECONDS: Final = 0.5
-# A token to run, and one that is kept for more important requests.
+# One token for a request, and one that is reserved for higher priorities.
 MIN_BURST_TOKENS: Final = 2.0
 RESERVED_TOKENS: Final = 1.0
-# A server that named none would never be heard to take requests again.
+# With a limit of zero no response would ever arrive to raise it again.
 MIN_PER_SECOND: Final = 0.5
-# For so long tokens are kept for a rank of which a request came.
+# A token is reserved for a rank for this long after its last request.
 RANK_ACTIVE_SECONDS: Final = 2.0
 
 
 class RateLimit(Struct, kw_only=True):
-    """Tokens for requests to one start of a backend server.
+    """Token bucket for requests to a backend server, until it restarts.
 
     Attributes:
-        per_second: that it takes; nothing while it names no limit.
-        is_observed: whether this process has heard the server itself.
-        tokens: as last counted.
-        counted_at: when that was, seconds.
-        source_sent_at: when the run began whose answer named the limit, or ended
-            it, seconds.
-        last_seen_by_rank: when a request of each rank came last, seconds.
+        per_second: requests per second that it accepts; None without a limit.
+        is_observed: whether this process knows the limit from the server
+            itself, not only from an entry.
+        tokens: number of tokens at ``counted_at``.
+        counted_at: when the bucket was last refilled, seconds.
+        source_sent_at: when the request was sent whose response last set or
+            ended the limit, seconds.
+        last_seen_by_rank: arrival time of the last request of each rank,
+            seconds.
     """
 
     per_second: float | None = None
@@ -47,7 +49,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether the server names a limit."""
+        """Whether the server names a rate limit."""
         return self.per_second is not None
 
     def note_answer(
@@ -57,16 +59,16 @@
         begun_at: float,
         now: float,
     ) -> None:
-        """Note what an answer of the server says.
+        """Apply the rate limit that a response of the server names.
 
-        Failure guarded here: answers to requests that were begun before the
-        server came into need arrive after it named its limit, and end it. An
-        answer to a request that is older than the limit can only lower it.
+        Responses to requests that were sent before the server was under load
+        may arrive after it named its limit, and must not end it. A response
+        to a request that is older than the limit can therefore only lower it.
 
         Args:
-            per_second: the limit that it names; nothing if it names none.
-            begun_at: when its request was sent to the server, seconds.
-            now: seconds.
+            per_second: limit that the response names; None without a limit.
+            begun_at: when the request was sent to the server, seconds.
+            now: current time, seconds.
         """
         is_later = begun_at >= self.source_sent_at or not self.is_observed
         if is_later or _is_lower(per_second, self.per_second):
@@ -75,62 +77,62 @@
         self.is_observed = True
 
     def note_forwarded(self, per_second: float, *, now: float) -> None:
-        """Note a limit that an entry has heard from an earlier owner.
+        """Apply a rate limit that an entry learned from an earlier owner.
 
-        Failure guarded here: an owner that has just started lets as many
-        requests through as the server has slots, until its first answer.
+        Without this, an owner that has just started sends as many requests
+        as the server has slots until its first response arrives.
 
         Args:
             per_second: the limit.
-            now: seconds.
+            now: current time, seconds.
         """
         if not self.is_observed and _is_lower(per_second, self.per_second):
             self._set_rate(per_second, now)
 
     def note_restart(self) -> None:
-        """Note that the server has started anew: it has named nothing yet."""
+        """Drop the limit after a restart: the new server has named none yet."""
         self.per_second = None
         self.is_observed = True
         self.source_sent_at = -inf
 
     def note_request(self, rank: int, *, now: float) -> None:
-        """Note that a request comes.
+        """Record the arrival of a request.
 
         Args:
-            rank: of its class; 0 goes first.
-            now: seconds.
+            rank: priority of the request's class; 0 is served first.
+            now: current time, seconds.
         """
         self.last_seen_by_rank[rank] = now
 
     def has_token(self, rank: int, *, now: float) -> bool:
-        """Tell whether a request may go to the server now.
+        """Tell whether a request may be sent to the server now.
 
         Args:
-            rank: of its class; 0 goes first.
-            now: seconds.
+            rank: priority of the request's class; 0 is served first.
+            now: current time, seconds.
 
         Returns:
-            Whether there is a token for it.
+            Whether a token is available to its rank.
         """
         return self.find_wait(rank, ahead=0, now=now) <= 0
 
     def take_token(self, *, now: float) -> None:
-        """Take a token: a request goes to the server.
+        """Take a token for a request that is sent to the server.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
         """
         if self.per_second is not None:
             self._refill(now)
             self.tokens -= 1
 
     def find_wait(self, rank: int, *, ahead: int, now: float) -> float:
-        """Find how long a request waits for its token.
+        """Estimate how long a request waits for its token.
 
         Args:
-            rank: of its class.
-            ahead: requests that go before it.
-            now: seconds.
+            rank: priority of the request's class; 0 is served first.
+            ahead: number of requests that are served before it.
+            now: current time, seconds.
 
         Returns:
             Seconds.
@@ -142,8 +144,8 @@
         return max(0, missing / _clamp_rate(self.per_second))
 
     def _find_reserved(self, rank: int, now: float) -> float:
-        # Failure: whatever comes first takes each token, and a booking meets
-        # an empty bucket as often as a report does.
+        # Without a reserved token the first request to arrive takes it, and
+        # a request of high priority finds the bucket empty as often as others.
         return RESERVED_TOKENS * any(
             other < rank and now - at < RANK_ACTIVE_SECONDS
             for other, at in self.last_seen_by_rank.items()
@@ -151,7 +153,7 @@
 
     def _set_rate(self, per_second: float | None, now: float) -> None:
         if self.per_second is None:
-            # The server has just had more than it can bear.
+            # The server was overloaded a moment ago: start without a burst.
             self.tokens = 1
             self.counted_at = now
         self._refill(now)
--- a/wagtaildale/admission/refusals.py
+++ b/wagtaildale/admission/refusals.py
@@ -1,4 +1,4 @@
-"""Why a request does not run, and when to ask again."""
+"""Builds refusals with their reason and the time after which to retry."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     waiting: QueuedRequest,
     now: float,
 ) -> Refused:
-    """Refuse a request that was held for too long.
+    """Refuse a request that has waited past its latest start.
 
     Args:
-        state: the gate.
-        waiting: the request.
-        now: seconds.
+        state: state of the gate.
+        waiting: the request to refuse.
+        now: current time, seconds.
 
     Returns:
         The refusal.
@@ -35,15 +35,16 @@
 def refuse_overloaded(
     state: AdmissionState, waiting: QueuedRequest, now: float
 ) -> Refused:
-    """Refuse a request that there is no room for.
+    """Refuse a request that the backend server has no capacity for.
 
     Args:
-        state: the gate.
-        waiting: the request.
-        now: seconds.
+        state: state of the gate.
+        waiting: the request to refuse.
+        now: current time, seconds.
 
     Returns:
-        The refusal; its code says whether slots or a rate are short.
+        The refusal; its code tells whether slots or the rate limit are the
+        cause.
     """
     ahead = len(state.queue)
     slot_wait = state.estimate_slot_wait(ahead)
@@ -62,13 +63,13 @@
     code: Code,
     now: float,
 ) -> Refused:
-    """Refuse a request that waits.
+    """Build the refusal of a request, with its estimated wait.
 
     Args:
-        state: the gate.
-        waiting: the request.
-        code: why.
-        now: seconds.
+        state: state of the gate.
+        waiting: the request to refuse.
+        code: reason of the refusal.
+        now: current time, seconds.
 
     Returns:
         The refusal.
@@ -82,11 +83,11 @@
 
 
 def refuse_all(state: AdmissionState, code: Code) -> list[Verdict]:
-    """Refuse those in the queue.
+    """Refuse all queued requests.
 
     Args:
-        state: the gate; moved forward in place.
-        code: why.
+        state: state of the gate; updated in place.
+        code: reason of the refusals.
 
     Returns:
         The refusals.
@@ -97,15 +98,15 @@
 
 
 def refuse_rate_limited(state: AdmissionState, now: float) -> list[Verdict]:
-    """Refuse those in the queue that a named rate leaves no time for.
+    """Refuse queued requests that the rate limit delays past their start time.
 
-    Failure guarded here: a limit is named or falls, and requests that were
-    to run in some milliseconds are held until they are late, only to be
-    refused.
+    When a server names or lowers a limit, requests that expected to run
+    within milliseconds would otherwise wait until they are late and be
+    refused then.
 
     Args:
-        state: the gate; moved forward in place.
-        now: seconds.
+        state: state of the gate; updated in place.
+        now: current time, seconds.
 
     Returns:
         The refusals.
--- a/wagtaildale/admission/replay_cache.py
+++ b/wagtaildale/admission/replay_cache.py
@@ -1,8 +1,8 @@
-"""Answers that are kept for callers who repeat an ``Idempotency-Key``.
+"""Stores responses for callers that repeat an ``Idempotency-Key``.
 
-What this promises is in docs/operators/idempotency-keys.md: as long as this
-process lives, has room, and the repeat reaches it. There is no shared state
-that could promise more.
+A response is replayed only while this process runs, has room for it, and
+receives the repeated request. No state is shared between nodes, so there is
+no stronger guarantee; see docs/operators/idempotency-keys.md.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @final
 class KeyState(Enum):
-    """What is known of a key."""
+    """State of a key."""
 
     fresh = 'fresh'
     running = 'running'
@@ -27,12 +27,12 @@
 
 
 class StoredAnswer(Struct, frozen=True, kw_only=True):
-    """An answer of the backend server.
+    """A stored response of the backend server.
 
     Attributes:
         status: HTTP status.
-        headers: those that went on.
-        body: all of it.
+        headers: header fields that were sent to the caller.
+        body: the whole body.
     """
 
     status: int
@@ -41,14 +41,14 @@
 
 
 class KeyEntry(Struct, frozen=True, kw_only=True):
-    """A key and what became of its request."""
+    """State of a key, and the response to its request if it is stored."""
 
     state: KeyState
     answer: StoredAnswer | None = None
 
 
 class ReplayCache:
-    """Keys seen by one owner, the latest ones.
+    """The latest keys seen by one owner, with their responses.
 
     Example:
         >>> replays = ReplayCache()
@@ -59,18 +59,18 @@
     """
 
     def __init__(self) -> None:
-        """Begin with no key."""
+        """Create an empty cache."""
         self._entries: OrderedDict[str, KeyEntry] = OrderedDict()
 
     def begin(self, key: str) -> KeyEntry:
-        """Begin a request with a key.
+        """Start a request with a key.
 
         Args:
-            key: the caller's.
+            key: key that identifies the caller's request.
 
         Returns:
-            What is known of the key; ``fresh`` means that it may run, and
-            it counts as running from here on.
+            The key's entry before this call. If it is ``fresh``, the request
+            may run, and the key counts as ``running`` from now on.
         """
         known = self._entries.get(key)
         if known is not None:
@@ -81,19 +81,19 @@
         return KeyEntry(state=KeyState.fresh)
 
     def store(self, key: str, answer: StoredAnswer | None) -> None:
-        """Keep the answer of a request that ran.
+        """Store the response to a request that ran.
 
         Args:
-            key: the caller's.
-            answer: nothing if it was too large to keep.
+            key: key that identifies the caller's request.
+            answer: the response; None if it is too large to store.
         """
         entry = KeyEntry(state=KeyState.answered, answer=answer)
         self._entries[key] = entry
 
     def forget(self, key: str) -> None:
-        """Forget a key whose request did not run.
+        """Remove a key whose request did not run.
 
         Args:
-            key: the caller's.
+            key: key that identifies the caller's request.
         """
         self._entries.pop(key, None)
--- a/wagtaildale/admission/run_times.py
+++ b/wagtaildale/admission/run_times.py
@@ -1,4 +1,4 @@
-"""What requests of a class take at a backend server, now and usually."""
+"""Tracks the recent and the usual run time of a request class."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 
 from msgspec import Struct
 
-# Of a run in the usual time of its class: thirty of them make most of it.
+# Weight of a run in the mean: thirty runs make up most of it.
 MEAN_GAIN: Final = 0.03
-# Of a run in the time that the class takes now: ten of them make most of it.
-# Fewer would tell the luck of single runs, and what is told is kept for long.
+# Weight of a run in the recent time: ten runs make up most of it. Fewer runs
+# would reflect chance, and entries keep the value that they are sent for long.
 RECENT_GAIN: Final = 0.1
-# Single runs differ by a third; the mean of ten is known to a tenth.
+# Single runs differ by a third of their mean. The mean of ten runs is exact
+# to a tenth.
 MIN_RUNS: Final = 10
 
 
 class RunTimes(Struct, kw_only=True, gc=False):
-    """What requests of a class take at one backend server.
+    """Run times of one class at one backend server.
 
     Attributes:
-        runs: that were seen.
-        mean: seconds; of all runs at first, later of some thirty.
-        recent: seconds; of some ten runs.
+        runs: number of completed runs.
+        mean: mean run time in seconds; of all runs at first, later weighted
+            over about thirty.
+        recent: mean run time in seconds, weighted over about ten runs.
     """
 
     runs: int = 0
@@ -30,19 +32,20 @@
 
     @property
     def reliable_mean(self) -> float:
-        """Seconds that entries are told; 0 while the runs are too few.
+        """Mean run time in seconds; 0 while there are too few runs.
 
-        Failure guarded here: the first run at a server opens a connection,
-        or meets a cold cache. Told as usual it keeps every entry away for
-        as long as they believe it, and no second run shows it wrong.
+        The first run at a server opens a connection or meets a cold cache,
+        so it takes much longer than usual. If entries were sent that time as
+        the usual one, all of them would avoid the server for as long as they
+        keep the value, and no second run would correct it.
         """
         return self.mean if self.runs >= MIN_RUNS else 0
 
     def note(self, seconds: float) -> None:
-        """Note a run.
+        """Record a completed run.
 
         Args:
-            seconds: it took.
+            seconds: run time.
         """
         self.runs += 1
         gain = 1 / self.runs
@@ -50,15 +53,15 @@
         self.recent += (seconds - self.recent) * max(RECENT_GAIN, gain)
 
     def note_abandoned(self, seconds: float) -> None:
-        """Note a run that was given up before its end.
+        """Record a run that was cancelled before it completed.
 
-        Failure guarded here: a server turns slow, every run there is
-        overtaken by a second attempt elsewhere and given up, and the server
-        is never known to be slow: no run of its ends. One that was given up
-        would have taken longer than it did.
+        When a server becomes slow, second attempts elsewhere may overtake
+        all of its runs, which are then cancelled. No run completes, so the
+        server would never be known to be slow. A cancelled run would have
+        taken longer than it did until then.
 
         Args:
-            seconds: it had taken by then.
+            seconds: run time until the cancellation.
         """
         if self.runs and seconds > self.recent:
             self.recent += (seconds - self.recent) * RECENT_GAIN
--- a/wagtaildale/admission/server_messages.py
+++ b/wagtaildale/admission/server_messages.py
@@ -1,4 +1,4 @@
-"""What the gate is told of the backend server behind it."""
+"""Messages that inform the gate about its backend server."""
 
 from __future__ import annotations
 
@@ -6,21 +6,22 @@
 
 
 class SlotsPublished(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has published how many requests it runs at once.
+    """The backend server has published its number of slots.
 
     Attributes:
-        slots: the number; it then bounds what runs, and nothing is guessed.
-            0 if it does not tell.
+        slots: concurrent requests that it accepts, which becomes the fixed
+            limit instead of an adaptive one; 0 if it does not publish any.
     """
 
     slots: int
 
 
 class RateReported(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has answered, and perhaps named a rate.
+    """The backend server has responded, with or without a rate limit.
 
     Attributes:
-        per_second: requests that it takes; nothing if it names no limit.
+        per_second: requests per second that it accepts; None if the response
+            names no limit.
         begun_at: when the request was sent to it, seconds.
     """
 
@@ -29,25 +30,25 @@
 
 
 class RateForwarded(Struct, frozen=True, kw_only=True, gc=False):
-    """An entry has heard of a rate from an earlier owner of the server.
+    """An entry has forwarded a rate limit from an earlier owner.
 
     Attributes:
-        per_second: requests that the server takes.
+        per_second: requests per second that the backend server accepts.
     """
 
     per_second: float
 
 
 class ServerRestarted(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has ended; the next one has named nothing."""
+    """The backend server has ended; its successor has named no limit yet."""
 
 
 class LeavingReported(Struct, frozen=True, kw_only=True, gc=False):
-    """The backend server has said that it leaves: nobody waits for it."""
+    """The backend server is leaving: queued requests are refused."""
 
 
 class ProbeSent(Struct, frozen=True, kw_only=True, gc=False):
-    """The node has sent the backend server a request of its own."""
+    """The node has sent its own request, such as a health check."""
 
 
 ServerMessage = (
--- a/wagtaildale/admission/shares.py
+++ b/wagtaildale/admission/shares.py
@@ -1,18 +1,19 @@
-"""Which part of the requests for a limited server entries may send to it.
-
-Load pattern answered: a server names a rate under what comes, or all servers
-of a service do. Known to their owners alone, a limit turns the rest into
-refusals there: entries ask one server after the other and spend their
-attempts. Told to entries, the rest goes to servers with room, or is rejected
-where it comes in, the least important first.
-
-Requests are ranked for this by their class, and late ones behind: of what a
-service can take, none is spent on an answer that misses its target while
-another request can still be in time.
-
-Entries send a request that they drew among several, and say how many it
-stands for. So an owner knows what it would be asked without any share, and
-what it tells does not depend on what it told before.
+"""Computes which share of each rank's requests entries may send to a server.
+
+One server, or all servers of a service, may accept fewer requests than
+arrive. If only the owners know the limit, they refuse the excess, and entries
+spend their attempts on one server after the other. Entries that know the
+share send the excess to servers with free capacity, or reject it on arrival,
+the lowest priority first.
+
+The pass rank orders requests by the priority of their class, and puts late
+ones behind those of the next class that are in time. So a service spends no
+capacity on a response that misses its target while another request can still
+meet its own.
+
+Entries sample the requests that they send, and state how many requests each
+sampled one stands for. An owner therefore knows the demand without any share,
+and a new share does not depend on the previous one.
 """
 
 from __future__ import annotations
@@ -25,42 +26,48 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-# Shares go between nodes in ten-thousandths.
+# Nodes exchange shares in ten-thousandths.
 PARTS_PER_WHOLE: Final = 10_000
-# Of the load that was; a burst is known within a second of its begin.
+# Time constant of the demand measurement: a burst shows within a second.
 DECAY_SECONDS: Final = 1.0
-# Of the share of all requests that pass: what each class has at the least, so
-# that none is turned away altogether for a more important one.
+# Minimum share of each class, as a part of the share that an even split would
+# give it, so that no class is rejected completely for a more important one.
 MIN_SHARE_OF_EVEN: Final = 0.3
-# Some requests of each rank must come, or it is not known that they would.
+# Some requests of each rank have to pass, or its demand would be unknown.
 MIN_PARTS: Final = 2
 LOWEST_RANK: Final = 255
 LATE_RANK_OFFSET: Final = 3
-# Between two tellings, and by how much a share differs from what was told.
+# Minimum time between two announcements of a share, and the minimum factor by
+# which an announced share differs from the one before.
 ANNOUNCE_INTERVAL_SECONDS: Final = 0.25
 ANNOUNCE_RATIO: Final = 1.3
 
 
 def find_pass_rank(rank: int, *, is_late: bool) -> int:
-    """Find the rank by which a request goes to limited servers.
+    """Compute the pass rank of a request.
 
     Args:
-        rank: of its class; 0 goes first.
-        is_late: whether it cannot be answered within its target.
+        rank: priority of the request's class; 0 is served first.
+        is_late: whether the request can no longer meet its target.
 
     Returns:
-        Even in time; odd if late, behind those in time of the next class.
+        The pass rank, lower values first. It is even for a request in time,
+        and odd for a late one, which comes after the next class in time.
     """
     return 2 * rank + LATE_RANK_OFFSET * is_late
 
 
 class PassShare(Struct, frozen=True, array_like=True, gc=False):
-    """Of the requests of each rank, how many in ten thousand pass.
+    """Share of the requests of each pass rank that may be sent.
+
+    Requests with a pass rank below ``rank`` all pass.
 
     Attributes:
-        rank: all those of more important ranks pass; see ``find_pass_rank``.
-        parts: of this rank.
-        lower_rank_parts: of less important ones that can be in time.
+        rank: first pass rank of which not all requests pass; see
+            ``find_pass_rank``.
+        parts: share of this rank that passes, in ten-thousandths.
+        lower_rank_parts: share of each later rank in time that passes, in
+            ten-thousandths.
     """
 
     rank: int = LOWEST_RANK
@@ -68,13 +75,13 @@
     lower_rank_parts: int = PARTS_PER_WHOLE
 
     def find(self, rank: int) -> float:
-        """Find the share of a rank that passes.
+        """Find the share of a rank's requests that passes.
 
         Args:
-            rank: see ``find_pass_rank``.
+            rank: pass rank of the requests; see ``find_pass_rank``.
 
         Returns:
-            From ``MIN_PARTS`` to 1.
+            Share from ``MIN_PARTS / PARTS_PER_WHOLE`` to 1.
         """
         if rank < self.rank:
             return 1
@@ -88,13 +95,14 @@
 
 
 class Demand(Struct, kw_only=True):
-    """Requests a second that would come if all of them passed.
+    """Request rate that a server would receive if all requests passed.
 
     Attributes:
-        amounts: by rank, requests of about ``DECAY_SECONDS``.
-        counted_at: when that was, seconds.
-        announced: which share entries were told last.
-        announced_at: when that was, seconds.
+        amounts: requests of each pass rank, exponentially decayed with a time
+            constant of ``DECAY_SECONDS``.
+        counted_at: when ``amounts`` were last updated, seconds.
+        announced: share that was last sent to entries.
+        announced_at: when that share was sent, seconds.
     """
 
     amounts: dict[int, float] = field(default_factory=dict)
@@ -106,37 +114,40 @@
         """Count a request.
 
         Args:
-            rank: see ``find_pass_rank``.
-            stands_for: how many such requests it was drawn among.
-            now: seconds.
+            rank: pass rank of the requests; see ``find_pass_rank``.
+            stands_for: number of callers' requests that the request was
+                sampled from, itself included.
+            now: current time, seconds.
         """
         self._decay(now)
         self.amounts[rank] = self.amounts.get(rank, 0) + stands_for
 
     def measure(self, now: float) -> float:
-        """Measure what would come if all of it passed.
+        """Measure the request rate if all requests passed.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Requests a second.
+            Requests per second.
         """
-        # Metrics are read by another thread: nothing is moved forward here.
+        # Metrics are read from another thread, so the state is not updated.
         kept = exp((self.counted_at - now) / DECAY_SECONDS)
         return kept * sum(tuple(self.amounts.values())) / DECAY_SECONDS
 
     def compute_pass_share(
         self, per_second: float | None, *, now: float
     ) -> PassShare:
-        """Share what a server takes out to the ranks.
+        """Divide the request rate that a server accepts among the ranks.
 
         Args:
-            per_second: requests that it takes; nothing if it names no limit.
-            now: seconds.
+            per_second: requests per second that the server accepts; None if
+                there is no limit.
+            now: current time, seconds.
 
         Returns:
-            What passes: the important ones first, and some of each.
+            The share that passes: important ranks first, and some requests
+            of every rank.
         """
         if per_second is None:
             return ALL_PASS
@@ -150,14 +161,15 @@
         )
 
     def update_announcement(self, share: PassShare, *, now: float) -> bool:
-        """Find whether entries are to be told of a share, and note it.
+        """Decide whether to announce a share to entries, and record it.
 
         Args:
-            share: that passes now.
-            now: seconds.
+            share: share that passes now.
+            now: current time, seconds.
 
         Returns:
-            Whether it differs from what they know.
+            Whether to announce it: it differs enough from the announced share,
+            and the last announcement was long enough ago.
         """
         if (
             now - self.announced_at < ANNOUNCE_INTERVAL_SECONDS
@@ -176,7 +188,7 @@
 
 
 def _divide_rate(per_second: float, demand: Mapping[int, float]) -> PassShare:
-    in_time = sum(often for rank, often in demand.items() if not rank % 2)
+    in_time = sum(rate for rank, rate in demand.items() if not rank % 2)
     least = MIN_SHARE_OF_EVEN * min(1, per_second / max(1, in_time))
     kept = {rank: 0 if rank % 2 else least for rank in demand}
     left = per_second - least * in_time
--- a/wagtaildale/admission/slowness.py
+++ b/wagtaildale/admission/slowness.py
@@ -1,10 +1,10 @@
-"""Whether a backend server takes longer than it usually does.
+"""Detects that a backend server takes longer than usual.
 
-Load pattern answered: a part of a service's servers turns slow for some
-seconds. Each entry of a large fleet asks one of them every few seconds, so it
-learns of it one late request after the other, and spends as many to learn
-that the server is well again. The owner knows after some runs, and tells its
-entries when it begins and when it ends.
+Some servers of a service may be slow for a few seconds. An entry of a large
+fleet sends a request to each of them only every few seconds. On its own, it
+learns that a server is slow from one late request after the other, and needs
+as many to learn that the server has recovered. The owner knows after a few
+runs and announces the begin and the end to its entries.
 """
 
 from __future__ import annotations
@@ -13,28 +13,30 @@
 
 from msgspec import Struct
 
-# Of a run: five of them make most of the ratio, and one that takes several
-# times its usual time, as one in a hundred does, makes nothing of it.
+# Weight of a run in the ratio: five runs make up most of it. A single run of
+# several times the usual time, as one in a hundred is, does not count as slow.
 SLOWDOWN_GAIN: Final = 0.2
-# Of a faster run while it is slow: few requests come to a server that is told
-# to be slow, and five of them are to show that it is well.
+# Weight of a faster run while the server is slow. A server that was announced
+# as slow receives few requests, and five of them must show its recovery.
 RECOVERY_GAIN: Final = 0.4
 MAX_RATIO: Final = 5.0
-# A server of twice its time misses the targets of short requests. Runs differ
-# by a third of their mean; what lies between the two changes nothing.
+# A server at twice its usual time misses the targets of short requests. Run
+# times vary by a third of their mean, so a ratio between the two thresholds
+# changes nothing.
 SLOW_RATIO: Final = 2.0
 RECOVERED_RATIO: Final = 1.4
-# Between two tellings: a server at the edge does not tell it with each run.
+# Minimum time between two announcements, so that a server near a threshold
+# does not announce a change after every run.
 ANNOUNCE_INTERVAL_SECONDS: Final = 0.5
 
 
 class Slowness(Struct, kw_only=True, gc=False):
-    """The time of a backend server's runs now over their usual time.
+    """Ratio of a backend server's recent run times to their usual time.
 
     Attributes:
-        ratio: of some five runs.
-        is_slow: what entries were told last.
-        announced_at: when they were told, seconds.
+        ratio: smoothed ratio of about five runs; 1 is the usual time.
+        is_slow: whether the server was last announced as slow.
+        announced_at: when the last change was announced, seconds.
     """
 
     ratio: float = 1
@@ -43,18 +45,18 @@
 
     @property
     def announced_ratio(self) -> float:
-        """What entries are told: what it is while it is slow, else 1.
+        """Ratio that entries are sent; 1 unless the server is slow.
 
-        A server that is well again is on its way to its usual time; what is
-        left of the ratio would be believed for long.
+        A recovered server is returning to its usual time. Entries would keep
+        the remaining ratio for too long.
         """
         return self.ratio if self.is_slow else 1
 
     def note(self, ratio: float) -> None:
-        """Note a run.
+        """Record a completed run.
 
         Args:
-            ratio: of its time over the usual time of its class.
+            ratio: its run time divided by the usual time of its class.
         """
         gain = (
             RECOVERY_GAIN
@@ -64,25 +66,27 @@
         self.ratio += (min(MAX_RATIO, ratio) - self.ratio) * gain
 
     def note_abandoned(self, ratio: float) -> None:
-        """Note a run that was given up: it would have taken longer.
+        """Record a cancelled run, which would have taken longer.
 
         Args:
-            ratio: of its time until then over the usual time of its class.
+            ratio: its run time until the cancellation, divided by the usual
+                time of its class.
         """
         if ratio > self.ratio:
             self.note(ratio)
 
     def update_announcement(self, *, now: float) -> bool:
-        """Find whether entries are to be told of a change, and note it.
+        """Decide whether to announce a change to entries, and record it.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Whether it began or ended and the last telling was not just now.
+            Whether the server became slow or recovered, and the last
+            announcement was long enough ago.
         """
-        edge = RECOVERED_RATIO if self.is_slow else SLOW_RATIO
-        is_slow = self.ratio > edge
+        threshold = RECOVERED_RATIO if self.is_slow else SLOW_RATIO
+        is_slow = self.ratio > threshold
         if (
             is_slow is self.is_slow
             or now - self.announced_at < ANNOUNCE_INTERVAL_SECONDS
--- a/wagtaildale/admission/state.py
+++ b/wagtaildale/admission/state.py
@@ -1,4 +1,4 @@
-"""What the gate before a backend server holds."""
+"""State of the gate before a backend server: slots, queue and estimates."""
 
 from __future__ import annotations
 
@@ -15,25 +15,31 @@
 
 INITIAL_RUN_SECONDS: Final = 0.005
 QUEUE_PER_SLOT: Final = 16
+# One slot in four is reserved for urgent and short requests.
 RESERVED_SLOTS_DIVISOR: Final = 4
+# A request is urgent once less than this many times its run time is left
+# until its target.
 URGENT_RUN_TIMES: Final = 5
-# Of a target: what a request takes while no time is known. Users set their
-# targets at 2.5 to 5 times the usual time of an answer.
+# Share of its target that a request is assumed to take while no run time is
+# known. Users set their targets to 2.5 to 5 times the usual response time.
 ASSUMED_TARGET_SHARE: Final = 0.3
-# Of a new target in the guess: ten requests make most of it.
+# Weight of a new target in the assumed run time: ten requests make up most
+# of it.
 ASSUMED_GAIN: Final = 0.1
 
 
 class QueuedRequest(Struct, order=True, gc=False):
-    """A request in the queue; the order of fields is the queue's order.
+    """A request in the queue.
+
+    The queue is sorted by these fields, in their order here.
 
     Attributes:
-        rank: of its class; 0 goes first.
-        target_at: when its target would be missed, seconds on the clock.
-        ticket: which one.
-        deadline: when nobody waits for it any more.
-        start_by: when it is refused if it has not begun, seconds.
-        seconds: how long it is expected to run.
+        rank: priority of the request's class; 0 is served first.
+        target_at: time at which the target of its class is missed, seconds.
+        ticket: identifies the request at this gate.
+        deadline: time after which no response is awaited, seconds.
+        start_by: time at which it is refused if it has not started, seconds.
+        run_seconds: expected run time, seconds.
     """
 
     rank: int
@@ -44,13 +50,13 @@
     run_seconds: float
 
     def is_in_time(self, now: float) -> bool:
-        """Tell whether its target would be kept if it ran now.
+        """Tell whether the request meets its target if it starts now.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Whether it is expected to be answered by then.
+            Whether its expected run time ends before its target.
         """
         return now + self.run_seconds <= self.target_at
 
@@ -59,23 +65,25 @@
     """Slots and queue of one backend server.
 
     Attributes:
-        slots: requests that it says it runs at once.
-        limit: how many are let through now; at most ``slots``.
-        running: requests that run, with the time each was admitted.
-        queue: requests that wait, the most urgent first.
-        leases: slots that are held for a run message, until when.
-        service_seconds: smoothed time of a request at the backend server.
-        baseline_seconds: the same over a long time; 0 before the first.
-        assumed_seconds: what it may be, while there was no answer; 0 before
-            the first request.
-        class_seconds: smoothed time by class.
-        class_run_times: what entries are told of that.
-        slowness: whether the backend server is slower than usual.
-        rate: that the backend server takes, if it names one.
-        demand: what would come if all of it passed.
-        adaptive: whether the limit follows what is observed.
-        lowered_at: when the limit was lowered last, seconds.
-        draining: whether nothing new is admitted.
+        slots: concurrent requests that the backend server accepts.
+        limit: current concurrency limit; at most ``slots``.
+        running: admitted requests, with the time of their admission.
+        queue: waiting requests, the most urgent first.
+        leases: admitted requests whose run message is awaited, with the
+            time at which the slot is freed without it.
+        service_seconds: smoothed run time at the backend server.
+        baseline_seconds: run time smoothed over many more requests; 0 before
+            the first run.
+        assumed_seconds: run time derived from targets, used until a run was
+            measured; 0 before the first request.
+        class_seconds: smoothed run time of each class.
+        class_run_times: run times of each class that entries are sent.
+        slowness: detects that the backend server is slower than usual.
+        rate: rate limit that the backend server names, if any.
+        demand: request rate before entries hold any request back.
+        adaptive: whether the limit is adjusted to observed run times.
+        lowered_at: when the limit was last lowered, seconds.
+        draining: whether new requests are refused.
     """
 
     slots: int
@@ -97,32 +105,32 @@
 
     @property
     def slot_seconds(self) -> float:
-        """How long a request of any class holds a slot; 0 before the first."""
+        """Seconds for which a request holds a slot; 0 before the first run."""
         return self.service_seconds if self.baseline_seconds else 0
 
     @property
     def free_slots(self) -> int:
-        """How many more requests may run now."""
+        """Number of slots that are free."""
         return int(self.limit) - len(self.running)
 
     @property
     def reserved_slots(self) -> int:
-        """How many slots are kept for what cannot wait."""
+        """Number of slots that are reserved for urgent and short requests."""
         return int(self.limit) // RESERVED_SLOTS_DIVISOR
 
     def can_run(self, waiting: QueuedRequest, now: float) -> bool:
         """Tell whether a request may run now.
 
-        The last slots are kept for requests that cannot wait: a long one
-        whose target leaves it time lets them be until its time grows short.
-        A short one frees its slot as soon as it would be missed.
+        Some slots are reserved for urgent requests. A long request whose
+        target leaves it time does not take a reserved slot until that time
+        runs short. A short one may, since it frees the slot quickly.
 
         Args:
             waiting: the request.
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Whether there is a slot for it, and a token of the named rate.
+            Whether a slot and a rate limit token are available to it.
         """
         if not self.rate.has_token(waiting.rank, now=now):
             return False
@@ -135,39 +143,39 @@
 
     @property
     def max_queue_length(self) -> int:
-        """How many requests may wait."""
+        """Maximum number of queued requests."""
         return self.slots * QUEUE_PER_SLOT
 
-    def find_run_seconds(self, work_class: str) -> float:
-        """Find how long a request of a class takes here.
+    def estimate_run_seconds(self, work_class: str) -> float:
+        """Estimate how long a request of a class runs.
 
         Args:
-            work_class: service and class.
+            work_class: the request's service and class.
 
         Returns:
-            Seconds; those of any request before the first of its class.
+            Seconds; the mean of all classes before the first run of this one.
         """
         return self.class_seconds.get(work_class, self.service_seconds)
 
     def find_run_times(self, work_class: str) -> RunTimes:
-        """Find how long a request of a class takes here, now and usually.
+        """Find the recent and usual run time of a class.
 
         Args:
-            work_class: service and class.
+            work_class: the request's service and class.
 
         Returns:
-            What entries are told; nothing known for a new class.
+            The run times that entries are sent; empty for a new class.
         """
         return self.class_run_times.get(work_class) or RunTimes()
 
     def find_token_at(self, now: float) -> float:
-        """Find when the first request in the queue has its token.
+        """Find when the next queued request gets a rate limit token.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
-            Seconds; infinite where none waits for a token.
+            Time in seconds; infinite if no request waits for a token.
         """
         if not self.rate.is_limited:
             return inf
@@ -177,27 +185,27 @@
         )
         return now + min((wait for wait in waits if wait > 0), default=inf)
 
-    def note_target_seconds(self, within: float) -> None:
-        """Guess from a request's target how long requests take here.
+    def note_target_seconds(self, seconds: float) -> None:
+        """Derive an assumed run time from a request's target.
 
-        Failure guarded here: a process that has just started knows no
-        times. It took every request for a matter of milliseconds, queued
-        for seconds what it could have refused, and answered all of it late.
+        A process that has just started has measured no run times. Without
+        this it would assume a few milliseconds for every request, queue for
+        seconds what it should refuse, and answer all of it late.
 
         Args:
-            within: seconds that are left of the class's target.
+            seconds: time left until the request's target.
         """
-        guess = max(INITIAL_RUN_SECONDS, within * ASSUMED_TARGET_SHARE)
-        known = self.assumed_seconds or guess
-        self.assumed_seconds = known + (guess - known) * ASSUMED_GAIN
+        sample = max(INITIAL_RUN_SECONDS, seconds * ASSUMED_TARGET_SHARE)
+        known = self.assumed_seconds or sample
+        self.assumed_seconds = known + (sample - known) * ASSUMED_GAIN
 
     def estimate_wait(self, ahead: int, *, rank: int, now: float) -> float:
-        """Estimate how long a request waits for a slot and a token.
+        """Estimate how long a request waits for a slot and a rate token.
 
         Args:
-            ahead: requests that go before it.
-            rank: of its class; 0 goes first.
-            now: seconds.
+            ahead: number of requests that are served before it.
+            rank: priority of the request's class; 0 is served first.
+            now: current time, seconds.
 
         Returns:
             Seconds.
@@ -209,7 +217,7 @@
         """Estimate how long a request waits for a slot.
 
         Args:
-            ahead: requests that go before it.
+            ahead: number of requests that are served before it.
 
         Returns:
             Seconds.
@@ -220,12 +228,12 @@
 
 
 def make_admission(slots: int) -> AdmissionState:
-    """Make the gate of a backend server.
+    """Make the state of the gate before a backend server.
 
     Args:
-        slots: requests that it runs at once.
+        slots: concurrent requests that the backend server accepts.
 
     Returns:
-        An open gate with nothing running.
+        State of an idle gate.
     """
     return AdmissionState(slots=slots, limit=float(slots))
--- a/wagtaildale/admission/tests/gates.py
+++ b/wagtaildale/admission/tests/simulated_gate.py
@@ -1,4 +1,4 @@
-"""A gate under a steady load, on a clock of its own."""
+"""Simulates a gate under a steady load, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 class SimulatedGate:
-    """A gate, its server and callers that ask evenly.
+    """A gate with its server and callers that send requests evenly.
 
     Attributes:
-        now: seconds.
-        limit: that the server names in its answers; nothing for none.
-        arrivals: when requests went to the server, with their ranks.
-        refusals: of the others, with their ranks.
+        now: current time, seconds.
+        limit: rate limit in the server's responses; None for no limit.
+        arrivals: time and rank of each request that was sent to the server.
+        refusals: refusal and rank of each other request.
     """
 
     def __init__(self, *, slots: int = SLOTS) -> None:
@@ -47,29 +47,31 @@
         self._tickets = count(1)
         self._ranks: dict[TicketId, int] = {}
         self._runs: list[tuple[float, float, TicketId]] = []
-        self._tell(SlotsPublished(slots=slots))
+        self._dispatch(SlotsPublished(slots=slots))
 
     def run(self, seconds: float, *, per_second: dict[int, float]) -> None:
-        """Let callers ask for a while.
+        """Send requests for a while.
 
         Args:
-            seconds: for how long.
-            per_second: requests, by rank.
+            seconds: duration.
+            per_second: requests per second of each rank.
         """
         until = self.now + seconds
         due = dict.fromkeys(per_second, self.now)
         while self.now < until:
-            for rank, often in per_second.items():
+            for rank, rate in per_second.items():
                 while due[rank] <= self.now:
-                    due[rank] += 1 / often
-                    self.ask(rank)
-            self._pass_time()
-
-    def ask(self, rank: int = 1, *, within_ms: int = WITHIN_MS) -> None:
-        """Let one request come."""
+                    due[rank] += 1 / rate
+                    self.send_request(rank)
+            self._advance_time()
+
+    def send_request(
+        self, rank: int = 1, *, within_ms: int = WITHIN_MS
+    ) -> None:
+        """Send one request."""
         ticket = TicketId(next(self._tickets))
         self._ranks[ticket] = rank
-        self._tell(
+        self._dispatch(
             RequestArrived(
                 ticket=ticket,
                 within_ms=within_ms,
@@ -79,13 +81,14 @@
         )
 
     def count_arrivals(self, since: float, *, rank: int | None = None) -> int:
-        """Count the requests that went to the server after a moment."""
+        """Count the requests sent to the server since a time."""
         return sum(
-            at >= since and rank in {None, known} for at, known in self.arrivals
+            at >= since and rank in {None, request_rank}
+            for at, request_rank in self.arrivals
         )
 
     def find_max_arrivals(self, window: float, *, since: float = 0) -> int:
-        """Find the most requests that went to the server in any window."""
+        """Find the maximum number of arrivals in any window."""
         times = [at for at, _rank in self.arrivals if at >= since]
         return max(
             (
@@ -95,16 +98,16 @@
             default=0,
         )
 
-    def _pass_time(self) -> None:
+    def _advance_time(self) -> None:
         self.now += STEP_SECONDS
         while self._runs and self._runs[0][0] <= self.now:
             _ends_at, begun_at, ticket = heapq.heappop(self._runs)
-            told = RateReported(per_second=self.limit, begun_at=begun_at)
-            self._tell(told)
-            self._tell(RequestFinished(ticket=ticket, seconds=RUN_SECONDS))
-        self._tell(TimePassed())
+            report = RateReported(per_second=self.limit, begun_at=begun_at)
+            self._dispatch(report)
+            self._dispatch(RequestFinished(ticket=ticket, seconds=RUN_SECONDS))
+        self._dispatch(TimePassed())
 
-    def _tell(self, message: GateMessage) -> None:
+    def _dispatch(self, message: GateMessage) -> None:
         for verdict in decide_admission(message, self.state, now=self.now):
             rank = self._ranks[verdict.ticket]
             if isinstance(verdict, Admitted):
--- a/wagtaildale/admission/tests/test_decisions.py
+++ b/wagtaildale/admission/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of who runs, who waits and who is refused."""
+"""Tests of which requests run, wait or are refused."""
 
 from __future__ import annotations
 
@@ -50,16 +50,16 @@
     return state
 
 
-def test_lookup_goes_before_reports() -> None:
-    """Insurers' reports hold up an adjuster on a roof."""
+def test_urgent_request_runs_before_slow_ones() -> None:
+    """Guards against slow requests that delay urgent ones in the queue."""
     state = build_busy()
     arrive(state, 11, within_ms=REPORT_MS)
     arrive(state, 12, within_ms=LOOKUP_MS)
     assert finish(state, 1, now=0.1) == [Admitted(ticket=TicketId(12))]
 
 
-def test_last_slot_is_kept_for_what_cannot_wait() -> None:
-    """A burst of reports takes every slot for as long as they run."""
+def test_last_slot_is_reserved_for_urgent_requests() -> None:
+    """Otherwise a burst of reports occupies every slot until they end."""
     state = make_admission(SLOTS)
     verdicts = [
         arrive(state, number, within_ms=REPORT_MS) for number in range(1, 6)
@@ -68,7 +68,7 @@
     assert arrive(state, 9, within_ms=10) == [Admitted(ticket=TicketId(9))]
 
 
-def test_report_whose_time_grows_short_takes_the_last_slot() -> None:
+def test_report_close_to_its_target_takes_the_last_slot() -> None:
     state = build_busy()
     for number in (1, 2, 3):
         finish(state, number, now=0.01)
@@ -79,11 +79,12 @@
 
 
 def test_short_request_takes_the_last_slot_at_once() -> None:
-    """A route that was just added answers nobody while its service is busy.
+    """Guards against refusing short requests while their service is busy.
 
-    Its requests take a millisecond and have a second: they counted as ones
-    that can wait, for five milliseconds before the end of their time, and
-    were refused then although a slot had come free a hundred times.
+    A request of a millisecond with a target of one second counts as urgent
+    only in its last five milliseconds. Unless short requests may take
+    reserved slots before, they are refused although a slot became free a
+    hundred times.
     """
     state = build_busy()
     state.class_seconds['short'] = 0.001
@@ -97,8 +98,8 @@
     assert finish(state, 1, now=0.1) == [Admitted(ticket=TicketId(9))]
 
 
-def test_answer_that_cannot_be_in_time_is_refused_at_once() -> None:
-    """A caller waits for seconds to hear that it waited in vain."""
+def test_request_that_cannot_meet_its_target_is_refused_at_once() -> None:
+    """Otherwise a caller waits for seconds before it is refused."""
     state = build_busy()
     verdicts = arrive(state, 9, within_ms=LOOKUP_MS, seconds=0.05)
     assert isinstance(verdicts[0], Refused)
@@ -106,7 +107,7 @@
     assert verdicts[0].retry_after > 0
 
 
-def test_full_queue_sheds_what_can_wait_longest() -> None:
+def test_full_queue_sheds_the_request_that_can_wait_longest() -> None:
     state = build_busy()
     state.service_seconds = 0.0001
     most = state.max_queue_length
@@ -117,19 +118,19 @@
     assert shed == [TicketId(100 + most - 1)]
 
 
-def test_past_deadline_never_runs() -> None:
+def test_request_past_its_deadline_never_runs() -> None:
     state = make_admission(1)
     verdicts = arrive(state, 1, within_ms=LOOKUP_MS, seconds=-1)
     assert isinstance(verdicts[0], Refused)
     assert verdicts[0].code is Code.past_deadline
 
 
-def test_new_process_refuses_what_it_cannot_answer_in_time() -> None:
-    """Right after a restart every answer of a busy service is late.
+def test_new_process_refuses_requests_it_cannot_answer_in_time() -> None:
+    """Guards against late responses of a busy service after a restart.
 
-    The new process knew no times yet and took each request for one of some
-    milliseconds, so dozens were queued behind slots that take a tenth of a
-    second each. It goes by their targets until it has seen answers.
+    A new process has measured no run times. If it assumed a few milliseconds
+    for each request, it would queue dozens behind slots that take a tenth of
+    a second each. It derives the run time from targets instead.
     """
     state = make_admission(SLOTS)
     verdicts = [
@@ -142,7 +143,7 @@
 
 
 def test_second_attempt_takes_only_a_free_slot() -> None:
-    """Under overload second attempts take the slots of first ones."""
+    """Under overload, second attempts must not take slots of first ones."""
     spare = RequestArrived(
         ticket=TicketId(9),
         within_ms=0,
@@ -155,12 +156,12 @@
     assert free == [Admitted(ticket=TicketId(9))]
 
 
-def test_late_request_hears_soon_that_it_does_not_run() -> None:
-    """Under overload every second refusal comes after 0.3 s of waiting.
+def test_late_request_is_refused_soon() -> None:
+    """Guards against refusals that come after 0.3 s of waiting.
 
-    A request that could no longer be in time was kept for a quarter of its
-    1.2 s on the chance of an idle slot, which none has under overload. Its
-    caller came back with its target missed and was refused again.
+    If a late request waits for a quarter of its 1.2 s for an idle slot, which
+    does not occur under overload, its caller retries with the target missed
+    and is refused again.
     """
     state = build_busy()
     for number in range(11, 15):
--- a/wagtaildale/admission/tests/test_limits.py
+++ b/wagtaildale/admission/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limit that follows what is observed."""
+"""Tests of the concurrency limit that adjusts to observed run times."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
 
 
 def test_slow_but_steady_server_keeps_its_slots() -> None:
-    """Lookups miss their target on a fleet that is half idle.
+    """Guards against lookups that miss their target on a half idle fleet.
 
-    Answers take 80 ms as they always do; measured against a guess of 5 ms
-    they looked slow, and owners let one request through at a time.
+    Responses that always take 80 ms look slow next to an assumed run time of
+    5 ms, and owners would admit one request at a time.
     """
     state = build_busy()
     feed(state, Ending.good, seconds=0.08, count=50)
     assert state.limit == SLOTS
 
 
-def test_server_that_slows_down_gets_less() -> None:
+def test_limit_decreases_when_the_server_slows_down() -> None:
     state = build_busy()
     feed(state, Ending.good, seconds=0.01, count=50)
     feed(state, Ending.good, seconds=0.2, count=20)
     assert state.limit < SLOTS
 
 
-def test_failures_shrink_and_success_restores() -> None:
+def test_failures_decrease_and_successes_restore_the_limit() -> None:
     state = build_busy()
     feed(state, Ending.failed, seconds=0, count=20)
     assert state.limit == 1
@@ -55,18 +55,18 @@
     assert state.limit == SLOTS
 
 
-def test_callers_that_hang_up_say_nothing_of_the_server() -> None:
+def test_abandoned_requests_do_not_change_the_limit() -> None:
     state = build_busy()
     feed(state, Ending.abandoned, seconds=9, count=20)
     assert state.limit == SLOTS
 
 
-def test_usual_time_is_told_once_it_is_known() -> None:
-    """A healthy server gets no lookups for a minute.
+def test_usual_time_is_published_after_enough_runs() -> None:
+    """Guards against a healthy server that gets no lookups for a minute.
 
-    Its first run opened a connection and took a hundred times as long as the
-    rest. Told as the usual time it kept every entry away, and nothing showed
-    that it was wrong.
+    The first run opens a connection and takes a hundred times as long as
+    others. Published as the usual time it keeps every entry away, so no
+    further run corrects it.
     """
     state = make_admission(SLOTS)
     work_class = 'files/lookup'
@@ -89,11 +89,11 @@
     assert state.find_run_times(work_class).reliable_mean < 0.002
 
 
-def test_server_whose_runs_are_all_given_up_is_known_to_be_slow() -> None:
-    """A server turns slow, and lookups keep going there.
+def test_server_whose_runs_are_all_abandoned_is_known_to_be_slow() -> None:
+    """Guards against sending lookups to a server that became slow.
 
-    Each of them is answered by a second attempt elsewhere and given up here,
-    so that no run ever ends and tells how long it takes.
+    Second attempts elsewhere answer all of them, and the runs here are
+    abandoned, so no completed run shows how long they take.
     """
     state = make_admission(SLOTS)
     for ending, seconds in (
@@ -107,13 +107,13 @@
             now=0,
             work_class='files/lookup',
         )
-    usual = state.find_run_times('files/lookup')
-    assert usual.recent > 0.5
-    assert usual.reliable_mean == pytest.approx(0.2)
+    run_times = state.find_run_times('files/lookup')
+    assert run_times.recent > 0.5
+    assert run_times.reliable_mean == pytest.approx(0.2)
 
 
-def test_run_that_is_given_up_early_tells_nothing() -> None:
-    """Callers leave at once, and the server is taken for a fast one."""
+def test_run_abandoned_early_does_not_change_the_recent_time() -> None:
+    """Callers that disconnect at once must not make the server look fast."""
     state = make_admission(SLOTS)
     for ending, seconds in ((Ending.good, 0.2), (Ending.abandoned, 0.01)):
         adjust_limit(
--- a/wagtaildale/admission/tests/test_rates.py
+++ b/wagtaildale/admission/tests/test_rates.py
@@ -1,4 +1,4 @@
-"""Tests of servers that name how many requests a second they take."""
+"""Tests of backend servers that name a request rate limit."""
 
 from __future__ import annotations
 
@@ -20,11 +20,14 @@
     RateReported,
     ServerRestarted,
 )
-from wagtaildale.admission.tests.gates import RUN_SECONDS, SimulatedGate
+from wagtaildale.admission.tests.simulated_gate import (
+    RUN_SECONDS,
+    SimulatedGate,
+)
 from wagtaildale.errors.codes import Code
 
 WINDOW: Final = 4.0
-# What users bear in such a window.
+# What users tolerate in such a window.
 ALLOWED_SHARE: Final = 1.5
 ALLOWED_MORE: Final = 5
 URGENT: Final = 0
@@ -37,39 +40,43 @@
 
 @pytest.mark.parametrize('limit', [0, 0.3, 1, 2.3, 19.1, 60])
 @pytest.mark.parametrize('asked', [5, 100, 600])
-def test_any_window_has_what_the_server_takes(
+def test_no_window_exceeds_the_limit_of_the_server(
     limit: float,
     asked: float,
 ) -> None:
-    """A quick server gets many times its rate with few requests running."""
+    """Slots alone allow a fast server to get many times its rate."""
     gate = SimulatedGate()
     gate.limit = limit
     gate.run(12, per_second={USUAL: asked})
-    told = 4 * RUN_SECONDS
-    assert gate.find_max_arrivals(WINDOW, since=told) <= find_allowed(limit)
-    taken = gate.count_arrivals(told)
-    assert taken >= 0.9 * min(asked, limit) * (12 - told) - 2
+    learned_at = 4 * RUN_SECONDS
+    assert gate.find_max_arrivals(WINDOW, since=learned_at) <= find_allowed(
+        limit
+    )
+    taken = gate.count_arrivals(learned_at)
+    assert taken >= 0.9 * min(asked, limit) * (12 - learned_at) - 2
 
 
 @pytest.mark.parametrize('limits', [(50, 5), (5, 50), (20, 0.5), (3, 30)])
 def test_limit_that_changes_is_followed(limits: tuple[float, float]) -> None:
-    """A server lowers its limit, and gets as many as before."""
+    """Guards against keeping the old rate after a server lowers its limit."""
     before, after = limits
     gate = SimulatedGate()
     gate.limit = before
     gate.run(6, per_second={USUAL: 200})
     gate.limit = after
     gate.run(6, per_second={USUAL: 200})
-    # At a low rate the next answer may take as long as a token.
-    told = 6 + 4 * RUN_SECONDS + 1 / before
-    assert gate.find_max_arrivals(WINDOW, since=told) <= find_allowed(after)
+    # At a low rate the next response may take as long as the next token.
+    learned_at = 6 + 4 * RUN_SECONDS + 1 / before
+    assert gate.find_max_arrivals(WINDOW, since=learned_at) <= find_allowed(
+        after
+    )
     last = gate.count_arrivals(gate.now - WINDOW)
     assert last >= 0.9 * min(after, 200) * WINDOW - 2
 
 
 @pytest.mark.parametrize('limit', [0, 0.2, 10])
-def test_limit_ends_when_the_server_names_none(limit: float) -> None:
-    """A server is well again, and nobody asks it to find out."""
+def test_limit_ends_when_a_response_names_none(limit: float) -> None:
+    """A recovered server must get requests, or its recovery stays unknown."""
     gate = SimulatedGate()
     gate.limit = limit
     gate.run(4, per_second={USUAL: 100})
@@ -78,8 +85,8 @@
     assert gate.count_arrivals(gate.now - 1) >= 95
 
 
-def test_burst_after_a_quiet_spell_is_bounded() -> None:
-    """Nobody asks for a minute, and a server in need gets a minute's worth."""
+def test_burst_after_an_idle_period_is_bounded() -> None:
+    """Guards against a minute's worth of requests after an idle minute."""
     gate = SimulatedGate()
     gate.limit = 10
     gate.run(2, per_second={USUAL: 100})
@@ -89,8 +96,8 @@
     assert gate.count_arrivals(since) <= 10 + 5 + 1
 
 
-def test_answers_of_older_requests_do_not_end_a_limit() -> None:
-    """Answers to requests from before the need come after it was named."""
+def test_responses_to_older_requests_do_not_end_a_limit() -> None:
+    """Responses to requests sent before the limit may arrive after it."""
     rate = RateLimit()
     rate.note_answer(5, begun_at=2, now=3)
     rate.note_answer(None, begun_at=1, now=4)
@@ -102,21 +109,21 @@
     assert rate.per_second is None
 
 
-def test_limit_that_entries_bring_counts_until_the_server_is_heard() -> None:
-    """An owner that has just started knows no limit of its server."""
+def test_forwarded_limit_applies_until_the_server_responds() -> None:
+    """An owner that has just started does not know the limit of its server."""
     gate = SimulatedGate()
-    brought = RateForwarded(per_second=2)
-    decide_admission(brought, gate.state, now=gate.now)
-    for _time in range(20):
-        gate.ask()
+    forwarded = RateForwarded(per_second=2)
+    decide_admission(forwarded, gate.state, now=gate.now)
+    for _request in range(20):
+        gate.send_request()
     assert len(gate.arrivals) == 1
     gate.run(2, per_second={USUAL: 10})
-    decide_admission(brought, gate.state, now=gate.now)
+    decide_admission(forwarded, gate.state, now=gate.now)
     assert gate.state.rate.per_second is None
 
 
-def test_server_that_starts_anew_has_named_nothing() -> None:
-    """A server is back after its end, and is held to an old limit."""
+def test_restarted_server_has_no_limit() -> None:
+    """Guards against applying the old limit after a restart."""
     gate = SimulatedGate()
     gate.limit = 1
     gate.run(2, per_second={USUAL: 50})
@@ -127,8 +134,8 @@
     assert gate.count_arrivals(since) >= 45
 
 
-def test_requests_of_the_node_itself_count() -> None:
-    """A server in need gets health checks beside all that it takes."""
+def test_health_checks_take_tokens() -> None:
+    """Otherwise health checks exceed the limit of a server under load."""
     rate = RateLimit()
     rate.note_answer(1, begun_at=0, now=0)
     rate.take_token(now=0)
@@ -139,8 +146,8 @@
     assert rate.find_wait(USUAL, ahead=0, now=0) == before + 1
 
 
-def test_least_important_are_refused_first() -> None:
-    """Bookings meet an empty bucket as often as reports do."""
+def test_low_priority_requests_are_refused_first() -> None:
+    """Otherwise bookings find the bucket empty as often as reports do."""
     gate = SimulatedGate()
     gate.limit = 30
     gate.run(8, per_second={URGENT: 20, USUAL: 100})
@@ -150,11 +157,11 @@
     assert gate.count_arrivals(since) <= 31 * (gate.now - since)
 
 
-def test_requests_that_a_new_limit_leaves_no_time_are_refused_at_once() -> None:
-    """Callers in the queue wait until they are late, only to be refused."""
+def test_queued_requests_that_a_new_limit_delays_are_refused_at_once() -> None:
+    """Otherwise they wait until they are late, only to be refused then."""
     gate = SimulatedGate(slots=1)
-    for _time in range(4):
-        gate.ask()
+    for _request in range(4):
+        gate.send_request()
     assert not gate.refusals
     gate.limit = 1
     gate.run(2 * RUN_SECONDS, per_second={})
@@ -162,8 +169,8 @@
     assert {each.code for each in refused} == {Code.rate_limited}
 
 
-def test_refusal_says_when_the_rate_allows_another() -> None:
-    """Callers come back at once to a server that takes one in two seconds."""
+def test_refusal_tells_when_the_rate_allows_a_retry() -> None:
+    """Otherwise callers retry at once, at a server that takes 0.5 per second."""
     gate = SimulatedGate()
     gate.limit = 0.5
     gate.run(2, per_second={USUAL: 50})
@@ -172,15 +179,15 @@
     assert 0 < last.retry_after <= 2 * WINDOW
 
 
-def test_answer_without_a_limit_turns_nobody_away() -> None:
-    """A request whose turn has come is refused by the answer before it."""
+def test_response_without_a_limit_refuses_no_request() -> None:
+    """Guards against refusing a due request when the one before it ends."""
     gate = SimulatedGate(slots=1)
     state = gate.state
-    gate.ask()
-    gate.ask()
+    gate.send_request()
+    gate.send_request()
     gate.now = state.queue[0].start_by
-    told = RateReported(per_second=None, begun_at=0)
-    assert not decide_admission(told, state, now=gate.now)
+    report = RateReported(per_second=None, begun_at=0)
+    assert not decide_admission(report, state, now=gate.now)
     finished = RequestFinished(ticket=TicketId(1), seconds=RUN_SECONDS)
     admitted = decide_admission(finished, state, now=gate.now)
     assert admitted == [Admitted(ticket=TicketId(2))]
--- a/wagtaildale/admission/tests/test_shares.py
+++ b/wagtaildale/admission/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of what an owner lets entries send to a limited server."""
+"""Tests of the share of requests that entries may send to a server."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     *,
     passed: PassShare = ALL_PASS,
 ) -> Demand:
-    """Build what is known after some seconds of requests.
+    """Build the demand that is measured after some seconds of requests.
 
     Args:
-        per_second: requests that callers make, by rank.
-        passed: what entries let through of them.
+        per_second: requests per second of callers, by pass rank.
+        passed: share of them that entries send.
 
     Returns:
         The demand.
@@ -40,32 +40,32 @@
     demand = Demand()
     steps = 1000
     for step in range(SECONDS * steps):
-        for rank, often in per_second.items():
+        for rank, rate in per_second.items():
             share = passed.find(rank)
             if (
-                step * often * share // steps
-                != (step + 1) * often * share // steps
+                step * rate * share // steps
+                != (step + 1) * rate * share // steps
             ):
                 demand.note(rank, stands_for=1 / share, now=step / steps)
     return demand
 
 
-def test_all_pass_while_no_limit_is_named() -> None:
+def test_all_requests_pass_without_a_limit() -> None:
     demand = build_demand({LOOKUP: 300})
     assert demand.compute_pass_share(None, now=SECONDS) == ALL_PASS
     assert demand.compute_pass_share(400, now=SECONDS) == ALL_PASS
 
 
 def test_important_requests_pass_first() -> None:
-    """A server takes a third of what comes, and bookings wait for lookups."""
+    """Lookups must not displace bookings at a server that cannot run both."""
     demand = build_demand({BOOKING: 100, LOOKUP: 300})
     share = demand.compute_pass_share(200, now=SECONDS)
     assert share.find(BOOKING) == 1
     assert share.find(LOOKUP) == pytest.approx(1 / 3, rel=0.05)
 
 
-def test_no_class_is_turned_away_altogether() -> None:
-    """Bookings alone are more than a server takes."""
+def test_some_requests_of_every_class_pass() -> None:
+    """Lookups must pass in part, even if bookings alone exceed the limit."""
     demand = build_demand({BOOKING: 300, LOOKUP: 300})
     share = demand.compute_pass_share(100, now=SECONDS)
     even = 100 / 600
@@ -73,16 +73,16 @@
     assert share.find(BOOKING) > even
 
 
-def test_what_is_late_passes_last() -> None:
-    """Callers come back until they are late, and what passes is late."""
+def test_late_requests_pass_last() -> None:
+    """Otherwise retries that are late take the capacity of those in time."""
     demand = build_demand({LOOKUP: 300, LATE_LOOKUP: 300})
     share = demand.compute_pass_share(100, now=SECONDS)
     assert share.find(LOOKUP) == pytest.approx(1 / 3, rel=0.05)
     assert share.find(LATE_LOOKUP) * PARTS_PER_WHOLE == MIN_PARTS
 
 
-def test_share_does_not_depend_on_what_passed_before() -> None:
-    """A server lets few pass, takes that for a calm, and lets all pass."""
+def test_share_does_not_depend_on_the_share_before() -> None:
+    """Guards against oscillation: a low share must not look like low demand."""
     load = {BOOKING: 100, LOOKUP: 300}
     passed = PassShare(LOOKUP, 1000, 1000)
     before = build_demand(load).compute_pass_share(200, now=SECONDS)
@@ -93,7 +93,7 @@
     assert after.parts == pytest.approx(before.parts, rel=0.2)
 
 
-def test_entries_are_told_of_what_matters_alone() -> None:
+def test_only_significant_changes_of_a_share_are_announced() -> None:
     demand = Demand()
     shares = (
         (PassShare(LOOKUP, 3000, 100), 1),
@@ -103,20 +103,22 @@
         (ALL_PASS, 4.1),
         (ALL_PASS, 5),
     )
-    told = [demand.update_announcement(share, now=now) for share, now in shares]
-    assert told == [True, False, False, True, False, True]
+    announced = [
+        demand.update_announcement(share, now=now) for share, now in shares
+    ]
+    assert announced == [True, False, False, True, False, True]
 
 
 @pytest.mark.parametrize('parts', [-5, 0, 1, 10**12])
-def test_word_of_an_entry_is_bounded(parts: int) -> None:
-    """An entry says that one request stands for all of the world's."""
+def test_share_that_an_entry_reports_is_bounded(parts: int) -> None:
+    """Guards against an entry whose one request counts for unlimited demand."""
     fields = structs.replace(build_run().fields, passed_parts=parts)
     assert 1 <= fields.stands_for <= PARTS_PER_WHOLE / MIN_PARTS
 
 
 @pytest.mark.parametrize('parts', [-5, 0, 10**12])
-def test_word_of_an_owner_is_bounded(parts: int) -> None:
-    """An owner says that nothing passes, and is never asked again."""
+def test_share_that_an_owner_announces_is_bounded(parts: int) -> None:
+    """Guards against an owner that announces zero and gets no more requests."""
     share = PassShare(LOOKUP, parts, parts)
     for rank in (BOOKING, LOOKUP, LATE_LOOKUP):
         assert MIN_PARTS / PARTS_PER_WHOLE <= share.find(rank) <= 1
--- a/wagtaildale/suspects/fingerprints.py
+++ b/wagtaildale/suspects/fingerprints.py
@@ -82,7 +82,7 @@
     """Find what is asked for, whoever asks.
 
     Args:
-        fingerprint: of a request.
+        fingerprint: fingerprint of a request.
 
     Returns:
         The part of the fingerprint that callers share.
--- a/wagtaildale/suspects/recent_answers.py
+++ b/wagtaildale/suspects/recent_answers.py
@@ -27,7 +27,7 @@
         """Note a request that was answered.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
         """
         self._kept.pop(fingerprint, None)
         self._kept[fingerprint] = None
@@ -38,7 +38,7 @@
         """Tell whether a request was answered.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
 
         Returns:
             Whether it is among the latest.
--- a/wagtaildale/suspects/records.py
+++ b/wagtaildale/suspects/records.py
@@ -58,7 +58,7 @@
     """What a node tells others of a request.
 
     Attributes:
-        fingerprint: of the request.
+        fingerprint: fingerprint of the request.
         clearings: how often it was answered after servers had ended.
         ends: servers that ended one after the other since then.
         age_seconds: seconds since it came last.
@@ -131,7 +131,7 @@
     Args:
         ends: servers that ended one after the other under it.
         since: when the last end was learned of, seconds.
-        now: seconds.
+        now: current time, seconds.
 
     Returns:
         Whether it may run; ``trial`` where it may run alone.
@@ -161,7 +161,7 @@
     Args:
         ends: servers that ended one after the other under its request.
         since: when the last end was learned of, seconds.
-        now: seconds.
+        now: current time, seconds.
 
     Returns:
         Seconds.
--- a/wagtaildale/suspects/snapshots.py
+++ b/wagtaildale/suspects/snapshots.py
@@ -72,7 +72,7 @@
         request have done counts against it.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
 
         Returns:
             What is held of it.
@@ -91,7 +91,7 @@
         """List what is known of the same request, whoever sends it.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
 
         Returns:
             The records by fingerprint.
@@ -159,7 +159,7 @@
         """Judge whether a request may run now; note a harmful one.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
             reported_ends: servers that ended under it, as far as came with its call.
 
         Returns:
@@ -225,7 +225,7 @@
         """Tell that a server has run a request to its end.
 
         Args:
-            fingerprint: of the request.
+            fingerprint: fingerprint of the request.
         """
         if self.current.find(fingerprint).ends:
             self._post(RequestAnswered(fingerprint))
--- a/wagtaildale/suspects/table.py
+++ b/wagtaildale/suspects/table.py
@@ -50,7 +50,7 @@
 
         Args:
             suspicion: what was learned.
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
             Whether that is news here.
@@ -93,8 +93,8 @@
         """Note that a suspected request was run to its end.
 
         Args:
-            fingerprint: of the request.
-            now: seconds.
+            fingerprint: fingerprint of the request.
+            now: current time, seconds.
 
         Returns:
             What was held of it before.
@@ -111,8 +111,8 @@
         is forgotten while it still comes, and ends servers anew.
 
         Args:
-            fingerprint: of the request.
-            now: seconds.
+            fingerprint: fingerprint of the request.
+            now: current time, seconds.
 
         Returns:
             Whether that is worth showing: once a second.
@@ -128,7 +128,7 @@
         """Forget what has not come for long.
 
         Args:
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
             Whether anything was forgotten.
@@ -164,7 +164,7 @@
 
         Args:
             fingerprints: of those held here.
-            now: seconds.
+            now: current time, seconds.
 
         Returns:
             One suspicion each.
--- a/wagtaildale/timers/alarms.py
+++ b/wagtaildale/timers/alarms.py
@@ -22,7 +22,7 @@
     """Something to do at a time, unless it is cancelled before.
 
     Attributes:
-        at: seconds on the clock.
+        at: time on the clock, seconds.
     """
 
     __slots__ = ('_action', 'at')
@@ -31,8 +31,8 @@
         """Set the time.
 
         Args:
-            at: seconds on the clock.
-            action: what to do then.
+            at: time on the clock, seconds.
+            action: function that is called at that time.
         """
         self.at = at
         self._action: Callable[[], None] | None = action
@@ -74,7 +74,7 @@
 
         Args:
             seconds: from now.
-            action: what to do then.
+            action: function that is called at that time.
 
         Returns:
             The alarm, to cancel it.
@@ -85,8 +85,8 @@
         """Set an alarm for a time on the clock.
 
         Args:
-            at: seconds on the clock.
-            action: what to do then.
+            at: time on the clock, seconds.
+            action: function that is called at that time.
 
         Returns:
             The alarm, to cancel it.
@@ -100,7 +100,7 @@
         """Find how long the task may wait.
 
         Args:
-            now: seconds on the clock.
+            now: current time on the clock, seconds.
 
         Returns:
             Seconds until the next alarm, ``MAX_WAIT_SECONDS`` at most.
@@ -115,7 +115,7 @@
         """Ring every alarm whose time has come.
 
         Args:
-            now: seconds on the clock.
+            now: current time on the clock, seconds.
         """
         while self._heap and self._heap[0][0] <= now:
             heapq.heappop(self._heap)[2].fire()
--- a/wagtaildale/timers/service.py
+++ b/wagtaildale/timers/service.py
@@ -103,7 +103,7 @@
         """Send what is due.
 
         Args:
-            now: seconds on the clock.
+            now: current time on the clock, seconds.
             expected: when this call was meant to come.
         """
         if now - expected > LATE_SECONDS:
