--- a/wagtaildale/admission/limits.py
+++ b/wagtaildale/admission/limits.py
@@ -15,18 +15,28 @@
 if TYPE_CHECKING:
     from wagtaildale.admission.state import AdmissionState
 
+# Weights of a run in the smoothed run time and in its baseline.
 FAST_GAIN: Final = 0.1
 SLOW_GAIN: Final = 0.005
+# A server is slow at this multiple of its baseline. Shorter run times than
+# the minimum never count as slow.
 SLOWDOWN_RATIO: Final = 4.0
 MIN_SLOW_SECONDS: Final = 0.005
 FAILURE_FACTOR: Final = 0.8
 SLOWDOWN_FACTOR: Final = 0.95
+# Minimum time between two decreases of the limit.
 COOLDOWN_SECONDS: Final = 0.1
 
 
 @final
 class Ending(Enum):
-    """How a request ended at the backend server."""
+    """How a request ended at the backend server.
+
+    Attributes:
+        good: it was answered.
+        failed: the backend server shed or failed it.
+        abandoned: it ended for another reason, such as a disconnected caller.
+    """
 
     good = 'good'
     failed = 'failed'
--- a/wagtaildale/admission/tests/test_decisions.py
+++ b/wagtaildale/admission/tests/test_decisions.py
@@ -157,7 +157,7 @@
 
 
 def test_late_request_is_refused_soon() -> None:
-    """Guards against refusals that come after 0.3 s of waiting.
+    """Under overload, every second refusal would come after 0.3 s of waiting.
 
     If a late request waits for a quarter of its 1.2 s for an idle slot, which
     does not occur under overload, its caller retries with the target missed
--- a/wagtaildale/admission/tests/test_rates.py
+++ b/wagtaildale/admission/tests/test_rates.py
@@ -26,34 +26,34 @@
 )
 from wagtaildale.errors.codes import Code
 
-WINDOW: Final = 4.0
+WINDOW_SECONDS: Final = 4.0
 # What users tolerate in such a window.
-ALLOWED_SHARE: Final = 1.5
-ALLOWED_MORE: Final = 5
+TOLERATED_FACTOR: Final = 1.5
+TOLERATED_EXTRA: Final = 5
 URGENT: Final = 0
 USUAL: Final = 1
 
 
-def find_allowed(limit: float) -> float:
-    return ALLOWED_SHARE * limit * WINDOW + ALLOWED_MORE
+def find_tolerated(limit: float) -> float:
+    return TOLERATED_FACTOR * limit * WINDOW_SECONDS + TOLERATED_EXTRA
 
 
 @pytest.mark.parametrize('limit', [0, 0.3, 1, 2.3, 19.1, 60])
-@pytest.mark.parametrize('asked', [5, 100, 600])
-def test_no_window_exceeds_the_limit_of_the_server(
+@pytest.mark.parametrize('sent', [5, 100, 600])
+def test_arrivals_in_any_window_match_the_limit(
     limit: float,
-    asked: float,
+    sent: float,
 ) -> None:
     """Slots alone allow a fast server to get many times its rate."""
     gate = SimulatedGate()
     gate.limit = limit
-    gate.run(12, per_second={USUAL: asked})
+    gate.run(12, per_second={USUAL: sent})
     learned_at = 4 * RUN_SECONDS
-    assert gate.find_max_arrivals(WINDOW, since=learned_at) <= find_allowed(
-        limit
-    )
+    assert gate.find_max_arrivals(
+        WINDOW_SECONDS, since=learned_at
+    ) <= find_tolerated(limit)
     taken = gate.count_arrivals(learned_at)
-    assert taken >= 0.9 * min(asked, limit) * (12 - learned_at) - 2
+    assert taken >= 0.9 * min(sent, limit) * (12 - learned_at) - 2
 
 
 @pytest.mark.parametrize('limits', [(50, 5), (5, 50), (20, 0.5), (3, 30)])
@@ -67,11 +67,11 @@
     gate.run(6, per_second={USUAL: 200})
     # At a low rate the next response may take as long as the next token.
     learned_at = 6 + 4 * RUN_SECONDS + 1 / before
-    assert gate.find_max_arrivals(WINDOW, since=learned_at) <= find_allowed(
-        after
-    )
-    last = gate.count_arrivals(gate.now - WINDOW)
-    assert last >= 0.9 * min(after, 200) * WINDOW - 2
+    assert gate.find_max_arrivals(
+        WINDOW_SECONDS, since=learned_at
+    ) <= find_tolerated(after)
+    last = gate.count_arrivals(gate.now - WINDOW_SECONDS)
+    assert last >= 0.9 * min(after, 200) * WINDOW_SECONDS - 2
 
 
 @pytest.mark.parametrize('limit', [0, 0.2, 10])
@@ -176,7 +176,7 @@
     gate.run(2, per_second={USUAL: 50})
     last = gate.refusals[-1][0]
     assert isinstance(last, Refused)
-    assert 0 < last.retry_after <= 2 * WINDOW
+    assert 0 < last.retry_after <= 2 * WINDOW_SECONDS
 
 
 def test_response_without_a_limit_refuses_no_request() -> None:
--- a/wagtaildale/suspects/records.py
+++ b/wagtaildale/suspects/records.py
@@ -15,9 +15,9 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Ends are servers that ended one after the other while they ran a request. Each
-# run started after the previous end was known at the node that ran it.
-# With this many ends, no other suspected request runs beside it.
+# An end counts for a request if a backend server ended while it ran the
+# request, and if the run started after the previous end was known at its node.
+# With this many ends, a request runs apart from other suspected requests.
 TRIAL_ENDS: Final = 2
 # With this many ends, a request is not run, except for single trials after a
 # delay.
@@ -50,7 +50,13 @@
 
 @final
 class Standing(Enum):
-    """Whether a request may run."""
+    """Whether a request may run.
+
+    Attributes:
+        clear: it may run, perhaps only at certain nodes.
+        trial: it may run if no other suspected request runs at the server.
+        harmful: it may not run.
+    """
 
     clear = 'clear'
     trial = 'trial'
